--- a/src/coursejunction/proxy/crash_guard.cpp
+++ b/src/coursejunction/proxy/crash_guard.cpp
@@ -159,7 +159,7 @@
     return ledger.news(crash_ledger::most_told, event_loop::now());
 }
 
-bool crash_guard::lift(const request_content& what)
+bool crash_guard::lift_quarantine(const request_content& what)
 {
     if (!ledger.lift(what, event_loop::now()))
         return false;
--- a/src/coursejunction/proxy/crash_guard.hpp
+++ b/src/coursejunction/proxy/crash_guard.hpp
@@ -106,7 +106,7 @@
 
     /*! @brief Ends a quarantine, here and, by the next heartbeats, everywhere.
      * @return Whether there was one. */
-    bool lift(const request_content& what);
+    bool lift_quarantine(const request_content& what);
 
     /*! @brief Forgets what is past, and sets the gauges. */
     void tick(time_point now);
--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -21,7 +21,7 @@
 [[nodiscard]] inline request_content content_of(const exchange& one)
 {
     const std::string caller =
-        one.owner ? one.owner->value() : one.asked.key.value_or("");
+        one.owner ? one.owner->value() : one.asked.api_key.value_or("");
     return request_content::of(caller, one.original.target, one.original.body);
 }
 
@@ -33,8 +33,8 @@
     return request_fingerprint(
         stable_hash(one.content.hex() + asked.prompt_parts + "/" +
                     std::to_string(asked.prompt_tokens) + "/" +
-                    std::to_string(asked.most_tokens) + "/" +
-                    std::to_string(asked.likely_tokens)));
+                    std::to_string(asked.max_output_tokens) + "/" +
+                    std::to_string(asked.expected_output_tokens)));
 }
 
 /*! @brief Tells whether a status says that the configuration does not allow
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -136,7 +136,7 @@
         auto one = std::make_shared<exchange>();
         one->number = number;
         one->arrived = event_loop::now();
-        one->asked = Codec::decode(from);
+        one->asked = Codec::decode_request(from);
         one->original = std::move(from);
         one->reply = std::move(reply);
         counters.count("requests_total");
@@ -208,8 +208,9 @@
             return 404;
         if (one.rules->keyed && !one.route->open)
         {
-            const auto* owner =
-                one.asked.key ? one.rules->owner(*one.asked.key) : nullptr;
+            const auto* owner = one.asked.api_key
+                                    ? one.rules->owner(*one.asked.api_key)
+                                    : nullptr;
             if (owner == nullptr)
                 return 401;
             one.owner = owner->id;
@@ -432,14 +433,14 @@
         one.events.drop_rest();
         const auto left =
             std::chrono::duration_cast<milliseconds>(one.ends - now);
-        attempt_facts facts;
+        attempt_metadata facts;
         facts.upstream = at.upstream;
         facts.organisation = one.owner;
-        facts.left = std::max(left, milliseconds(1));
-        facts.version = at.version;
-        facts.last_event =
-            one.events.last_id() ? one.events.last_id() : one.asked.last_event;
-        facts.rank = to.rank;
+        facts.time_left = std::max(left, milliseconds(1));
+        facts.expected_version = at.version;
+        facts.last_event_id = one.events.last_id() ? one.events.last_id()
+                                                   : one.asked.last_event_id;
+        facts.priority = to.rank;
         stream_call call;
         call.address = at.address;
         call.method = one.original.method;
@@ -519,7 +520,7 @@
     void got_head(exchange& one, const stream_head& head)
     {
         one.head = head;
-        const auto facts = Codec::facts(head);
+        const auto facts = Codec::decode_response(head);
         if (facts.id == one.asked.id || facts.not_run)
             return intake.heard(one, facts.notice, event_loop::now());
         // The answer to another request: nothing on this connection is ours.
@@ -562,7 +563,7 @@
         if (one.streaming)
             return;
         one.streaming = true;
-        one.reply.begin(one.head.status, Codec::answer_headers(one.head));
+        one.reply.begin(one.head.status, Codec::response_headers(one.head));
     }
 
     void got_end(exchange& one, stream_end how, const std::string& why)
@@ -575,7 +576,7 @@
                               ? attempt_reach::not_sent
                               : attempt_reach::may_have_run,
                           why);
-        const auto facts = Codec::facts(one.head);
+        const auto facts = Codec::decode_response(one.head);
         if (facts.not_run)
             return failed(one, attempt_reach::not_run,
                           "upstream did not run it (" +
@@ -635,7 +636,7 @@
                           "upstream answered " + std::to_string(status) +
                               " without proof that it did not run");
         }
-        one.reply.send(status, Codec::answer_headers(one.head), one.body);
+        one.reply.send(status, Codec::response_headers(one.head), one.body);
         settle(one, status < server_error, "answered");
     }
 
@@ -684,7 +685,7 @@
         if (one.own_failure && one.own_failure->status != 503)
         {
             one.reply.send(one.own_failure->status,
-                           Codec::answer_headers(*one.own_failure),
+                           Codec::response_headers(*one.own_failure),
                            one.own_failure_body);
             finish_log(one, "failed", why);
             return forget(one);
--- a/src/coursejunction/proxy/fwd.hpp
+++ b/src/coursejunction/proxy/fwd.hpp
@@ -13,8 +13,8 @@
 class open_exchanges;
 class retry_budgets;
 struct caller_request;
-struct attempt_facts;
-struct answer_facts;
+struct attempt_metadata;
+struct response_metadata;
 template <typename Codec>
 class exchange_service;
 template <typename Platform>
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -25,7 +25,7 @@
 #include "coursejunction/net/metrics.hpp"
 #include "coursejunction/net/stream_server.hpp"
 #include "coursejunction/proxy/exchange_service.hpp"
-#include "coursejunction/proxy/refusal_news.hpp"
+#include "coursejunction/proxy/refusal_messages.hpp"
 #include "coursejunction/proxy/version_controller.hpp"
 
 namespace coursejunction
@@ -34,16 +34,17 @@
 /*! @brief Addresses and times of an entry. */
 struct gateway_options
 {
-    std::string caller_address; /*!< `IP:port` for callers. */
-    std::string ready_address;  /*!< `IP:port` for the balancer's question. */
-    std::string ready_path;
+    std::string listen_address; /*!< `IP:port` for callers. */
+    std::string
+        readiness_address; /*!< `IP:port` for the balancer's question. */
+    std::string readiness_path;
     /*! @brief Time after which older weights take no request any more:
      * `version_times::send_until`. */
-    milliseconds version_time{6000};
+    milliseconds old_weights_grace{6000};
     /*! @brief A stop that takes longer is ended by force. */
     milliseconds stop_grace{8000};
     exchange_options exchange;
-    placement_weights weights;
+    placement_weights placement;
 };
 
 /*! @brief Serves callers.
@@ -85,7 +86,7 @@
         { describe(into); };
         hooks.crashes = [this] { return exchanges.crashing().told(); };
         hooks.refusals = [this] { return refusals_told(); };
-        hooks.terms = [this] { return terms_news(book, event_loop::now()); };
+        hooks.terms = [this] { return recent_terms(book, event_loop::now()); };
         exchanges.on_refusals([this] { node.announce_refusals(); });
         exchanges.crashing().on_news([this] { node.announce_crashes(); });
         exchanges.crashing().on_keep([this](const request_content& what,
@@ -113,9 +114,12 @@
 
     [[nodiscard]] const fleet_view<Platform>& view() const { return fleet; }
     [[nodiscard]] const upstream_book& upstreams() const { return book; }
-    [[nodiscard]] crash_guard& crashing() { return exchanges.crashing(); }
+    [[nodiscard]] crash_guard& crashes() { return exchanges.crashing(); }
     [[nodiscard]] std::size_t open_requests() const { return exchanges.size(); }
-    [[nodiscard]] std::size_t queued() const { return exchanges.queued(); }
+    [[nodiscard]] std::size_t queued_requests() const
+    {
+        return exchanges.queued();
+    }
 
 private:
     /*! @brief How often lapses, readiness and a stop are looked at. */
@@ -150,7 +154,7 @@
             gateway_options set)
         : loop(owner), node(peers), counters(counted), options(std::move(set)),
           exchanges(owner, peers.client(), book, counted,
-                    placer(options.weights, peers.settings().hall,
+                    placer(options.placement, peers.settings().hall,
                            peers.settings().address),
                     options.exchange),
           keeper(owner, peers.service(), peers.mirror(), counted,
@@ -158,7 +162,7 @@
           configurations(owner, peers.service(), peers.mirror(), counted,
                          seed_of(peers)),
           versions(owner, peers, fleet, exchanges.floors(), counted,
-                   options.version_time, seed_of(peers))
+                   options.old_weights_grace, seed_of(peers))
     {
     }
 
@@ -170,13 +174,13 @@
 
     result<bool> open()
     {
-        auto made = listen(options.caller_address,
+        auto made = listen(options.listen_address,
                            [this](stream_request request, stream_reply reply)
                            { take(std::move(request), std::move(reply)); });
         if (!made)
             return failure(made.error().kind, made.error().message);
         callers = std::move(made.value());
-        auto asked = listen(options.ready_address,
+        auto asked = listen(options.readiness_address,
                             [this](const stream_request&, stream_reply reply)
                             { reply.send(ready() ? 200 : 503, {}, ""); });
         if (!asked)
@@ -201,9 +205,10 @@
         {
             constexpr milliseconds elsewhere{100};
             counters.count("requests_refused_total", 1, {{"status", "503"}});
-            log::problem("request_refused",
-                         {{"request", codec::decode(request).id.value()},
-                          {"reason", "this entry stops"}});
+            log::problem(
+                "request_refused",
+                {{"request", codec::decode_request(request).id.value()},
+                 {"reason", "this entry stops"}});
             return reply.send(503, codec::refusal_headers(elsewhere), "");
         }
         exchanges.request(std::move(request), std::move(reply));
@@ -347,7 +352,7 @@
         if (one.entry)
         {
             for (const auto& told : one.refusals)
-                exchanges.sent_away_elsewhere(refusal_of(told, now), now);
+                exchanges.sent_away_elsewhere(decode_refusal(told, now), now);
             for (const auto& told : one.terms)
                 exchanges.notices().told(told, from, now);
             versions.heard(one.versions, now);
@@ -363,7 +368,7 @@
         const auto now = event_loop::now();
         std::vector<message::refused_caller> told;
         for (const auto& one : exchanges.news_of_refusals(most_refusals_told))
-            told.push_back(told_of(one, now));
+            told.push_back(encode_refusal(one, now));
         return told;
     }
 
--- a/src/coursejunction/proxy/notice_intake.hpp
+++ b/src/coursejunction/proxy/notice_intake.hpp
@@ -9,7 +9,7 @@
 #include "coursejunction/net/metrics.hpp"
 #include "coursejunction/proxy/exchange.hpp"
 #include "coursejunction/proxy/exchange_log.hpp"
-#include "coursejunction/proxy/terms_news.hpp"
+#include "coursejunction/proxy/terms_messages.hpp"
 #include "coursejunction/route/upstream_book.hpp"
 
 namespace coursejunction
@@ -45,7 +45,7 @@
               time_point now)
     {
         const instance_id id(news.upstream);
-        if (book.told(id, incarnation(news.life), terms_of(news, now), from,
+        if (book.told(id, incarnation(news.life), decode_terms(news, now), from,
                       now))
             log_terms(id, now);
     }
--- a/src/coursejunction/proxy/refusal_news.hpp
+++ b/src/coursejunction/proxy/refusal_messages.hpp
@@ -2,8 +2,8 @@
  * @brief Turns refusals into what entries of a hall tell each other; pure.
  * Steady clocks differ between processes, so times go as spans.
  */
-#ifndef COURSEJUNCTION_PROXY_REFUSAL_NEWS_HPP
-#define COURSEJUNCTION_PROXY_REFUSAL_NEWS_HPP
+#ifndef COURSEJUNCTION_PROXY_REFUSAL_MESSAGES_HPP
+#define COURSEJUNCTION_PROXY_REFUSAL_MESSAGES_HPP
 
 #include <algorithm>
 #include <chrono>
@@ -17,7 +17,7 @@
 {
 
 /*! @brief Returns a span in whole ms, from none to what the wire carries. */
-[[nodiscard]] inline std::uint32_t span_ms(std::chrono::microseconds span)
+[[nodiscard]] inline std::uint32_t wire_ms(std::chrono::microseconds span)
 {
     const auto ms = std::chrono::duration_cast<milliseconds>(span).count();
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(
@@ -25,21 +25,21 @@
 }
 
 /*! @brief Returns what to tell of a refusal. */
-[[nodiscard]] inline message::refused_caller told_of(const refused_try& one,
-                                                     time_point now)
+[[nodiscard]] inline message::refused_caller
+encode_refusal(const refused_try& one, time_point now)
 {
     message::refused_caller made;
     made.fingerprint = one.what.value();
-    made.waited_ms = span_ms(now - one.first);
+    made.waited_ms = wire_ms(now - one.first);
     if (one.ends)
-        made.left_ms = std::max(span_ms(*one.ends - now), 1U);
-    made.due_ms = span_ms(one.due - now);
+        made.left_ms = std::max(wire_ms(*one.ends - now), 1U);
+    made.due_ms = wire_ms(one.due - now);
     return made;
 }
 
 /*! @brief Reads what another entry told of a refusal. */
-[[nodiscard]] inline refused_try refusal_of(const message::refused_caller& told,
-                                            time_point now)
+[[nodiscard]] inline refused_try
+decode_refusal(const message::refused_caller& told, time_point now)
 {
     refused_try made;
     made.what = request_fingerprint(told.fingerprint);
--- a/src/coursejunction/proxy/request_codec.hpp
+++ b/src/coursejunction/proxy/request_codec.hpp
@@ -27,53 +27,54 @@
     std::string host; /*!< Without a port, in lower case. */
     std::string path; /*!< Without the query. */
     std::optional<milliseconds> deadline;
-    std::optional<std::string> key;
+    std::optional<std::string> api_key;
     std::string model; /*!< Empty for plain requests. */
     double prompt_tokens{0};
-    double most_tokens{0};    /*!< Largest answer. */
-    double likely_tokens{0};  /*!< The caller's estimate; 0 when not told. */
+    double max_output_tokens{0}; /*!< Largest answer. */
+    double expected_output_tokens{
+        0};                   /*!< The caller's estimate; 0 when not told. */
     std::string prompt_parts; /*!< Names of the prompt's parts, as told. */
-    std::optional<std::uint64_t> last_event;
+    std::optional<std::uint64_t> last_event_id;
 };
 
 /*! @brief What one attempt tells its upstream. */
-struct attempt_facts
+struct attempt_metadata
 {
     instance_id upstream;
     std::optional<organisation_id> organisation;
-    milliseconds left{0};
-    std::uint64_t version{0}; /*!< Expected weights; 0 for any. */
-    std::optional<std::uint64_t> last_event;
-    urgency rank{usual_urgency}; /*!< Towards others that wait there. */
+    milliseconds time_left{0};
+    std::uint64_t expected_version{0}; /*!< Expected weights; 0 for any. */
+    std::optional<std::uint64_t> last_event_id;
+    urgency priority{usual_urgency}; /*!< Towards others that wait there. */
 };
 
 /*! @brief What an upstream's answer tells. */
-struct answer_facts
+struct response_metadata
 {
     request_id id;
     bool not_run{false}; /*!< The upstream says that it did not run it. */
-    bool signed_{false};
-    bool events{false};
+    bool has_signature{false};
+    bool is_event_stream{false};
     upstream_notice notice;
 };
 
 /*! @brief Decodes callers' requests and encodes attempts; pure. */
 template <typename Codec>
 concept Request_codec = requires(const stream_request& request,
-                                 const attempt_facts& attempt,
+                                 const attempt_metadata& attempt,
                                  const stream_head& head, milliseconds wait)
 {
     {
-        Codec::decode(request)
+        Codec::decode_request(request)
         } -> std::same_as<caller_request>;
     {
         Codec::attempt_headers(request, attempt)
         } -> std::same_as<header_list>;
     {
-        Codec::facts(head)
-        } -> std::same_as<answer_facts>;
+        Codec::decode_response(head)
+        } -> std::same_as<response_metadata>;
     {
-        Codec::answer_headers(head)
+        Codec::response_headers(head)
         } -> std::same_as<header_list>;
     {
         Codec::refusal_headers(wait)
--- a/src/coursejunction/proxy/terms_news.hpp
+++ b/src/coursejunction/proxy/terms_messages.hpp
@@ -2,14 +2,14 @@
  * @brief Turns terms of upstreams into what entries tell each other; pure.
  * Steady clocks differ between processes, so times go as spans.
  */
-#ifndef COURSEJUNCTION_PROXY_TERMS_NEWS_HPP
-#define COURSEJUNCTION_PROXY_TERMS_NEWS_HPP
+#ifndef COURSEJUNCTION_PROXY_TERMS_MESSAGES_HPP
+#define COURSEJUNCTION_PROXY_TERMS_MESSAGES_HPP
 
 #include <algorithm>
 #include <cstddef>
 #include <vector>
 
-#include "coursejunction/proxy/refusal_news.hpp"
+#include "coursejunction/proxy/refusal_messages.hpp"
 #include "coursejunction/route/upstream_book.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
@@ -18,12 +18,12 @@
 
 /*! @brief Upstreams whose terms one heartbeat tells, so that it fits a packet:
  * the newest ones. */
-inline constexpr std::size_t most_terms_told = 16;
+inline constexpr std::size_t max_terms_per_heartbeat = 16;
 
 /*! @brief Returns what to tell the other entries of terms that answers told
  * this one lately. */
 [[nodiscard]] inline std::vector<message::upstream_terms>
-terms_news(const upstream_book& book, time_point now)
+recent_terms(const upstream_book& book, time_point now)
 {
     std::vector<message::upstream_terms> told;
     for (const auto& [id, one] : book.all())
@@ -34,13 +34,13 @@
         message::upstream_terms made;
         made.upstream = id.value();
         made.life = one.life.value();
-        made.age_ms = span_ms(now - news->at);
+        made.age_ms = wire_ms(now - news->at);
         made.leaving = news->leaving;
         if (news->per_second)
             made.per_second = static_cast<float>(*news->per_second);
         told.push_back(std::move(made));
     }
-    const auto kept = std::min(told.size(), most_terms_told);
+    const auto kept = std::min(told.size(), max_terms_per_heartbeat);
     std::partial_sort(told.begin(),
                       told.begin() + static_cast<std::ptrdiff_t>(kept),
                       told.end(),
@@ -51,8 +51,8 @@
 }
 
 /*! @brief Reads what another entry told. */
-[[nodiscard]] inline told_terms terms_of(const message::upstream_terms& told,
-                                         time_point now)
+[[nodiscard]] inline told_terms
+decode_terms(const message::upstream_terms& told, time_point now)
 {
     told_terms made;
     made.leaving = told.leaving;
--- a/tests/platform/request_codec.cpp
+++ b/tests/platform/request_codec.cpp
@@ -32,16 +32,16 @@
 
 SCENARIO("a caller's headers are decoded once", "[platform]")
 {
-    const auto read = request_codec::decode(request());
+    const auto read = request_codec::decode_request(request());
     CHECK(read.id.value() == "9c41d07be2a35f68");
     CHECK(read.host == "jepu9.example");
     CHECK(read.path == "/lepu270/2f");
     CHECK(read.deadline == 6000ms);
-    CHECK(read.key == "jnbanfqasnmgkcuyj8pj");
+    CHECK(read.api_key == "jnbanfqasnmgkcuyj8pj");
     CHECK(read.prompt_tokens == 1460);
-    CHECK(read.most_tokens == 80);
+    CHECK(read.max_output_tokens == 80);
     CHECK(read.prompt_parts == "5c1e07a2:800,91bd3f06:410");
-    CHECK(read.last_event == 12);
+    CHECK(read.last_event_id == 12);
 }
 
 SCENARIO("a deadline that cannot be is none, or bounded", "[platform]")
@@ -50,7 +50,7 @@
     {
         auto from = request();
         from.headers.assign("X-Coursejunction-Deadline-Ms", text);
-        return request_codec::decode(from).deadline;
+        return request_codec::decode_request(from).deadline;
     };
     CHECK(deadline("0") == 0ms);
     CHECK(deadline("-5") == 0ms);
@@ -65,12 +65,12 @@
 
 SCENARIO("an attempt carries what its upstream may know", "[platform]")
 {
-    cj::attempt_facts attempt;
+    cj::attempt_metadata attempt;
     attempt.upstream = cj::instance_id("i-7f3a91c2");
     attempt.organisation = cj::organisation_id("bozi300");
-    attempt.left = 4321ms;
-    attempt.version = 2;
-    attempt.last_event = 15;
+    attempt.time_left = 4321ms;
+    attempt.expected_version = 2;
+    attempt.last_event_id = 15;
     const auto sent = request_codec::attempt_headers(request(), attempt);
 
     THEN("the key and the caller's own claims stay here")
@@ -100,12 +100,12 @@
     cj::stream_head head;
     head.status = 503;
     head.headers.push_back("X-Coursejunction-Attempt-Id", "1");
-    CHECK_FALSE(request_codec::facts(head).not_run);
+    CHECK_FALSE(request_codec::decode_response(head).not_run);
     head.headers.push_back("X-Coursejunction-Not-Executed", "1");
-    CHECK(request_codec::facts(head).not_run);
+    CHECK(request_codec::decode_response(head).not_run);
     cj::stream_head other;
     other.status = 421;
-    CHECK(request_codec::facts(other).not_run);
+    CHECK(request_codec::decode_response(other).not_run);
     CHECK(request_codec::refusal_headers(350ms).find("Retry-After") == "0.35");
 }
 
@@ -116,26 +116,28 @@
 
     SECTION("nothing")
     {
-        CHECK(request_codec::facts(head).notice.empty());
+        CHECK(request_codec::decode_response(head).notice.empty());
     }
     SECTION("that it leaves")
     {
         head.headers.push_back("Server-Leaving", "1");
-        CHECK(request_codec::facts(head).notice.leaving);
+        CHECK(request_codec::decode_response(head).notice.leaving);
     }
     SECTION("how many requests a second it takes")
     {
         head.headers.push_back("server-limit", "1.25");
-        CHECK(request_codec::facts(head).notice.requests_per_second == 1.25);
+        CHECK(request_codec::decode_response(head).notice.requests_per_second ==
+              1.25);
     }
     SECTION("for how long it rests, where it turned the request away")
     {
         head.headers.push_back("Retry-After", "0.75");
-        CHECK_FALSE(request_codec::facts(head).notice.rest.has_value());
+        CHECK_FALSE(
+            request_codec::decode_response(head).notice.rest.has_value());
         for (const int status : {429, 503})
         {
             head.status = status;
-            CHECK(request_codec::facts(head).notice.rest == 750ms);
+            CHECK(request_codec::decode_response(head).notice.rest == 750ms);
         }
     }
     SECTION("something that can't be read")
@@ -143,7 +145,7 @@
         head.status = 503;
         const std::string wrong = GENERATE("", "soon", "-1", "nan", "inf");
         head.headers.push_back(GENERATE("Server-Limit", "Retry-After"), wrong);
-        const auto notice = request_codec::facts(head).notice;
+        const auto notice = request_codec::decode_response(head).notice;
         CHECK(notice.unreadable);
         CHECK_FALSE(notice.requests_per_second.has_value());
         CHECK_FALSE(notice.rest.has_value());
@@ -152,6 +154,6 @@
     {
         head.status = 503;
         head.headers.push_back("Retry-After", "1e300");
-        CHECK(request_codec::facts(head).notice.rest == 24h);
+        CHECK(request_codec::decode_response(head).notice.rest == 24h);
     }
 }
--- a/tests/proxy/crash_guard.cpp
+++ b/tests/proxy/crash_guard.cpp
@@ -109,7 +109,8 @@
 
         SECTION("and drops it once an operator lifts it")
         {
-            other.running.on_loop([&] { CHECK(other.guard->lift(bad)); });
+            other.running.on_loop(
+                [&] { CHECK(other.guard->lift_quarantine(bad)); });
             CHECK(other.dropped == 1);
         }
     }
--- a/tests/proxy/entry_on_loopback.hpp
+++ b/tests/proxy/entry_on_loopback.hpp
@@ -27,7 +27,7 @@
 /*! @brief Headers of a made-up edge: the service knows none by name. */
 struct plain_codec
 {
-    static cj::caller_request decode(const cj::stream_request& from)
+    static cj::caller_request decode_request(const cj::stream_request& from)
     {
         cj::caller_request made;
         made.id = cj::request_id(std::string(from.headers.find("Id")));
@@ -35,23 +35,23 @@
         made.path = from.target;
         made.model = std::string(from.headers.find("Model"));
         if (from.headers.contains("Key"))
-            made.key = std::string(from.headers.find("Key"));
+            made.api_key = std::string(from.headers.find("Key"));
         return made;
     }
 
     static cj::header_list attempt_headers(const cj::stream_request& original,
-                                           const cj::attempt_facts& attempt)
+                                           const cj::attempt_metadata& attempt)
     {
         auto made = original.headers;
         made.assign("To", attempt.upstream.value());
-        if (attempt.last_event)
-            made.assign("Last", std::to_string(*attempt.last_event));
+        if (attempt.last_event_id)
+            made.assign("Last", std::to_string(*attempt.last_event_id));
         return made;
     }
 
-    static cj::answer_facts facts(const cj::stream_head& head)
+    static cj::response_metadata decode_response(const cj::stream_head& head)
     {
-        cj::answer_facts made;
+        cj::response_metadata made;
         made.id = cj::request_id(std::string(head.headers.find("Id")));
         made.not_run = head.headers.contains("Not-Run");
         made.notice.leaving = head.headers.contains("Leaving");
@@ -70,7 +70,7 @@
         return std::stoi(std::string(head.headers.find(name)));
     }
 
-    static cj::header_list answer_headers(const cj::stream_head& head)
+    static cj::header_list response_headers(const cj::stream_head& head)
     {
         auto made = head.headers;
         made.erase_connection_fields();
--- a/tests/proxy/gateway.cpp
+++ b/tests/proxy/gateway.cpp
@@ -124,8 +124,8 @@
                                                           counters, peers)
                                      .value());
                 cj::gateway_options options;
-                options.caller_address = address + ":0";
-                options.ready_address = address + ":0";
+                options.listen_address = address + ":0";
+                options.readiness_address = address + ":0";
                 made = std::move(
                     entry::create(running.loop, *node, counters, options)
                         .value());
@@ -214,8 +214,8 @@
     /*! @brief Waits until a request is known to end upstreams. */
     [[nodiscard]] bool suspects(const cj::request_content& what)
     {
-        return holds_soon(
-            [&] { return made->crashing().records().suspects(what); });
+        return holds_soon([&]
+                          { return made->crashes().records().suspects(what); });
     }
 
     /*! @brief Waits until the store does not hold a key. */
--- a/tests/proxy/refusal_news.cpp
+++ b/tests/proxy/refusal_messages.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/proxy/refusal_news.hpp"
+#include "coursejunction/proxy/refusal_messages.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -17,11 +17,11 @@
     one.ends = here + 5600ms;
     one.refused = here;
     one.due = here + 200ms;
-    const auto told = cj::told_of(one, here);
+    const auto told = cj::encode_refusal(one, here);
 
     THEN("another process reads them by its own clock")
     {
-        const auto read = cj::refusal_of(told, there);
+        const auto read = cj::decode_refusal(told, there);
         CHECK(read.what == one.what);
         CHECK(read.first == there - 300ms);
         CHECK(read.ends == there + 5600ms);
@@ -31,12 +31,13 @@
     THEN("a caller without a deadline has none there either")
     {
         one.ends.reset();
-        CHECK_FALSE(cj::refusal_of(cj::told_of(one, here), there).ends);
+        CHECK_FALSE(
+            cj::decode_refusal(cj::encode_refusal(one, here), there).ends);
     }
     THEN("times that lie behind are no spans")
     {
         one.due = here - 1s;
-        CHECK(cj::told_of(one, here).due_ms == 0);
+        CHECK(cj::encode_refusal(one, here).due_ms == 0);
     }
     THEN("a heartbeat of an entry carries them")
     {
--- a/tests/route/limit_replay.hpp
+++ b/tests/route/limit_replay.hpp
@@ -18,7 +18,7 @@
 #include <tuple>
 #include <vector>
 
-#include "coursejunction/proxy/terms_news.hpp"
+#include "coursejunction/proxy/terms_messages.hpp"
 #include "coursejunction/route/upstream_book.hpp"
 
 namespace limit_replay
@@ -98,7 +98,7 @@
     void told(const cj::message::upstream_terms& news, const std::string& from,
               cj::time_point now)
     {
-        book.told(upstream(), {}, cj::terms_of(news, now), from, now);
+        book.told(upstream(), {}, cj::decode_terms(news, now), from, now);
     }
 
     void share(const std::vector<cj::entry_demand>& entries, cj::time_point now)
@@ -125,7 +125,7 @@
     [[nodiscard]] std::vector<cj::message::upstream_terms>
     news(cj::time_point now) const
     {
-        return cj::terms_news(book, now);
+        return cj::recent_terms(book, now);
     }
 
 private:
--- a/tests/route/upstream_terms.cpp
+++ b/tests/route/upstream_terms.cpp
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "coursejunction/proxy/terms_news.hpp"
+#include "coursejunction/proxy/terms_messages.hpp"
 #include "coursejunction/wire/codec.hpp"
 
 namespace cj = coursejunction;
@@ -220,21 +220,21 @@
         book.heard(one.id, limited(1.5, then), then);
     }
     const auto now = moment(0.5);
-    const auto told = cj::terms_news(book, now);
+    const auto told = cj::recent_terms(book, now);
 
     SECTION("the newest ones, as many as fit a packet")
     {
-        REQUIRE(told.size() == cj::most_terms_told);
+        REQUIRE(told.size() == cj::max_terms_per_heartbeat);
         CHECK(told.front().upstream == "u29");
         CHECK(told.front().life == 7);
     }
     SECTION("with the age of the answer, since clocks differ")
     {
-        CHECK(cj::terms_of(told.front(), now).at == moment(0.29));
-        CHECK(cj::terms_of(told.front(), now).per_second == 1.5);
+        CHECK(cj::decode_terms(told.front(), now).at == moment(0.29));
+        CHECK(cj::decode_terms(told.front(), now).per_second == 1.5);
         auto free = told.front();
         free.per_second = -1;
-        CHECK_FALSE(cj::terms_of(free, now).per_second);
+        CHECK_FALSE(cj::decode_terms(free, now).per_second);
     }
     SECTION("what is told of an earlier life changes nothing")
     {
