--- a/src/coursejunction/daemon/state_dump.cpp
+++ b/src/coursejunction/daemon/state_dump.cpp
@@ -30,12 +30,12 @@
         list.push_back({{"address", address},
                         {"role", one.entry ? "entry" : "side"},
                         {"alive", peer_directory::alive(one, now)},
-                        {"heard_ms_ago", age_of(one.heard, now)},
-                        {"hall", one.last.hall},
-                        {"revision", one.last.mirrored.revision},
-                        {"era", one.last.mirrored.era},
-                        {"leaving", one.last.leaving},
-                        {"watching", one.last.watching}});
+                        {"heard_ms_ago", age_of(one.heard_at, now)},
+                        {"hall", one.last_heartbeat.hall},
+                        {"revision", one.last_heartbeat.mirrored.revision},
+                        {"era", one.last_heartbeat.mirrored.era},
+                        {"leaving", one.last_heartbeat.leaving},
+                        {"watching", one.last_heartbeat.watching}});
     return list;
 }
 
--- a/src/coursejunction/fleet/beat_plan.hpp
+++ b/src/coursejunction/fleet/beat_plan.hpp
@@ -76,7 +76,7 @@
 enum class chunk_detail : std::uint8_t
 {
     none,
-    coming, /*!< Those of versions that are on their way. */
+    in_transfer, /*!< Those of versions that are on their way. */
     all
 };
 
@@ -117,11 +117,11 @@
 [[nodiscard]] inline chunk_detail chunks_told(const beat_moment& sent)
 {
     if (sent.reason == beat_reason::chunks)
-        return chunk_detail::coming;
+        return chunk_detail::in_transfer;
     if (sent.reason != beat_reason::regular)
         return chunk_detail::none;
     return sent.number % naming_beat == 0 ? chunk_detail::all
-                                          : chunk_detail::coming;
+                                          : chunk_detail::in_transfer;
 }
 
 /*! @brief Tells whether a heartbeat carries records of requests that crash
--- a/src/coursejunction/fleet/beat_sender.hpp
+++ b/src/coursejunction/fleet/beat_sender.hpp
@@ -66,7 +66,7 @@
                         passes_digest(digest, address, sent.number);
             // Entries of other halls never tell a side anything: it knocks at
             // them only while none of its own hall is there.
-            const bool unheard = one.entry && one.heard == time_point{} &&
+            const bool unheard = one.entry && one.heard_at == time_point{} &&
                                  sent.reason == beat_reason::regular &&
                                  !sent.passed_on;
             if (to.digest)
@@ -95,7 +95,7 @@
 private:
     [[nodiscard]] bool own_hall(const peer_state& one) const
     {
-        return one.last.hall == options.hall.value();
+        return one.last_heartbeat.hall == options.hall.value();
     }
 
     [[nodiscard]] beat_moment plain(beat_reason why) const
--- a/src/coursejunction/fleet/fleet_hooks.hpp
+++ b/src/coursejunction/fleet/fleet_hooks.hpp
@@ -38,26 +38,26 @@
      * records may have lapsed only. */
     std::function<void(const std::vector<std::string>& keys,
                        bool store_returned)>
-        changed;
+        keys_changed;
     /*! @brief A value that another one replaced before it was read; called
-     * before `changed` tells of the key. */
-    std::function<void(const message::mirror_item&)> overwritten;
+     * before `keys_changed` reports the key. */
+    std::function<void(const message::mirror_item&)> value_overwritten;
     std::function<void(const std::string& from,
                        const message::fleet_heartbeat&)>
-        heard;
+        heartbeat_received;
     /*! @brief Adds what the role knows. */
-    std::function<void(message::fleet_heartbeat&, chunk_detail)> describe;
-    std::function<void(stream_request, stream_reply)> request;
+    std::function<void(message::fleet_heartbeat&, chunk_detail)> fill_heartbeat;
+    std::function<void(stream_request, stream_reply)> handle_request;
     /*! @brief Returns records of requests that crash upstreams, for other
      * entries; only an entry has any. */
-    std::function<std::vector<message::crash_record>()> crashes;
+    std::function<std::vector<message::crash_record>()> crash_records;
     /*! @brief Returns callers that this entry sent away, for the other entries
      * of its hall, each once. */
-    std::function<std::vector<message::refused_caller>()> refusals;
+    std::function<std::vector<message::refused_caller>()> refused_callers;
     /*! @brief Returns what upstreams lately told this entry of their terms. */
-    std::function<std::vector<message::upstream_terms>()> terms;
+    std::function<std::vector<message::upstream_terms>()> recent_terms;
     /*! @brief Tells whether weights are on their way to some side. */
-    std::function<bool()> spreading;
+    std::function<bool()> transfers_active;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/fleet_node.hpp
+++ b/src/coursejunction/fleet/fleet_node.hpp
@@ -89,7 +89,7 @@
         for (const auto& seed : options.seeds)
         {
             if (seed != options.address)
-                directory.seed(seed, now);
+                directory.add_seed(seed, now);
         }
         announce();
         beat_timer = loop.every(beat_interval,
@@ -128,15 +128,15 @@
     }
 
     /*! @brief Notes a side that the role knows of, and its hall. */
-    void name_side(const std::string& address, const hall_id& hall)
+    void add_side(const std::string& address, const hall_id& hall)
     {
         if (address != options.address)
-            directory.name_side(address, hall, event_loop::now());
+            directory.add_side(address, hall, event_loop::now());
     }
 
     /*! @brief Returns for how long peers have known more than this process;
      * zero when none is known to. */
-    [[nodiscard]] milliseconds behind_for(time_point now) const
+    [[nodiscard]] milliseconds mirror_lag(time_point now) const
     {
         return age.behind_for(copy.position(), now);
     }
@@ -145,13 +145,13 @@
     [[nodiscard]] std::uint64_t gaps() const { return reader.gaps(); }
 
     [[nodiscard]] const store_mirror& mirror() const { return copy; }
-    [[nodiscard]] Store& service() { return store; }
+    [[nodiscard]] Store& store_client() { return store; }
     [[nodiscard]] const peer_directory& peers() const { return directory; }
     [[nodiscard]] stream_client& client() { return calls; }
     [[nodiscard]] const fleet_options& settings() const { return options; }
 
     /*! @brief Returns the address of a peer's port for the system's own. */
-    [[nodiscard]] std::string peer_port(const std::string& address) const
+    [[nodiscard]] std::string peer_endpoint(const std::string& address) const
     {
         return address + port_suffix;
     }
@@ -218,7 +218,7 @@
 
     [[nodiscard]] bool own_hall(const peer_state& one) const
     {
-        return one.last.hall == options.hall.value();
+        return one.last_heartbeat.hall == options.hall.value();
     }
 
     [[nodiscard]] beat_moment moment(beat_reason why) const
@@ -247,7 +247,7 @@
         note_suspension();
         ++beat_number;
         auto regular = moment(beat_reason::regular);
-        regular.spreading = hooks.spreading && hooks.spreading();
+        regular.spreading = hooks.transfers_active && hooks.transfers_active();
         tell(regular);
         if (beat_number % measuring_beat == 0)
             measure(event_loop::now());
@@ -263,7 +263,7 @@
         counters.set("fleet_mirror_carried",
                      static_cast<double>(copy.carried()));
         counters.set("fleet_mirror_behind_seconds",
-                     to_seconds(behind_for(now)));
+                     to_seconds(mirror_lag(now)));
         counters.set("fleet_store_watchers",
                      static_cast<double>(directory.watchers(now) +
                                          (reader.watching() ? 1 : 0)));
@@ -297,20 +297,20 @@
         made.store_distance = own_distance();
         for (const auto& [address, one] : directory.all())
         {
-            const auto number = address_number(address);
+            const auto number = parse_ipv4(address);
             if (names && one.entry && number &&
                 peer_directory::alive(one, now) &&
                 made.entries.size() < most_named)
                 made.entries.push_back(*number);
         }
-        if (hooks.describe)
-            hooks.describe(made, chunks_told(sent));
-        if (hooks.crashes && tells_crashes(sent.reason))
-            made.crashes = hooks.crashes();
-        if (hooks.refusals && sent.reason == beat_reason::refusals)
-            made.refusals = hooks.refusals();
-        if (hooks.terms && sent.reason == beat_reason::regular)
-            made.terms = hooks.terms();
+        if (hooks.fill_heartbeat)
+            hooks.fill_heartbeat(made, chunks_told(sent));
+        if (hooks.crash_records && tells_crashes(sent.reason))
+            made.crashes = hooks.crash_records();
+        if (hooks.refused_callers && sent.reason == beat_reason::refusals)
+            made.refusals = hooks.refused_callers();
+        if (hooks.recent_terms && sent.reason == beat_reason::regular)
+            made.terms = hooks.recent_terms();
         made.upstream.side = incarnation;
         return made;
     }
@@ -325,7 +325,7 @@
         }
         const auto now = event_loop::now();
         const bool known = directory.alive(from, now);
-        if (!directory.heard(from, read.value(), now))
+        if (!directory.record_heartbeat(from, read.value(), now))
             return;
         if (!known)
             log::state("peer_heard",
@@ -333,10 +333,10 @@
                         {"entry", read.value().entry ? "true" : "false"}});
         for (const auto number : read.value().entries)
         {
-            const auto address = address_text(number);
+            const auto address = format_ipv4(number);
             if (address != options.address &&
                 directory.find(address) == nullptr)
-                directory.name_entry(address, now);
+                directory.add_entry(address, now);
         }
         const bool own = read.value().hall == options.hall.value();
         if (options.entry && !read.value().entry &&
@@ -350,8 +350,8 @@
             age.told(read.value().mirrored, copy.position(), now);
             puller.heard(from, own);
         }
-        if (hooks.heard)
-            hooks.heard(from, read.value());
+        if (hooks.heartbeat_received)
+            hooks.heartbeat_received(from, read.value());
     }
 
     void request_of_peer(stream_request request, stream_reply reply)
@@ -359,15 +359,16 @@
         constexpr auto mirror_target = mirror_puller::target;
         if (!request.target.starts_with(mirror_target))
         {
-            if (hooks.request)
-                return hooks.request(std::move(request), std::move(reply));
+            if (hooks.handle_request)
+                return hooks.handle_request(std::move(request),
+                                            std::move(reply));
             return reply.send(404, {}, "no such resource\n");
         }
         const auto text =
             std::string_view(request.target).substr(mirror_target.size());
-        reply.send(
-            200, {},
-            encode(copy.since(store_position::parse(text), event_loop::now())));
+        reply.send(200, {},
+                   encode(copy.changes_since(store_position::parse(text),
+                                             event_loop::now())));
     }
 
     /*! @brief Tells whether this entry is among those that read the store. */
@@ -420,7 +421,7 @@
     std::set<std::string> tell_overwritten(const store_mirror::items& items)
     {
         std::set<std::string> keys;
-        if (!hooks.overwritten)
+        if (!hooks.value_overwritten)
             return keys;
         std::map<std::string_view, std::size_t> last;
         for (std::size_t place = 0; place < items.size(); ++place)
@@ -430,7 +431,7 @@
             const auto& one = items[place];
             if (last[one.key] == place || one.removed || known(one))
                 continue;
-            hooks.overwritten(one);
+            hooks.value_overwritten(one);
             keys.insert(one.key);
         }
         return keys;
@@ -514,12 +515,12 @@
         }
         const auto* peer = directory.find(from);
         const bool returned = peer != nullptr
-                                  ? peer->last.store_returned
+                                  ? peer->last_heartbeat.store_returned
                                   : store_returned(event_loop::now());
         advanced_at = event_loop::now();
         age.advanced(copy.position(), advanced_at);
-        if (hooks.changed)
-            hooks.changed(changed, returned || crossed);
+        if (hooks.keys_changed)
+            hooks.keys_changed(changed, returned || crossed);
         auto sent = moment(beat_reason::mirror);
         sent.from_store = peer == nullptr;
         tell(sent);
--- a/src/coursejunction/fleet/fleet_view.hpp
+++ b/src/coursejunction/fleet/fleet_view.hpp
@@ -287,12 +287,13 @@
         [[nodiscard]] bool precludes(const upstream_record& one) const
         {
             return one.life < life || (one.life == life && closed &&
-                                       !one.leaving && one.count < count);
+                                       !one.leaving && one.sequence < count);
         }
 
         void take(const upstream_record& one)
         {
-            count = one.life == life ? std::max(count, one.count) : one.count;
+            count =
+                one.life == life ? std::max(count, one.sequence) : one.sequence;
             life = one.life;
             closed = one.leaving;
         }
@@ -352,7 +353,7 @@
         if (value == nullptr)
         {
             const auto known = lives.find(id);
-            if (known != lives.end() && !mirror.lacks_by_loss(key))
+            if (known != lives.end() && !mirror.absent_without_removal(key))
                 known->second.closed = true;
             records.erase(id);
             return upstream_change{id, {}, true};
@@ -369,7 +370,7 @@
             log::state("upstream_record_outdated",
                        {{"key", key},
                         {"revision", value->position().text()},
-                        {"count", std::to_string(one.count)},
+                        {"count", std::to_string(one.sequence)},
                         {"known", std::to_string(known.count)}});
             return std::nullopt;
         }
@@ -402,7 +403,7 @@
         repeated = repeated || !rises;
         before->second = target.version;
         vouch(target.model, target.version);
-        targets.try_emplace({target.model, target.version}, value.learnt);
+        targets.try_emplace({target.model, target.version}, value.first_seen);
         log::state("version_named",
                    {{"model", target.model},
                     {"version", std::to_string(target.version)},
@@ -425,7 +426,7 @@
         const auto read = read_version_record(key, value.payload);
         if (!read)
             return unreadable(key, value, read.error().message);
-        claims[read.value().model] = {read.value(), value.learnt, false};
+        claims[read.value().model] = {read.value(), value.first_seen, false};
     }
 
     /*! @brief Believes the records that what else is known allows. A record
--- a/src/coursejunction/fleet/hall_digest.hpp
+++ b/src/coursejunction/fleet/hall_digest.hpp
@@ -49,8 +49,8 @@
     digest_place made;
     for (const auto& [other, one] : peers.all())
     {
-        if (!one.entry || one.last.hall != hall.value() || one.last.leaving ||
-            !peer_directory::alive(one, now))
+        if (!one.entry || one.last_heartbeat.hall != hall.value() ||
+            one.last_heartbeat.leaving || !peer_directory::alive(one, now))
             continue;
         ++made.entries;
         made.rank += other < address ? 1 : 0;
@@ -150,15 +150,15 @@
     std::vector<message::hall_digest> parts;
     for (const auto& [address, one] : peers.all())
     {
-        const auto number = address_number(address);
-        if (one.entry || one.last.hall != hall.value() || !number ||
+        const auto number = parse_ipv4(address);
+        if (one.entry || one.last_heartbeat.hall != hall.value() || !number ||
             !peer_directory::alive(one, now))
             continue;
         if (parts.empty() || parts.back().sides.size() == digest_part)
             parts.emplace_back();
         add_status(parts.back(), *number,
-                   std::chrono::duration_cast<milliseconds>(now - one.heard),
-                   one.last.upstream);
+                   std::chrono::duration_cast<milliseconds>(now - one.heard_at),
+                   one.last_heartbeat.upstream);
     }
     return parts;
 }
--- a/src/coursejunction/fleet/installation.hpp
+++ b/src/coursejunction/fleet/installation.hpp
@@ -24,9 +24,9 @@
 /*! @brief How often a request may run. */
 enum class request_kind : std::uint8_t
 {
-    repeatable, /*!< As often as needed. */
-    single,     /*!< Once at most. */
-    stream      /*!< Answers with events; repeatable only where resumable. */
+    repeatable,   /*!< As often as needed. */
+    at_most_once, /*!< Once at most. */
+    stream        /*!< Answers with events; repeatable only where resumable. */
 };
 
 /*! @brief A service's part of a route's requests. */
@@ -42,13 +42,13 @@
     std::string name;
     std::string host;
     std::string prefix; /*!< Begins and ends with a slash. */
-    request_kind kind{request_kind::single};
+    request_kind kind{request_kind::at_most_once};
     bool resumable{false};
-    bool open{false}; /*!< Needs no key. */
+    bool keyless{false}; /*!< Needs no key. */
     milliseconds timeout{0};
-    milliseconds target{0};       /*!< For the first byte that counts. */
-    milliseconds pause_target{0}; /*!< Between events; zero when not set. */
-    std::size_t most_upstreams{1};
+    milliseconds first_event_target{0}; /*!< For the first byte that counts. */
+    milliseconds event_gap_target{0}; /*!< Between events; zero when not set. */
+    std::size_t max_attempts{1};
     std::int32_t priority{0};
     std::vector<service_share> services;
 
@@ -64,20 +64,23 @@
 struct engine_profile
 {
     std::size_t slots{1};
-    double step_ms{10};          /*!< One token for a lone request. */
-    double step_per_running{0};  /*!< More ms for each running request. */
-    double step_per_kilo{0};     /*!< More ms for 1,000 tokens of context. */
-    double read_per_ms{10};      /*!< Prompt tokens read in a ms. */
-    double pairs_per_million{0}; /*!< ms for a million token pairs. */
-    double read_chunk{2048};     /*!< Prompt tokens read in one pass at most. */
-    double stride{1};            /*!< Tokens written in one pass. */
-    double memory_tokens{0};
-    double usual_prompt{1000};
-    double usual_answer{100};
+    double step_ms{10};            /*!< One token for a lone request. */
+    double step_ms_per_request{0}; /*!< More ms for each running request. */
+    double step_ms_per_kilotoken{
+        0}; /*!< More ms for 1,000 tokens of context. */
+    double prefill_tokens_per_ms{10}; /*!< Prompt tokens read in a ms. */
+    double prefill_ms_per_million_pairs{
+        0}; /*!< ms for a million token pairs. */
+    double prefill_chunk_tokens{
+        2048};                 /*!< Prompt tokens read in one pass at most. */
+    double tokens_per_pass{1}; /*!< Tokens written in one pass. */
+    double kv_cache_tokens{0};
+    double typical_prompt_tokens{1000};
+    double typical_answer_tokens{100};
     std::size_t layers{1};
     std::size_t chunks{0};
     std::size_t chunk_bytes{0};
-    double load_s{0}; /*!< Time to put all layers to work. */
+    double load_seconds{0}; /*!< Time to put all layers to work. */
     std::vector<std::string> models;
 };
 
@@ -85,7 +88,7 @@
 struct service_profile
 {
     service_name name;
-    std::size_t most_connections{0};
+    std::size_t max_connections{0};
     std::optional<engine_profile> engine;
     std::string origin; /*!< `IP:port` of an origin of weights. */
     hall_id origin_hall;
@@ -106,8 +109,8 @@
     std::vector<route_rule> routes;
     std::map<service_name, service_profile> services;
     std::map<std::string, organisation> keys;
-    bool keyed{false};    /*!< Requests need a key. */
-    stream_limits limits; /*!< Of callers. */
+    bool requires_key{false};    /*!< Requests need a key. */
+    stream_limits caller_limits; /*!< Of callers. */
 
     /*! @brief Returns the route of a host with the longest prefix of a path,
      * or null. */
@@ -140,9 +143,10 @@
     hall_id hall;
     std::size_t slots{1};
     bool leaving{false};
-    std::uint64_t cold_ms{0};
-    std::map<std::string, std::uint64_t> weights; /*!< Model and version. */
-    std::uint64_t count{0}; /*!< Of its records in this life. */
+    std::uint64_t cold_start_ms{0};
+    std::map<std::string, std::uint64_t>
+        model_versions;        /*!< Model and version. */
+    std::uint64_t sequence{0}; /*!< Of its records in this life. */
 };
 
 /*! @brief The version of a model that is to be served. */
--- a/src/coursejunction/fleet/mirror_puller.hpp
+++ b/src/coursejunction/fleet/mirror_puller.hpp
@@ -195,7 +195,8 @@
         call.connect_time = connect_time(by);
         call.stall_time = stall_time;
         const auto* peer = directory.find(from);
-        open_pull made{from, 0, peer ? peer->last.mirrored : store_position{},
+        open_pull made{from, 0,
+                       peer ? peer->last_heartbeat.mirrored : store_position{},
                        event_loop::now()};
         made.call =
             calls.gather(std::move(call),
--- a/src/coursejunction/fleet/node_address.hpp
+++ b/src/coursejunction/fleet/node_address.hpp
@@ -16,7 +16,7 @@
 
 /*! @brief Returns the number of an IPv4 address, or nothing. */
 [[nodiscard]] inline std::optional<std::uint32_t>
-address_number(const std::string& text)
+parse_ipv4(const std::string& text)
 {
     in_addr raw{};
     if (inet_pton(AF_INET, text.c_str(), &raw) != 1)
@@ -25,7 +25,7 @@
 }
 
 /*! @brief Returns the text of an IPv4 address. */
-[[nodiscard]] inline std::string address_text(std::uint32_t number)
+[[nodiscard]] inline std::string format_ipv4(std::uint32_t number)
 {
     const in_addr raw{htonl(number)};
     std::array<char, INET_ADDRSTRLEN> text{};
--- a/src/coursejunction/fleet/peer_directory.hpp
+++ b/src/coursejunction/fleet/peer_directory.hpp
@@ -20,9 +20,9 @@
 /*! @brief One other process, known by its IP address. */
 struct peer_state
 {
-    message::fleet_heartbeat last;
-    time_point heard{}; /*!< The epoch when never heard. */
-    time_point named{}; /*!< When somebody last named it. */
+    message::fleet_heartbeat last_heartbeat;
+    time_point heard_at{};      /*!< The epoch when never heard. */
+    time_point referenced_at{}; /*!< When somebody last named it. */
     bool entry{false};
     bool seed{false};
 };
@@ -40,57 +40,60 @@
     static constexpr milliseconds memory{20'000};
 
     /*! @brief Notes an address from the settings; never forgotten. */
-    void seed(const std::string& address, time_point now)
+    void add_seed(const std::string& address, time_point now)
     {
         auto& one = peers[address];
         one.seed = true;
         one.entry = true;
-        one.named = now;
+        one.referenced_at = now;
     }
 
     /*! @brief Notes an entry that somebody else told. */
-    void name_entry(const std::string& address, time_point now)
+    void add_entry(const std::string& address, time_point now)
     {
         auto& one = peers[address];
         one.entry = true;
-        one.named = now;
+        one.referenced_at = now;
     }
 
     /*! @brief Notes a side that the store's records tell, with its hall. */
-    void name_side(const std::string& address, const hall_id& hall,
-                   time_point now)
+    void add_side(const std::string& address, const hall_id& hall,
+                  time_point now)
     {
         auto& one = peers[address];
         one.entry = false;
-        one.named = now;
-        if (one.heard == time_point{})
-            one.last.hall = hall.value();
+        one.referenced_at = now;
+        if (one.heard_at == time_point{})
+            one.last_heartbeat.hall = hall.value();
     }
 
     /*! @brief Takes a heartbeat.
      * @return False for one that is older than the last. */
-    bool heard(const std::string& address, const message::fleet_heartbeat& beat,
-               time_point now)
+    bool record_heartbeat(const std::string& address,
+                          const message::fleet_heartbeat& beat, time_point now)
     {
         auto& one = peers[address];
-        const bool older = beat.incarnation < one.last.incarnation ||
-                           (beat.incarnation == one.last.incarnation &&
-                            beat.sequence <= one.last.sequence);
-        if (older && one.heard != time_point{})
+        const bool older =
+            beat.incarnation < one.last_heartbeat.incarnation ||
+            (beat.incarnation == one.last_heartbeat.incarnation &&
+             beat.sequence <= one.last_heartbeat.sequence);
+        if (older && one.heard_at != time_point{})
             return false;
-        one.last = beat;
+        one.last_heartbeat = beat;
         one.entry = beat.entry;
-        one.heard = now;
-        one.named = now;
+        one.heard_at = now;
+        one.referenced_at = now;
         return true;
     }
 
     /*! @brief Forgets peers that nobody has named for long. */
     void expire(time_point now)
     {
-        std::erase_if(
-            peers, [&](const auto& one)
-            { return !one.second.seed && now - one.second.named > memory; });
+        std::erase_if(peers,
+                      [&](const auto& one) {
+                          return !one.second.seed &&
+                                 now - one.second.referenced_at > memory;
+                      });
     }
 
     /*! @brief Tells whether a peer was heard lately. */
@@ -102,7 +105,7 @@
 
     [[nodiscard]] static bool alive(const peer_state& one, time_point now)
     {
-        return one.heard != time_point{} && now - one.heard <= silence;
+        return one.heard_at != time_point{} && now - one.heard_at <= silence;
     }
 
     /*! @brief Returns a peer, or null. */
@@ -118,7 +121,7 @@
     }
 
     /*! @brief Returns how many live entries are known. */
-    [[nodiscard]] std::size_t entries(time_point now) const
+    [[nodiscard]] std::size_t live_entries(time_point now) const
     {
         std::size_t count = 0;
         for (const auto& [address, one] : peers)
@@ -134,7 +137,7 @@
         std::size_t count = 0;
         for (const auto& [other, one] : peers)
             count += one.entry && other < address && alive(one, now) &&
-                             !one.last.leaving
+                             !one.last_heartbeat.leaving
                          ? 1
                          : 0;
         return count;
@@ -145,7 +148,9 @@
     {
         std::size_t count = 0;
         for (const auto& [address, one] : peers)
-            count += one.entry && one.last.watching && alive(one, now) ? 1 : 0;
+            count += one.entry && one.last_heartbeat.watching && alive(one, now)
+                         ? 1
+                         : 0;
         return count;
     }
 
@@ -159,7 +164,7 @@
         std::size_t count = 0;
         for (const auto& [other, one] : peers)
         {
-            const auto& last = one.last;
+            const auto& last = one.last_heartbeat;
             if (!one.entry || !alive(one, now) || !last.watching ||
                 last.leaving)
                 continue;
@@ -178,8 +183,9 @@
         std::uint32_t nearest = 0;
         for (const auto& [other, one] : peers)
         {
-            const auto told = one.last.store_distance;
-            if (told == 0 || one.last.hall != hall.value() || !alive(one, now))
+            const auto told = one.last_heartbeat.store_distance;
+            if (told == 0 || one.last_heartbeat.hall != hall.value() ||
+                !alive(one, now))
                 continue;
             nearest = nearest == 0 ? told : std::min(nearest, told);
         }
@@ -195,7 +201,7 @@
         hall_standing made;
         for (const auto& [other, one] : peers)
         {
-            const auto& last = one.last;
+            const auto& last = one.last_heartbeat;
             if (last.hall != hall.value() || !alive(one, now) || last.leaving)
                 continue;
             const bool before =
@@ -213,7 +219,7 @@
         return std::none_of(peers.begin(), peers.end(),
                             [&](const auto& one)
                             {
-                                const auto& last = one.second.last;
+                                const auto& last = one.second.last_heartbeat;
                                 return last.hall == hall.value() &&
                                        !last.leaving && alive(one.second, now);
                             });
@@ -231,7 +237,7 @@
         bool entries = false;
         for (const auto& [other, one] : peers)
         {
-            const auto& last = one.last;
+            const auto& last = one.last_heartbeat;
             const bool fits = (last.hall == hall.value()) == own_hall &&
                               alive(one, now) && !last.leaving &&
                               last.mirrored > position;
@@ -252,7 +258,7 @@
         return std::any_of(peers.begin(), peers.end(),
                            [&](const auto& one)
                            {
-                               const auto& last = one.second.last;
+                               const auto& last = one.second.last_heartbeat;
                                return one.second.entry &&
                                       alive(one.second, now) && last.watching &&
                                       !last.store_returned;
--- a/src/coursejunction/fleet/restore_turn.hpp
+++ b/src/coursejunction/fleet/restore_schedule.hpp
@@ -2,8 +2,8 @@
  * @brief When a process writes again what the store lost by coming back from an
  * older copy; pure.
  */
-#ifndef COURSEJUNCTION_FLEET_RESTORE_TURN_HPP
-#define COURSEJUNCTION_FLEET_RESTORE_TURN_HPP
+#ifndef COURSEJUNCTION_FLEET_RESTORE_SCHEDULE_HPP
+#define COURSEJUNCTION_FLEET_RESTORE_SCHEDULE_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 /*! @brief All entries know the same, so that they write one after the other:
  * the later ones find it written. */
-class restore_turn
+class restore_schedule
 {
 public:
     /*! @brief An entry waits this long for each entry before it. */
--- a/src/coursejunction/fleet/store_mirror.hpp
+++ b/src/coursejunction/fleet/store_mirror.hpp
@@ -29,7 +29,8 @@
     std::string payload;
     std::string packed; /*!< The payload for peers; empty for a small one. */
     std::uint64_t revision{0};
-    time_point learnt{}; /*!< When the first process that told us knew it. */
+    time_point
+        first_seen{}; /*!< When the first process that told us knew it. */
     bool removed{false};
     std::uint64_t era{0}; /*!< Of the store, that counts the revision. */
     item_order order{};   /*!< Of the last value, where it is removed. */
@@ -134,8 +135,8 @@
 
     /*! @brief Returns what changed after a position, and what stands from
      * earlier eras; large values packed. */
-    [[nodiscard]] message::mirror_page since(store_position after,
-                                             time_point now) const
+    [[nodiscard]] message::mirror_page changes_since(store_position after,
+                                                     time_point now) const
     {
         message::mirror_page page;
         page.position = upto;
@@ -160,7 +161,7 @@
 
     /*! @brief Tells whether a key is absent and was not removed, as far as is
      * known: the store never showed it, or came back without it. */
-    [[nodiscard]] bool lacks_by_loss(const std::string& key) const
+    [[nodiscard]] bool absent_without_removal(const std::string& key) const
     {
         const auto found = values.find(key);
         return found == values.end() ||
@@ -249,7 +250,7 @@
             one.packed.empty() && value.payload.size() >= least_packed
                 ? pack(value.payload)
                 : one.packed;
-        value.learnt = now - milliseconds(one.age_ms);
+        value.first_seen = now - milliseconds(one.age_ms);
         return true;
     }
 
@@ -257,7 +258,7 @@
     told(const std::string& key, const mirrored_value& value, time_point now)
     {
         const auto age =
-            std::chrono::duration_cast<milliseconds>(now - value.learnt);
+            std::chrono::duration_cast<milliseconds>(now - value.first_seen);
         const bool packs = !value.packed.empty();
         return {key,
                 packs ? std::string() : value.payload,
--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -58,7 +58,8 @@
 [[nodiscard]] inline waiting_request place_in_line(const exchange& one)
 {
     return {one.standing.late,
-            one.arrived - one.standing.past.waited + one.route->target,
+            one.arrived - one.standing.past.waited +
+                one.route->first_event_target,
             one.number};
 }
 
@@ -71,7 +72,7 @@
  * attempt may have run. */
 [[nodiscard]] inline bool may_repeat(const exchange& one)
 {
-    return one.route->repeatable() && one.runs + 1 < one.route->most_upstreams;
+    return one.route->repeatable() && one.runs + 1 < one.route->max_attempts;
 }
 
 /*! @brief Returns an attempt that was lost, as evidence against its request.
--- a/src/coursejunction/proxy/exchange_log.hpp
+++ b/src/coursejunction/proxy/exchange_log.hpp
@@ -67,7 +67,7 @@
          {"known_by", std::string(evidence_name(one.standing.past.known_by))},
          {"usable", std::to_string(why.usable)},
          {"least_ms", whole(why.least_ms)},
-         {"target_ms", std::to_string(one.route->target.count())},
+         {"target_ms", std::to_string(one.route->first_event_target.count())},
          {"retry_after_ms", std::to_string(come_back.count())}});
 }
 
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -206,7 +206,7 @@
         one.route = one.rules->route(one.asked.host, one.asked.path);
         if (one.route == nullptr)
             return 404;
-        if (one.rules->keyed && !one.route->open)
+        if (one.rules->requires_key && !one.route->keyless)
         {
             const auto* owner =
                 one.asked.key ? one.rules->owner(*one.asked.key) : nullptr;
@@ -362,7 +362,7 @@
         wanted.service = one.service;
         wanted.model = one.asked.model;
         wanted.prompt = one.asked.prompt_tokens;
-        wanted.target = one.route->target;
+        wanted.target = one.route->first_event_target;
         wanted.standing = one.standing;
         wanted.since = one.runs > 0 ? one.failed_at : one.arrived;
         wanted.ends = one.ends;
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -20,7 +20,7 @@
 #include "coursejunction/fleet/fleet_view.hpp"
 #include "coursejunction/fleet/quarantine_item.hpp"
 #include "coursejunction/fleet/quarantine_keeper.hpp"
-#include "coursejunction/fleet/restore_turn.hpp"
+#include "coursejunction/fleet/restore_schedule.hpp"
 #include "coursejunction/net/event_loop.hpp"
 #include "coursejunction/net/metrics.hpp"
 #include "coursejunction/net/stream_server.hpp"
@@ -73,19 +73,20 @@
     void start()
     {
         fleet_hooks hooks;
-        hooks.changed =
+        hooks.keys_changed =
             [this](const std::vector<std::string>& keys, bool store_returned)
         { changed(keys, store_returned); };
-        hooks.overwritten = [this](const message::mirror_item& one)
+        hooks.value_overwritten = [this](const message::mirror_item& one)
         { fleet.pass(one, event_loop::now()); };
-        hooks.heard =
+        hooks.heartbeat_received =
             [this](const std::string& from, const message::fleet_heartbeat& one)
         { heard(from, one); };
-        hooks.describe = [this](message::fleet_heartbeat& into, chunk_detail)
-        { describe(into); };
-        hooks.crashes = [this] { return exchanges.crashing().told(); };
-        hooks.refusals = [this] { return refusals_told(); };
-        hooks.terms = [this] { return terms_news(book, event_loop::now()); };
+        hooks.fill_heartbeat = [this](message::fleet_heartbeat& into,
+                                      chunk_detail) { describe(into); };
+        hooks.crash_records = [this] { return exchanges.crashing().told(); };
+        hooks.refused_callers = [this] { return refusals_told(); };
+        hooks.recent_terms = [this]
+        { return terms_news(book, event_loop::now()); };
         exchanges.on_refusals([this] { node.announce_refusals(); });
         exchanges.crashing().on_news([this] { node.announce_crashes(); });
         exchanges.crashing().on_keep([this](const request_content& what,
@@ -153,9 +154,9 @@
                     placer(options.weights, peers.settings().hall,
                            peers.settings().address),
                     options.exchange),
-          keeper(owner, peers.service(), peers.mirror(), counted,
+          keeper(owner, peers.store_client(), peers.mirror(), counted,
                  seed_of(peers)),
-          configurations(owner, peers.service(), peers.mirror(), counted,
+          configurations(owner, peers.store_client(), peers.mirror(), counted,
                          seed_of(peers)),
           versions(owner, peers, fleet, exchanges.floors(), counted,
                    options.version_time, seed_of(peers))
@@ -281,7 +282,7 @@
         for (const auto& [what, one] : records.all())
         {
             if (records.suspects(what) &&
-                node.mirror().lacks_by_loss(quarantine_key(what)))
+                node.mirror().absent_without_removal(quarantine_key(what)))
                 keeper.restore(what, quarantine_payload(
                                          records.record(what, now), wall_ms()));
         }
@@ -321,7 +322,7 @@
     void configure()
     {
         exchanges.configure(fleet.shared_rules());
-        callers->limits(fleet.rules()->limits);
+        callers->limits(fleet.rules()->caller_limits);
     }
 
     /*! @brief Sides stand beside the upstreams that have an engine. */
@@ -334,7 +335,7 @@
         {
             const auto* service = rules->service(one.service);
             if (service != nullptr && service->engine)
-                node.name_side(host_of(one.address), one.hall);
+                node.add_side(host_of(one.address), one.hall);
         }
     }
 
@@ -342,7 +343,7 @@
     {
         const auto now = event_loop::now();
         for (const auto& told : one.digest.sides)
-            take_status(address_text(told.address), status_in(one.digest, told),
+            take_status(format_ipv4(told.address), status_in(one.digest, told),
                         now - milliseconds(told.age_ms));
         if (one.entry)
         {
@@ -376,7 +377,7 @@
         const auto own = rendezvous_weight(key, node.settings().address);
         for (const auto& [address, one] : node.peers().all())
         {
-            if (one.entry && !one.last.leaving &&
+            if (one.entry && !one.last_heartbeat.leaving &&
                 peer_directory::alive(one, now) &&
                 rendezvous_weight(key, address) > own)
                 return false;
@@ -405,12 +406,12 @@
         request_rates others;
         for (const auto& [address, one] : node.peers().all())
         {
-            if (!one.entry || one.last.leaving ||
+            if (!one.entry || one.last_heartbeat.leaving ||
                 !peer_directory::alive(one, now))
                 continue;
-            const auto& told = one.last.load;
-            demands.push_back(
-                demand_of(hall_id(one.last.hall), address, told.demanded));
+            const auto& told = one.last_heartbeat.load;
+            demands.push_back(demand_of(hall_id(one.last_heartbeat.hall),
+                                        address, told.demanded));
             others.asked += told.asked;
             others.refused += told.refused;
         }
@@ -436,9 +437,9 @@
         exchanges.expire(now);
         counters.set("upstream_records_unreadable",
                      static_cast<double>(fleet.unreadable_records()));
-        const auto entries = node.peers().entries(now) + 1;
+        const auto entries = node.peers().live_entries(now) + 1;
         exchanges.entries(entries);
-        exchanges.outdated(node.behind_for(now) >= outdated_time);
+        exchanges.outdated(node.mirror_lag(now) >= outdated_time);
         book.entries(entries);
         share_engines(now);
         versions.tick(!leaving, now);
@@ -483,7 +484,7 @@
     fleet_view<Platform> fleet;
     exchange_service<codec> exchanges;
     quarantine_keeper<typename Platform::store> keeper;
-    restore_turn restoring;
+    restore_schedule restoring;
     configuration_keeper<typename Platform::store, typename Platform::catalogue>
         configurations;
     version_controller<Platform> versions;
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -45,7 +45,7 @@
                        milliseconds allowed, std::uint32_t seed)
         : node(peers), fleet(known), floors(bounds), counters(counted),
           version_time(allowed),
-          keeper(owner, peers.service(), peers.mirror(), counted, seed),
+          keeper(owner, peers.store_client(), peers.mirror(), counted, seed),
           origin(peers.client()),
           inquiry(origin, counted, seed,
                   [this](const unheard_version& one) { take_unheard(one); })
@@ -96,7 +96,7 @@
         const auto rank =
             node.peers().entries_before(node.settings().address, now);
         keep(rank, now);
-        ask({rank, node.peers().entries(now)}, now);
+        ask({rank, node.peers().live_entries(now)}, now);
     }
 
 private:
@@ -144,8 +144,8 @@
         serving_count made;
         for (const auto& [id, one] : fleet.upstreams())
         {
-            const auto weights = one.weights.find(model);
-            if (weights == one.weights.end() || weights->second == 0)
+            const auto weights = one.model_versions.find(model);
+            if (weights == one.model_versions.end() || weights->second == 0)
                 continue;
             ++made.all;
             if (weights->second >= version)
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -85,19 +85,20 @@
     void start()
     {
         fleet_hooks hooks;
-        hooks.changed = [this](const std::vector<std::string>& keys, bool)
+        hooks.keys_changed = [this](const std::vector<std::string>& keys, bool)
         { changed(keys); };
-        hooks.overwritten = [this](const message::mirror_item& one)
+        hooks.value_overwritten = [this](const message::mirror_item& one)
         { fleet.pass(one, event_loop::now()); };
-        hooks.heard =
+        hooks.heartbeat_received =
             [this](const std::string& from, const message::fleet_heartbeat& one)
         { heard(from, one); };
-        hooks.describe =
+        hooks.fill_heartbeat =
             [this](message::fleet_heartbeat& into, chunk_detail detail)
         { describe(into, detail); };
-        hooks.request = [this](stream_request request, stream_reply reply)
+        hooks.handle_request =
+            [this](stream_request request, stream_reply reply)
         { serve_peer(request, std::move(reply)); };
-        hooks.spreading = [this] { return spreading_now(); };
+        hooks.transfers_active = [this] { return spreading_now(); };
         node.start(std::move(hooks));
         polling = loop.every(options.poll, [this] { poll(); });
         spreading = loop.every(options.spread, [this] { spread(); });
@@ -128,8 +129,8 @@
         fleet.update(node.mirror(), keys);
         for (const auto& [id, one] : fleet.upstreams())
         {
-            if (!one.weights.empty() || has_engine(one))
-                node.name_side(host_of(one.address), one.hall);
+            if (!one.model_versions.empty() || has_engine(one))
+                node.add_side(host_of(one.address), one.hall);
         }
         decide();
     }
@@ -297,7 +298,7 @@
         };
         around.participants = [this] { return participants(); };
         around.peer_port = [this](const instance_id& id)
-        { return node.peer_port(id.value()); };
+        { return node.peer_endpoint(id.value()); };
         around.uploads = &uploads;
         around.window = window;
         return around;
@@ -467,11 +468,12 @@
         for (const auto& [address, one] : node.peers().all())
         {
             if (one.entry || !peer_directory::alive(one, now) ||
-                one.last.hall != node.settings().hall.value())
+                one.last_heartbeat.hall != node.settings().hall.value())
                 continue;
-            others.push_back({instance_id(address), !one.last.upstream.open,
-                              one.last.upstream.version < wanted.version &&
-                                  next.whole_at(one.last.chunks)});
+            others.push_back(
+                {instance_id(address), !one.last_heartbeat.upstream.open,
+                 one.last_heartbeat.upstream.version < wanted.version &&
+                     next.whole_at(one.last_heartbeat.chunks)});
         }
         const auto known = now - fleet.named_at(wanted.model, wanted.version);
         return may_close(options.turns, instance_id(own), others,
@@ -576,7 +578,7 @@
         for (const auto& [version, one] : transfers)
         {
             if (detail == chunk_detail::all ||
-                (detail == chunk_detail::coming &&
+                (detail == chunk_detail::in_transfer &&
                  (version > serves || lately_named(version))))
                 into.chunks.push_back(one->possession());
         }
--- a/src/coursejunction/route/admission.hpp
+++ b/src/coursejunction/route/admission.hpp
@@ -86,7 +86,7 @@
 {
     engine_load load;
     load.running = static_cast<double>(engine.slots) - 1;
-    return first_event_ms(engine, load, engine.usual_prompt);
+    return first_event_ms(engine, load, engine.typical_prompt_tokens);
 }
 
 /*! @brief Admission to the engines of one service. */
--- a/src/coursejunction/route/dispatcher.hpp
+++ b/src/coursejunction/route/dispatcher.hpp
@@ -100,11 +100,12 @@
         made.past = tries.arrived(route.name, what, deadline, now);
         auto& gate = gate_of(service);
         if (!made.returned())
-            gate.asked(route.target, now);
+            gate.asked(route.first_event_target, now);
         if (service.engine)
             engines.insert(service.name);
         made.late = service.engine &&
-                    gate.late(*service.engine, route.target, made.past.waited);
+                    gate.late(*service.engine, route.first_event_target,
+                              made.past.waited);
         return made;
     }
 
--- a/src/coursejunction/route/engine_estimate.hpp
+++ b/src/coursejunction/route/engine_estimate.hpp
@@ -27,17 +27,18 @@
 [[nodiscard]] inline double step_ms(const engine_profile& engine,
                                     double running)
 {
-    const auto context = engine.usual_prompt + engine.usual_answer / 2;
-    return engine.step_ms + engine.step_per_running * running +
-           engine.step_per_kilo * running * context / 1000;
+    const auto context =
+        engine.typical_prompt_tokens + engine.typical_answer_tokens / 2;
+    return engine.step_ms + engine.step_ms_per_request * running +
+           engine.step_ms_per_kilotoken * running * context / 1000;
 }
 
 /*! @brief Returns the ms that reading a prompt alone takes. */
 [[nodiscard]] inline double read_ms(const engine_profile& engine, double prompt)
 {
     constexpr double million = 1e6;
-    return prompt / engine.read_per_ms +
-           engine.pairs_per_million * prompt * prompt / 2 / million;
+    return prompt / engine.prefill_tokens_per_ms +
+           engine.prefill_ms_per_million_pairs * prompt * prompt / 2 / million;
 }
 
 /*! @brief Returns the ms for which a usual request holds its place on a full
@@ -46,8 +47,8 @@
 [[nodiscard]] inline double holding_ms(const engine_profile& engine)
 {
     const auto slots = static_cast<double>(engine.slots);
-    return engine.usual_answer * step_ms(engine, slots) +
-           slots * read_ms(engine, engine.usual_prompt);
+    return engine.typical_answer_tokens * step_ms(engine, slots) +
+           slots * read_ms(engine, engine.typical_prompt_tokens);
 }
 
 /*! @brief Returns the ms until an engine gives the first event of a request
@@ -66,15 +67,15 @@
     const auto inside = load.running + load.waiting;
     const auto writers = std::min(inside, slots);
     const auto stride =
-        engine.stride * step_ms(engine, std::min(writers + 1, slots));
+        engine.tokens_per_pass * step_ms(engine, std::min(writers + 1, slots));
     const auto tokens = load.unread_tokens + prompt;
-    const auto passes =
-        std::max(1.0, std::ceil(tokens / std::max(engine.read_chunk, 1.0)));
-    const auto reading =
-        read_ms(engine, prompt) + load.unread_tokens / engine.read_per_ms;
+    const auto passes = std::max(
+        1.0, std::ceil(tokens / std::max(engine.prefill_chunk_tokens, 1.0)));
+    const auto reading = read_ms(engine, prompt) +
+                         load.unread_tokens / engine.prefill_tokens_per_ms;
     const auto arrivals = inside / holding_ms(engine);
     const auto companions = arrivals * (stride / 2 + reading + load.age_ms) *
-                            read_ms(engine, engine.usual_prompt);
+                            read_ms(engine, engine.typical_prompt_tokens);
     auto total = stride / 2 + reading + companions + passes * stride;
     if (inside >= slots)
         total += (inside - slots + 1) * holding_ms(engine) / slots;
--- a/src/coursejunction/route/placement.hpp
+++ b/src/coursejunction/route/placement.hpp
@@ -303,7 +303,7 @@
             const auto& limits = request.limits;
             const auto usual =
                 predicted - read_ms(*service.engine, request.prompt) +
-                read_ms(*service.engine, service.engine->usual_prompt);
+                read_ms(*service.engine, service.engine->typical_prompt_tokens);
             return predicted <= limits.first_event_ms &&
                    usual <= limits.usual_first_event_ms &&
                    load.running + load.waiting <= limits.inside &&
--- a/src/coursejunction/route/upstream_book.hpp
+++ b/src/coursejunction/route/upstream_book.hpp
@@ -108,7 +108,7 @@
             if (auto ended = begin_life(one, life))
             {
                 // The record is of the life that ended, until the next one.
-                one.record.weights.clear();
+                one.record.model_versions.clear();
                 all.push_back(std::move(*ended));
             }
             // Its instance lives again: what was held against its silence is
@@ -267,8 +267,8 @@
     {
         if (one.status && now - one.status_at <= status_validity)
             return one.status->model == model ? one.status->version : 0;
-        const auto found = one.record.weights.find(model);
-        return found == one.record.weights.end() ? 0 : found->second;
+        const auto found = one.record.model_versions.find(model);
+        return found == one.record.model_versions.end() ? 0 : found->second;
     }
 
     /*! @brief Divides the upstreams that may be used between the entries.
@@ -355,13 +355,13 @@
         // Others' prompts that wait are not told: a usual one each.
         const auto waiting = std::max(
             0.0, static_cast<double>(one.status->waiting) - own_unread);
-        made.unread_tokens += waiting * engine.usual_prompt;
+        made.unread_tokens += waiting * engine.typical_prompt_tokens;
         made.expected = others * made.age_ms / ms;
         made.running +=
             std::max(0.0, made.expected - new_attempts * (together - 1));
         const auto expected_unread = others *
                                      std::min(made.age_ms, reading_ms) / ms *
-                                     engine.usual_prompt;
+                                     engine.typical_prompt_tokens;
         made.unread_tokens +=
             std::max(0.0, expected_unread - new_unread * (together - 1));
         return made;
--- a/tests/core/suspension.cpp
+++ b/tests/core/suspension.cpp
@@ -85,7 +85,7 @@
     SECTION("peers that were alive before it are not believed to live")
     {
         peer_directory peers;
-        peers.heard("10.0.0.1", {}, clocks.now);
+        peers.record_heartbeat("10.0.0.1", {}, clocks.now);
         clocks.run(100ms);
         CHECK(peers.alive("10.0.0.1", clocks.now));
         clocks.suspend(3000ms);
@@ -97,7 +97,7 @@
         upstream_record record;
         record.id = instance_id("a");
         record.address = "10.0.0.2:80";
-        record.weights["m"] = 1;
+        record.model_versions["m"] = 1;
         book.record(record);
         message::upstream_status told;
         told.model = "m";
--- a/tests/daemon/state_dump.cpp
+++ b/tests/daemon/state_dump.cpp
@@ -13,7 +13,7 @@
     cj::store_mirror mirror;
     mirror.apply({}, 7, now);
     cj::peer_directory peers;
-    peers.name_entry("10.0.0.2", now);
+    peers.add_entry("10.0.0.2", now);
 
     GIVEN("an entry with one upstream")
     {
--- a/tests/fleet/beat_plan.cpp
+++ b/tests/fleet/beat_plan.cpp
@@ -96,9 +96,9 @@
         regular.number = naming_beat;
         REQUIRE(chunks_told(regular) == chunk_detail::all);
         ++regular.number;
-        REQUIRE(chunks_told(regular) == chunk_detail::coming);
+        REQUIRE(chunks_told(regular) == chunk_detail::in_transfer);
         REQUIRE(chunks_told(moment(beat_reason::chunks, false)) ==
-                chunk_detail::coming);
+                chunk_detail::in_transfer);
         REQUIRE(chunks_told(moment(beat_reason::load, false)) ==
                 chunk_detail::none);
     }
--- a/tests/fleet/fleet_node.cpp
+++ b/tests/fleet/fleet_node.cpp
@@ -108,8 +108,9 @@
     {
         const auto after = cj::store_position::parse(
             request.target.substr(request.target.find('=') + 1));
-        reply.send(200, {},
-                   cj::encode(known.since(after, cj::event_loop::now())));
+        reply.send(
+            200, {},
+            cj::encode(known.changes_since(after, cj::event_loop::now())));
     }
 
     void beat()
--- a/tests/fleet/hall_digest.cpp
+++ b/tests/fleet/hall_digest.cpp
@@ -27,7 +27,7 @@
     beat.upstream.running = 3;
     beat.upstream.life = 1764720000123;
     beat.upstream.open = true;
-    peers.heard(address, beat, now);
+    peers.record_heartbeat(address, beat, now);
 }
 
 } // namespace
--- a/tests/fleet/late_upstream_records.cpp
+++ b/tests/fleet/late_upstream_records.cpp
@@ -30,7 +30,7 @@
         std::uint64_t life = 0;
         std::string state;
         cj::upstream_record made;
-        text >> life >> made.count >> state;
+        text >> life >> made.sequence >> state;
         made.id = upstream_id(key);
         made.life = cj::incarnation(life);
         made.leaving = state == "leaves";
--- a/tests/fleet/mirror_puller.cpp
+++ b/tests/fleet/mirror_puller.cpp
@@ -74,12 +74,13 @@
                           100ms, [reply]() mutable { reply.write("x"); }));
                   });
         const auto port = squeezed_server->port();
-        sound_server = serve(
-            sound, port,
-            [this](cj::stream_reply reply) {
-                reply.send(200, {},
-                           cj::encode(known.since(0, cj::event_loop::now())));
-            });
+        sound_server = serve(sound, port,
+                             [this](cj::stream_reply reply)
+                             {
+                                 reply.send(200, {},
+                                            cj::encode(known.changes_since(
+                                                0, cj::event_loop::now())));
+                             });
         puller.start(
             cj::hall_id("here"), ":" + std::to_string(port),
             {[] { return cj::hall_standing{}; },
@@ -114,7 +115,7 @@
             beat.hall = hall;
             beat.entry = true;
             const auto from = loopback::own_address(number);
-            directory.heard(from, beat, cj::event_loop::now());
+            directory.record_heartbeat(from, beat, cj::event_loop::now());
             if (mirror.position() < newest)
                 puller.heard(from, hall == "here");
         }
--- a/tests/fleet/peer_directory.cpp
+++ b/tests/fleet/peer_directory.cpp
@@ -9,21 +9,21 @@
 {
     cj::peer_directory peers;
     cj::time_point now{100s};
-    peers.seed("10.0.0.1", now);
-    peers.name_side("10.0.0.2", cj::hall_id("a"), now);
+    peers.add_seed("10.0.0.1", now);
+    peers.add_side("10.0.0.2", cj::hall_id("a"), now);
     cj::message::fleet_heartbeat beat;
     beat.incarnation = 7;
     beat.sequence = 3;
 
     CHECK_FALSE(peers.alive("10.0.0.2", now));
-    CHECK(peers.heard("10.0.0.2", beat, now));
+    CHECK(peers.record_heartbeat("10.0.0.2", beat, now));
     CHECK(peers.alive("10.0.0.2", now));
 
     WHEN("a heartbeat comes twice or late")
     {
-        CHECK_FALSE(peers.heard("10.0.0.2", beat, now));
+        CHECK_FALSE(peers.record_heartbeat("10.0.0.2", beat, now));
         beat.sequence = 2;
-        CHECK_FALSE(peers.heard("10.0.0.2", beat, now));
+        CHECK_FALSE(peers.record_heartbeat("10.0.0.2", beat, now));
     }
     WHEN("the peer starts again")
     {
@@ -31,7 +31,7 @@
         beat.sequence = 1;
         THEN("its count begins anew")
         {
-            CHECK(peers.heard("10.0.0.2", beat, now));
+            CHECK(peers.record_heartbeat("10.0.0.2", beat, now));
         }
     }
     WHEN("nobody names it for long")
@@ -58,7 +58,7 @@
         beat.entry = true;
         beat.watching = watching;
         beat.leaving = leaving;
-        peers.heard(address, beat, now);
+        peers.record_heartbeat(address, beat, now);
     };
     hear("10.0.0.1", true, false);
     hear("10.0.0.2", false, false);
@@ -83,7 +83,7 @@
     beat.entry = true;
     beat.watching = true;
     beat.store_returned = true;
-    peers.heard("10.0.0.1", beat, now);
+    peers.record_heartbeat("10.0.0.1", beat, now);
 
     GIVEN("others that saw the same outage")
     {
@@ -92,7 +92,7 @@
     GIVEN("one that watched all the while")
     {
         beat.store_returned = false;
-        peers.heard("10.0.0.2", beat, now);
+        peers.record_heartbeat("10.0.0.2", beat, now);
         CHECK(peers.steady_watcher(now));
         THEN("but not when it is silent itself")
         {
@@ -113,7 +113,7 @@
         ++beat.sequence;
         beat.hall = where;
         beat.entry = entry;
-        peers.heard(address, beat, now);
+        peers.record_heartbeat(address, beat, now);
     };
     hear("10.0.0.1", "a", true);
     hear("10.0.0.5", "a", true);
@@ -172,7 +172,7 @@
         ++beat.sequence;
         beat.hall = hall;
         beat.store_distance = distance;
-        peers.heard(address, beat, now);
+        peers.record_heartbeat(address, beat, now);
     };
     hear("10.0.0.1", "far", 5600);
     hear("10.0.0.9", "near", 300);
--- a/tests/fleet/restore_turn.cpp
+++ b/tests/fleet/restore_schedule.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/fleet/restore_turn.hpp"
+#include "coursejunction/fleet/restore_schedule.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -9,7 +9,7 @@
           "[fleet]")
 {
     const time_point now{100s};
-    restore_turn turn;
+    restore_schedule turn;
 
     SECTION("nothing is lost when the store is read for the first time")
     {
@@ -28,8 +28,8 @@
     {
         CHECK_FALSE(turn.due({1, 9}, 2, now));
         CHECK_FALSE(turn.due({2, 4}, 2, now));
-        CHECK_FALSE(turn.due({2, 4}, 2, now + restore_turn::turn));
-        CHECK(turn.due({2, 4}, 2, now + 2 * restore_turn::turn));
+        CHECK_FALSE(turn.due({2, 4}, 2, now + restore_schedule::turn));
+        CHECK(turn.due({2, 4}, 2, now + 2 * restore_schedule::turn));
     }
     SECTION("a store that told no era before")
     {
--- a/tests/fleet/store_mirror.cpp
+++ b/tests/fleet/store_mirror.cpp
@@ -30,7 +30,7 @@
         {
             CHECK(changed == std::vector<std::string>{"b"});
             CHECK(mirror.find("b") == nullptr);
-            const auto page = mirror.since(6, now);
+            const auto page = mirror.changes_since(6, now);
             REQUIRE(page.items.size() == 1);
             CHECK(page.items[0].removed);
         }
@@ -54,14 +54,14 @@
     }
     WHEN("an item is passed on")
     {
-        const auto page = mirror.since(0, now + 3s);
+        const auto page = mirror.changes_since(0, now + 3s);
         THEN(
             "its age goes with it, so that time limits run from the first news")
         {
             CHECK(page.items[0].age_ms == 3000);
             cj::store_mirror other;
             other.apply(page.items, page.position, cj::time_point{500s});
-            CHECK(other.find("a")->learnt == cj::time_point{497s});
+            CHECK(other.find("a")->first_seen == cj::time_point{497s});
         }
     }
 }
@@ -73,7 +73,7 @@
     cj::store_mirror mirror;
     mirror.apply({{"a", large, 5, 0, false}, {"b", "small", 6, 0, false}}, 6,
                  now);
-    const auto page = mirror.since(0, now);
+    const auto page = mirror.changes_since(0, now);
     REQUIRE(page.items.size() == 2);
     CHECK(page.items[0].payload.empty());
     CHECK(page.items[0].packed.size() < 1000);
@@ -89,7 +89,8 @@
         THEN("it has the value, and passes it on as it came")
         {
             CHECK(other.find("a")->payload == large);
-            CHECK(other.since(0, now).items[0].packed == page.items[0].packed);
+            CHECK(other.changes_since(0, now).items[0].packed ==
+                  page.items[0].packed);
         }
     }
     WHEN("a page tells a size that is not the value's")
@@ -266,7 +267,7 @@
             cj::store_mirror other(rules);
             other.replace({at(2, "operator", "1", 2), at(2, "a", "4", 3)},
                           {2, 5}, now);
-            const auto page = mirror.since(other.position(), now);
+            const auto page = mirror.changes_since(other.position(), now);
             other.apply(page.items, page.position, now);
             CHECK(other.find("operator")->payload == "2");
         }
@@ -274,7 +275,7 @@
         {
             cj::store_mirror other(rules);
             other.apply({at(1, "b", "3", 6), at(1, "d", "1", 7)}, {1, 7}, now);
-            const auto page = mirror.since(other.position(), now);
+            const auto page = mirror.changes_since(other.position(), now);
             CHECK(page.whole);
             other.replace(page.items, page.position, now);
             CHECK(other.find("b") == nullptr);
--- a/tests/platform/catalogue.cpp
+++ b/tests/platform/catalogue.cpp
@@ -51,10 +51,10 @@
         CHECK(stream.kind == cj::request_kind::stream);
         CHECK(stream.repeatable());
         CHECK(stream.timeout == 6000ms);
-        CHECK(stream.most_upstreams == 2);
-        CHECK(rules.routes[1].kind == cj::request_kind::single);
+        CHECK(stream.max_attempts == 2);
+        CHECK(rules.routes[1].kind == cj::request_kind::at_most_once);
         CHECK_FALSE(rules.routes[1].repeatable());
-        CHECK(rules.routes[1].open);
+        CHECK(rules.routes[1].keyless);
         CHECK(rules.routes[1].services.size() == 2);
     }
     THEN("an engine's figures have their units")
@@ -62,10 +62,10 @@
         const auto* llm = rules.service(cj::service_name("llm"));
         REQUIRE(llm != nullptr);
         REQUIRE(llm->engine);
-        CHECK(llm->engine->read_per_ms == Approx(19.1));
-        CHECK(llm->engine->usual_prompt == 977);
+        CHECK(llm->engine->prefill_tokens_per_ms == Approx(19.1));
+        CHECK(llm->engine->typical_prompt_tokens == 977);
         CHECK(llm->engine->models == std::vector<std::string>{"m"});
-        CHECK(llm->engine->load_s == Approx(0.3));
+        CHECK(llm->engine->load_seconds == Approx(0.3));
     }
     THEN("the origin is found with its rate in bytes")
     {
@@ -75,7 +75,7 @@
     }
     THEN("keys have their owner")
     {
-        CHECK(rules.keyed);
+        CHECK(rules.requires_key);
         CHECK(rules.owner("k2")->id.value() == "t1");
         CHECK(rules.owner("k3") == nullptr);
     }
@@ -103,8 +103,8 @@
     REQUIRE(one);
     CHECK(one.value().id.value() == "i-1");
     CHECK(one.value().leaving);
-    CHECK(one.value().weights.at("m") == 3);
-    CHECK(one.value().cold_ms == 5);
+    CHECK(one.value().model_versions.at("m") == 3);
+    CHECK(one.value().cold_start_ms == 5);
     CHECK(one.value().life.empty());
 
     const auto named = catalogue::version(R"({"modelId":"m","version":2})");
--- a/tests/platform/hall_behind_link.cpp
+++ b/tests/platform/hall_behind_link.cpp
@@ -299,7 +299,7 @@
                         [&](cj::stream_request, cj::stream_reply reply)
                         {
                             link->send(std::move(reply),
-                                       cj::encode(known.since(
+                                       cj::encode(known.changes_since(
                                            0, cj::event_loop::now())));
                         })
                         .value());
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -97,7 +97,7 @@
     }
     SECTION("one that may run once")
     {
-        entry.route(cj::request_kind::single);
+        entry.route(cj::request_kind::at_most_once);
         for (int copy = 0; copy < 6; ++copy)
             entry.ask();
         CHECK(entry.ended() == 3);
--- a/tests/proxy/exchange_service.cpp
+++ b/tests/proxy/exchange_service.cpp
@@ -92,7 +92,7 @@
 SCENARIO("what may run once is sent once", "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::single);
+    entry.route(cj::request_kind::at_most_once);
 
     SECTION("a connection that breaks after the request: unknown, at once")
     {
@@ -220,7 +220,7 @@
     }
     SECTION("what may run once may have run, and its caller hears so")
     {
-        entry.route(cj::request_kind::single);
+        entry.route(cj::request_kind::at_most_once);
         CHECK(ask_across_restart().starts_with("HTTP/1.1 502"));
         CHECK(two.arrivals().empty());
     }
@@ -303,7 +303,7 @@
             [&]
             {
                 auto record = entry.book.find(cj::instance_id(id))->record;
-                record.weights["m"] = version;
+                record.model_versions["m"] = version;
                 entry.book.record(record);
             });
     };
@@ -341,7 +341,7 @@
 SCENARIO("time limits and callers that leave end the work", "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::single, false, 100ms);
+    entry.route(cj::request_kind::at_most_once, false, 100ms);
     scripted_upstream one({scripted_upstream::hang});
     entry.upstream("a", one.address);
 
@@ -352,7 +352,7 @@
     }
     SECTION("a caller that leaves cancels at the upstream")
     {
-        entry.route(cj::request_kind::single, false, 60'000ms);
+        entry.route(cj::request_kind::at_most_once, false, 60'000ms);
         {
             loopback::raw_connection caller(entry.port);
             caller.send("GET /x HTTP/1.1\r\nHost: h\r\nId: 7\r\n\r\n");
--- a/tests/proxy/gateway.cpp
+++ b/tests/proxy/gateway.cpp
@@ -62,7 +62,7 @@
         made.id = cj::instance_id(key);
         made.address = "127.0.0.1:9";
         made.leaving = payload.ends_with(" leaves");
-        made.count = std::stoull(payload);
+        made.sequence = std::stoull(payload);
         return made;
     }
     static cj::instance_id upstream_id(const std::string& key)
--- a/tests/proxy/upstream_notices.cpp
+++ b/tests/proxy/upstream_notices.cpp
@@ -80,7 +80,7 @@
     }
     GIVEN("a refusal of what may run once")
     {
-        entry.route(cj::request_kind::single);
+        entry.route(cj::request_kind::at_most_once);
         scripted_upstream one(
             {whole("", "7", "503 No", says + "Not-Run: 1\r\n")});
         entry.upstream("a", one.address);
@@ -120,7 +120,7 @@
 
     GIVEN("another upstream")
     {
-        entry.route(cj::request_kind::single);
+        entry.route(cj::request_kind::at_most_once);
         scripted_upstream one({rests});
         scripted_upstream other({whole("other")});
         entry.upstream("a", one.address);
--- a/tests/route/admission.cpp
+++ b/tests/route/admission.cpp
@@ -13,9 +13,9 @@
     cj::engine_profile made;
     made.slots = 16;
     made.step_ms = 7;
-    made.read_per_ms = 30;
-    made.stride = 6;
-    made.usual_answer = 120;
+    made.prefill_tokens_per_ms = 30;
+    made.tokens_per_pass = 6;
+    made.typical_answer_tokens = 120;
     return made;
 }
 
--- a/tests/route/engine_estimate.cpp
+++ b/tests/route/engine_estimate.cpp
@@ -13,14 +13,14 @@
     cj::engine_profile one;
     one.slots = 16;
     one.step_ms = 8.87;
-    one.step_per_running = 0.0388;
-    one.step_per_kilo = 0.0227;
-    one.read_per_ms = 19.1;
-    one.pairs_per_million = 1.47;
-    one.read_chunk = 2048;
-    one.stride = 5;
-    one.usual_prompt = 977;
-    one.usual_answer = 94;
+    one.step_ms_per_request = 0.0388;
+    one.step_ms_per_kilotoken = 0.0227;
+    one.prefill_tokens_per_ms = 19.1;
+    one.prefill_ms_per_million_pairs = 1.47;
+    one.prefill_chunk_tokens = 2048;
+    one.tokens_per_pass = 5;
+    one.typical_prompt_tokens = 977;
+    one.typical_answer_tokens = 94;
     return one;
 }
 
--- a/tests/route/load_engine.hpp
+++ b/tests/route/load_engine.hpp
@@ -27,14 +27,14 @@
     cj::engine_profile made;
     made.slots = 16;
     made.step_ms = 6.73;
-    made.step_per_running = 0.0219;
-    made.step_per_kilo = 0.0068;
-    made.read_per_ms = 30.6;
-    made.pairs_per_million = 0.647;
-    made.read_chunk = 2048;
-    made.stride = 6;
-    made.usual_prompt = 930;
-    made.usual_answer = 120;
+    made.step_ms_per_request = 0.0219;
+    made.step_ms_per_kilotoken = 0.0068;
+    made.prefill_tokens_per_ms = 30.6;
+    made.prefill_ms_per_million_pairs = 0.647;
+    made.prefill_chunk_tokens = 2048;
+    made.tokens_per_pass = 6;
+    made.typical_prompt_tokens = 930;
+    made.typical_answer_tokens = 120;
     return made;
 }
 
@@ -44,14 +44,14 @@
     cj::engine_profile made;
     made.slots = 8;
     made.step_ms = 13.3;
-    made.step_per_running = 0.0582;
-    made.step_per_kilo = 0.0341;
-    made.read_per_ms = 12.7;
-    made.pairs_per_million = 2.21;
-    made.read_chunk = 2048;
-    made.stride = 5;
-    made.usual_prompt = 960;
-    made.usual_answer = 73;
+    made.step_ms_per_request = 0.0582;
+    made.step_ms_per_kilotoken = 0.0341;
+    made.prefill_tokens_per_ms = 12.7;
+    made.prefill_ms_per_million_pairs = 2.21;
+    made.prefill_chunk_tokens = 2048;
+    made.tokens_per_pass = 5;
+    made.typical_prompt_tokens = 960;
+    made.typical_answer_tokens = 73;
     return made;
 }
 
@@ -145,13 +145,13 @@
     {
         in_pass = true;
         double took = 0;
-        double budget = figures.read_chunk;
+        double budget = figures.prefill_chunk_tokens;
         for (auto& one : inside)
         {
             const auto part = std::min(one->unread, budget);
             one->unread -= part;
             budget -= part;
-            took += part / figures.read_per_ms;
+            took += part / figures.prefill_tokens_per_ms;
         }
         double writers = 0;
         for (auto& one : inside)
@@ -159,8 +159,8 @@
         if (writers == 0)
             return took;
         for (auto& one : inside)
-            one->left -= one->unread <= 0 ? figures.stride : 0;
-        return took + figures.stride * cj::step_ms(figures, writers);
+            one->left -= one->unread <= 0 ? figures.tokens_per_pass : 0;
+        return took + figures.tokens_per_pass * cj::step_ms(figures, writers);
     }
 
     cj::engine_profile figures;
--- a/tests/route/load_replay.hpp
+++ b/tests/route/load_replay.hpp
@@ -244,7 +244,7 @@
             record.address = host_of(other) + ":80";
             record.hall = cj::hall_id(hall_of(other));
             record.slots = profile.engine->slots;
-            record.weights["m"] = 1;
+            record.model_versions["m"] = 1;
             one.book.record(record);
         }
         one.book.entries(played.entries);
@@ -322,7 +322,7 @@
         one->arrived_ms = now;
         cj::route_rule route;
         route.name = played.kinds[one->kind].name;
-        route.target = played.kinds[one->kind].target;
+        route.first_event_target = played.kinds[one->kind].target;
         std::optional<cj::milliseconds> left;
         if (played.deadlines)
             left = cj::milliseconds(static_cast<std::int64_t>(
--- a/tests/route/placement.cpp
+++ b/tests/route/placement.cpp
@@ -17,7 +17,7 @@
     one.address = address;
     one.hall = cj::hall_id(hall);
     one.slots = 4;
-    one.weights["m"] = 1;
+    one.model_versions["m"] = 1;
     return one;
 }
 
@@ -28,8 +28,8 @@
     cj::engine_profile engine;
     engine.slots = 4;
     engine.step_ms = 9;
-    engine.read_per_ms = 19;
-    engine.stride = 5;
+    engine.prefill_tokens_per_ms = 19;
+    engine.tokens_per_pass = 5;
     one.engine = engine;
     return one;
 }
--- a/tests/route/upstream_book.cpp
+++ b/tests/route/upstream_book.cpp
@@ -20,7 +20,7 @@
     one.address = host + ":80";
     one.slots = 4;
     one.leaving = leaving;
-    one.weights["m"] = 1;
+    one.model_versions["m"] = 1;
     return one;
 }
 
