--- a/src/coursejunction/fleet/configuration_keeper.hpp
+++ b/src/coursejunction/fleet/configuration_copy_writer.hpp
@@ -2,8 +2,8 @@
  * @brief Keeps a copy of the newest configuration in the platform's store while
  * the operator's key shows an older one.
  */
-#ifndef COURSEJUNCTION_FLEET_CONFIGURATION_KEEPER_HPP
-#define COURSEJUNCTION_FLEET_CONFIGURATION_KEEPER_HPP
+#ifndef COURSEJUNCTION_FLEET_CONFIGURATION_COPY_WRITER_HPP
+#define COURSEJUNCTION_FLEET_CONFIGURATION_COPY_WRITER_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -25,22 +25,22 @@
  * seconds later, over a newer one, and a store can come back without the
  * newest. Processes that live keep the newest; those that start after all ended
  * read it here. The copy goes when it is needed no more: it may be large.
- * @tparam Store A `Keeping_store` that removes keys as well.
+ * @tparam Store A `Permanent_store` that removes keys as well.
  * @tparam Catalogue An `Item_catalogue` with the order of values. */
 template <typename Store, typename Catalogue>
-class configuration_keeper
+class configuration_copy_writer
 {
 public:
     /*! @brief An entry waits this long for each entry before it. */
-    static constexpr milliseconds turn{500};
+    static constexpr milliseconds rank_delay{500};
 
     static constexpr milliseconds first_pause{500};
     static constexpr milliseconds longest_pause{4000};
 
     /*! @param seed Another one for each entry. */
-    configuration_keeper(event_loop& owner, Store& service,
-                         const store_mirror& held, metrics& counted,
-                         std::uint32_t seed)
+    configuration_copy_writer(event_loop& owner, Store& service,
+                              const store_mirror& held, metrics& counted,
+                              std::uint32_t seed)
         : store(service), mirror(held),
           writer(owner, counted, "configuration_copy_writes_total",
                  backoff(first_pause, longest_pause, seed))
@@ -49,7 +49,8 @@
 
     /*! @brief Keys changed.
      * @param in_force The number of the configuration in force. */
-    void read(const std::vector<std::string>& keys, std::uint64_t in_force)
+    void on_keys_changed(const std::vector<std::string>& keys,
+                         std::uint64_t in_force)
     {
         bool changed = false;
         for (const auto& key : keys)
@@ -58,22 +59,22 @@
             if (kind == item_kind::configuration)
                 operators.key = key;
             changed = changed || kind == item_kind::configuration ||
-                      kind == item_kind::kept_configuration;
+                      kind == item_kind::configuration_copy;
         }
         if (!changed || operators.key.empty())
             return;
         operators.number = take(operators.key, in_force);
-        copied = take(kept_configuration_key(), in_force);
+        copied = take(configuration_copy_key(), in_force);
     }
 
     /*! @brief Writes or removes the copy when it is this entry's turn.
      * @param rank How many entries come before this one. */
-    void consider(std::size_t rank, time_point now)
+    void write_if_due(std::size_t rank, time_point now)
     {
         if (newest == 0 || operators.key.empty())
             return;
         const bool needed = operators.number < newest || stands_only();
-        const auto* copy = mirror.find(kept_configuration_key());
+        const auto* copy = mirror.find(configuration_copy_key());
         const bool there = copy != nullptr;
         if (needed ? there && copied == newest : !there)
         {
@@ -83,14 +84,14 @@
         if (!wrong_since)
             wrong_since = now;
         if (writer.busy() ||
-            now - *wrong_since < turn * static_cast<std::int64_t>(rank))
+            now - *wrong_since < rank_delay * static_cast<std::int64_t>(rank))
             return;
         const auto revision = copy == nullptr ? 0 : copy->revision;
         if (needed)
-            store.keep(kept_configuration_key(), payload, revision,
-                       writer.begin(noted("keep")));
+            store.put_permanent(configuration_copy_key(), payload, revision,
+                                writer.begin(noted("keep")));
         else
-            store.remove(kept_configuration_key(), revision,
+            store.remove(configuration_copy_key(), revision,
                          writer.begin(noted("remove")));
     }
 
--- a/src/coursejunction/fleet/fleet_view.hpp
+++ b/src/coursejunction/fleet/fleet_view.hpp
@@ -34,12 +34,12 @@
     quarantine,     /*!< A request that crashes upstreams. */
     /*! @brief The newest configuration, while the operator's key shows an older
      * one. */
-    kept_configuration,
+    configuration_copy,
     other
 };
 
 /*! @brief Returns the key of that copy. */
-[[nodiscard]] inline std::string kept_configuration_key()
+[[nodiscard]] inline std::string configuration_copy_key()
 {
     return "configuration/newest";
 }
@@ -100,7 +100,7 @@
                     read_configuration(key, *value);
                 configured = true;
                 break;
-            case item_kind::kept_configuration:
+            case item_kind::configuration_copy:
                 configured = true;
                 break;
             case item_kind::upstream:
@@ -129,10 +129,14 @@
     }
 
     /*! @brief Returns the configuration in force, or null. */
-    [[nodiscard]] const installation* rules() const { return current.get(); }
+    [[nodiscard]] const installation* configuration() const
+    {
+        return current.get();
+    }
 
     /*! @brief Returns the configuration in force for sharing, or null. */
-    [[nodiscard]] std::shared_ptr<const installation> shared_rules() const
+    [[nodiscard]] std::shared_ptr<const installation>
+    shared_configuration() const
     {
         return current;
     }
@@ -168,7 +172,8 @@
 
     /*! @brief Returns the versions that are known to bind, by model: older
      * ones begin no request any more. */
-    [[nodiscard]] const std::map<std::string, std::uint64_t>& binding() const
+    [[nodiscard]] const std::map<std::string, std::uint64_t>&
+    minimum_versions() const
     {
         return bound;
     }
@@ -177,7 +182,8 @@
      * @param known When it was named. Of several words the latest counts: each
      * is the earliest that somebody could tell.
      * @return Whether it is new, or was named later than was known. */
-    bool told(const std::string& model, std::uint64_t version, time_point known)
+    bool add_version(const std::string& model, std::uint64_t version,
+                     time_point known)
     {
         vouch(model, version);
         judge_records();
@@ -200,7 +206,8 @@
     }
 
     /*! @brief A peer told a version that cannot be; logged once for a model. */
-    void told_absurd(const std::string& model, std::uint64_t version)
+    void report_implausible_version(const std::string& model,
+                                    std::uint64_t version)
     {
         if (absurd.insert(model).second)
             log::warning(
@@ -210,7 +217,8 @@
 
     /*! @brief Takes a name of a version that a later one replaced before it was
      * read: the mirror keeps the last one only. */
-    void pass(const message::mirror_item& one, time_point now)
+    void add_overwritten_version(const message::mirror_item& one,
+                                 time_point now)
     {
         if (catalogue::kind(one.key) != item_kind::version)
             return;
@@ -227,7 +235,8 @@
 
     /*! @brief Returns the newest version of a model that anything but a record
      * told; 1 when nothing did. */
-    [[nodiscard]] std::uint64_t vouched(const std::string& model) const
+    [[nodiscard]] std::uint64_t
+    newest_corroborated(const std::string& model) const
     {
         const auto found = vouched_for.find(model);
         return found == vouched_for.end() ? 1 : found->second;
@@ -235,7 +244,7 @@
 
     /*! @brief Returns the newest version that a name or a record of the store
      * tells; 1 when none does. */
-    [[nodiscard]] std::uint64_t stored(const std::string& model) const
+    [[nodiscard]] std::uint64_t newest_stored(const std::string& model) const
     {
         const auto name = named.find(model);
         const auto record = kept.find(model);
@@ -245,7 +254,8 @@
     }
 
     /*! @brief Returns the version that the store names now; 1 when none. */
-    [[nodiscard]] std::uint64_t named_in_store(const std::string& model) const
+    [[nodiscard]] std::uint64_t
+    published_in_store(const std::string& model) const
     {
         const auto found = named.find(model);
         return found == named.end() ? 1 : found->second;
@@ -253,14 +263,14 @@
 
     /*! @brief Tells, once, whether a name was written anew without rising:
      * another one may have been written and overwritten in between. */
-    [[nodiscard]] bool take_repeated_names()
+    [[nodiscard]] bool consume_nonincreasing_publish()
     {
         return std::exchange(repeated, false);
     }
 
     /*! @brief Returns when a version was named, as far as is known. */
-    [[nodiscard]] time_point named_at(const std::string& model,
-                                      std::uint64_t version) const
+    [[nodiscard]] time_point published_at(const std::string& model,
+                                          std::uint64_t version) const
     {
         const auto found = targets.find({model, version});
         return found == targets.end() ? time_point{} : found->second;
@@ -325,18 +335,18 @@
      * stay in force for good. */
     void read_kept_configuration(const store_mirror& mirror)
     {
-        const auto* value = mirror.find(kept_configuration_key());
+        const auto* value = mirror.find(configuration_copy_key());
         if (value == nullptr || !current)
             return;
         auto read = catalogue::configuration(value->payload);
         if (!read)
-            return unreadable(kept_configuration_key(), *value,
+            return unreadable(configuration_copy_key(), *value,
                               read.error().message);
         const auto version = read.value().version;
         if (version <= current->version)
             return;
-        if (!follows_closely(current->version, version))
-            return unreadable(kept_configuration_key(), *value,
+        if (!plausible_successor(current->version, version))
+            return unreadable(configuration_copy_key(), *value,
                               "absurd version: " + std::to_string(version));
         configure(std::move(read.value()), *value);
     }
@@ -435,17 +445,18 @@
         for (auto one = claims.begin(); one != claims.end();)
         {
             auto& [model, claim] = *one;
-            if (believable(claim.record, vouched(model)))
+            if (plausible(claim.record, newest_corroborated(model)))
             {
                 believe(claim);
                 one = claims.erase(one);
                 continue;
             }
             if (!std::exchange(claim.refused, true))
-                log::warning("version_record_absurd",
-                             {{"model", model},
-                              {"newest", std::to_string(claim.record.newest)},
-                              {"known", std::to_string(vouched(model))}});
+                log::warning(
+                    "version_record_absurd",
+                    {{"model", model},
+                     {"newest", std::to_string(claim.record.newest)},
+                     {"known", std::to_string(newest_corroborated(model))}});
             ++one;
         }
     }
@@ -457,11 +468,11 @@
             targets.try_emplace({record.model, record.newest}, claim.learnt);
         kept[record.model] = record.newest;
         auto& least = bound[record.model];
-        least = std::max(least, record.binding);
+        least = std::max(least, record.minimum);
         log::state("version_record_read",
                    {{"model", record.model},
                     {"newest", std::to_string(record.newest)},
-                    {"binding", std::to_string(record.binding)}});
+                    {"binding", std::to_string(record.minimum)}});
     }
 
     void vouch(const std::string& model, std::uint64_t version)
--- a/src/coursejunction/fleet/fwd.hpp
+++ b/src/coursejunction/fleet/fwd.hpp
@@ -31,15 +31,15 @@
 template <typename Store>
 class fleet_node;
 template <typename Store>
-class quarantine_keeper;
+class quarantine_writer;
 struct version_record;
 template <typename Store>
-class version_keeper;
-struct entry_standing;
-class inquiry_schedule;
+class version_record_writer;
+struct entry_ranking;
+class poll_schedule;
 struct offered_version;
-struct unheard_version;
-class lasting_condition;
+struct missed_version;
+class timed_condition;
 struct version_alarms;
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/key_writer.hpp
+++ b/src/coursejunction/fleet/key_writer.hpp
@@ -21,7 +21,7 @@
 enum class write_outcome : std::uint8_t
 {
     written,
-    outrun, /*!< The key is at another revision. */
+    conflict, /*!< The key is at another revision. */
     failed
 };
 
@@ -31,7 +31,7 @@
     {
     case write_outcome::written:
         return "written";
-    case write_outcome::outrun:
+    case write_outcome::conflict:
         return "outrun";
     case write_outcome::failed:
         break;
@@ -93,7 +93,7 @@
         under_way = false;
         const auto outcome = !answer          ? write_outcome::failed
                              : answer.value() ? write_outcome::written
-                                              : write_outcome::outrun;
+                                              : write_outcome::conflict;
         counters.count(counter_name, 1,
                        {{"result", write_outcome_name(outcome)}});
         done(outcome, answer ? std::string() : answer.error().message);
--- a/src/coursejunction/fleet/inquiry_schedule.hpp
+++ b/src/coursejunction/fleet/poll_schedule.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief When an entry asks another source which version was named last; pure.
  */
-#ifndef COURSEJUNCTION_FLEET_INQUIRY_SCHEDULE_HPP
-#define COURSEJUNCTION_FLEET_INQUIRY_SCHEDULE_HPP
+#ifndef COURSEJUNCTION_FLEET_POLL_SCHEDULE_HPP
+#define COURSEJUNCTION_FLEET_POLL_SCHEDULE_HPP
 
 #include <algorithm>
 #include <chrono>
@@ -18,7 +18,7 @@
 {
 
 /*! @brief An entry among those that it hears. */
-struct entry_standing
+struct entry_ranking
 {
     std::size_t rank{0};   /*!< How many come before it. */
     std::size_t others{0}; /*!< How many it hears at all. */
@@ -32,7 +32,7 @@
  *
  * An entry that has just started, or was frozen, has heard nobody and takes
  * itself for the first: a rank counts as lower once it has been for a while. */
-class inquiry_schedule
+class poll_schedule
 {
 public:
     /*! @brief Time between two questions of the first entry. */
@@ -62,7 +62,7 @@
     static constexpr milliseconds starting_time{1200};
 
     /*! @param seed Another one for each entry. */
-    explicit inquiry_schedule(std::uint32_t seed) : random(seed) {}
+    explicit poll_schedule(std::uint32_t seed) : random(seed) {}
 
     /*! @brief What is known may be incomplete: the source is asked as soon as
      * it is this entry's turn. */
@@ -79,7 +79,7 @@
     void repeat() noexcept { repeats = true; }
 
     /*! @brief Tells whether to ask now; called often. */
-    [[nodiscard]] bool due(const entry_standing& at, time_point now)
+    [[nodiscard]] bool due(const entry_ranking& at, time_point now)
     {
         note(at, now);
         if (!settled)
@@ -156,7 +156,7 @@
         return before + part * width * width;
     }
 
-    void note(const entry_standing& at, time_point now)
+    void note(const entry_ranking& at, time_point now)
     {
         const auto rank = at.rank;
         note_others(at.others, now);
--- a/src/coursejunction/fleet/quarantine_keeper.hpp
+++ b/src/coursejunction/fleet/quarantine_writer.hpp
@@ -2,8 +2,8 @@
  * @brief Keeps quarantines in the platform's store, where they outlast the
  * processes that found them.
  */
-#ifndef COURSEJUNCTION_FLEET_QUARANTINE_KEEPER_HPP
-#define COURSEJUNCTION_FLEET_QUARANTINE_KEEPER_HPP
+#ifndef COURSEJUNCTION_FLEET_QUARANTINE_WRITER_HPP
+#define COURSEJUNCTION_FLEET_QUARANTINE_WRITER_HPP
 
 #include <concepts>
 #include <cstddef>
@@ -44,7 +44,7 @@
  * each has cost three upstreams.
  * @tparam Store A `Writable_store`. */
 template <typename Store>
-class quarantine_keeper
+class quarantine_writer
 {
 public:
     /*! @brief An item goes by itself after so long, the longest that the
@@ -63,7 +63,7 @@
     static constexpr std::size_t most_waiting = 64;
 
     /*! @param seed Another one for each entry. */
-    quarantine_keeper(event_loop& owner, Store& service,
+    quarantine_writer(event_loop& owner, Store& service,
                       const store_mirror& held, metrics& counted,
                       std::uint32_t seed)
         : store(service), mirror(held), counters(counted),
@@ -73,7 +73,7 @@
     }
 
     /*! @brief Keeps a quarantine, in place of an earlier record of it. */
-    void keep(const request_content& what, std::string payload)
+    void persist(const request_content& what, std::string payload)
     {
         want(what, {std::move(payload), false});
     }
@@ -87,7 +87,7 @@
     }
 
     /*! @brief A quarantine is over before its time. */
-    void drop(const request_content& what)
+    void remove(const request_content& what)
     {
         const auto* kept = mirror.find(quarantine_key(what));
         const bool coming = wanted.contains(what) || under_way == what;
@@ -96,7 +96,7 @@
     }
 
     /*! @brief Returns how many writes are not done yet. */
-    [[nodiscard]] std::size_t waiting() const { return wanted.size(); }
+    [[nodiscard]] std::size_t pending() const { return wanted.size(); }
 
 private:
     /*! @brief What an item is to be. */
@@ -158,7 +158,7 @@
         if (good)
             writer.succeeded();
         else
-            rest(what, outcome == write_outcome::outrun
+            rest(what, outcome == write_outcome::conflict
                            ? "another entry wrote it"
                            : why);
         go_on();
--- a/src/coursejunction/fleet/version_alarm.hpp
+++ b/src/coursejunction/fleet/version_alarm.hpp
@@ -14,7 +14,7 @@
 {
 
 /*! @brief A condition with the time since when it holds. */
-class lasting_condition
+class timed_condition
 {
 public:
     enum class change : std::uint8_t
@@ -26,7 +26,7 @@
 
     /*! @brief Notes whether it holds.
      * @param since When it began, if it does now. */
-    change note(bool holds, time_point since)
+    change update(bool holds, time_point since)
     {
         if (holds == began_at.has_value())
             return change::none;
@@ -38,7 +38,7 @@
     }
 
     /*! @brief Returns for how long it has held; zero when it does not. */
-    [[nodiscard]] std::chrono::microseconds lasts(time_point now) const
+    [[nodiscard]] std::chrono::microseconds duration(time_point now) const
     {
         if (!began_at)
             return {};
@@ -53,8 +53,8 @@
 /*! @brief What is alarming of one model. */
 struct version_alarms
 {
-    lasting_condition outdated; /*!< The store names an older version. */
-    lasting_condition unserved; /*!< The newest binds and nobody serves it. */
+    timed_condition outdated; /*!< The store names an older version. */
+    timed_condition unserved; /*!< The newest binds and nobody serves it. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/told_versions.hpp
+++ b/src/coursejunction/fleet/version_gossip.hpp
@@ -2,8 +2,8 @@
  * @brief Named versions that the platform's store does not show, as processes
  * tell them to each other.
  */
-#ifndef COURSEJUNCTION_FLEET_TOLD_VERSIONS_HPP
-#define COURSEJUNCTION_FLEET_TOLD_VERSIONS_HPP
+#ifndef COURSEJUNCTION_FLEET_VERSION_GOSSIP_HPP
+#define COURSEJUNCTION_FLEET_VERSION_GOSSIP_HPP
 
 #include <algorithm>
 #include <chrono>
@@ -24,13 +24,13 @@
  * @tparam View A `fleet_view`. */
 template <typename View>
 [[nodiscard]] std::vector<message::told_version>
-versions_to_tell(const View& fleet, time_point now)
+versions_to_gossip(const View& fleet, time_point now)
 {
     std::vector<message::told_version> made;
     for (const auto& [named, known] : fleet.versions())
     {
         const auto& [model, version] = named;
-        if (version <= fleet.stored(model))
+        if (version <= fleet.newest_stored(model))
             continue;
         const auto age =
             std::chrono::duration_cast<milliseconds>(now - known).count();
@@ -44,7 +44,7 @@
 }
 
 /*! @brief Believes a peer's word of when a version was named. */
-struct naming_as_told
+struct trust_reported_time
 {
     [[nodiscard]] time_point operator()(const std::string&,
                                         time_point told) const noexcept
@@ -58,23 +58,24 @@
  * @param naming Returns when a version that is new here was named, by the
  * peer's word and what is known here.
  * @return Whether anything changed. */
-template <typename View, typename Naming = naming_as_told>
-bool take_told(View& fleet, const std::vector<message::told_version>& told,
-               time_point now, Naming naming = {})
+template <typename View, typename Naming = trust_reported_time>
+bool merge_gossiped_versions(View& fleet,
+                             const std::vector<message::told_version>& told,
+                             time_point now, Naming naming = {})
 {
     bool changed = false;
     for (const auto& one : told)
     {
-        if (!follows_closely(fleet.newest(one.model), one.version))
+        if (!plausible_successor(fleet.newest(one.model), one.version))
         {
-            fleet.told_absurd(one.model, one.version);
+            fleet.report_implausible_version(one.model, one.version);
             continue;
         }
         // What is confirmed here later says nothing of a version known by then.
         const bool news = one.version > fleet.newest(one.model);
         const auto word = now - milliseconds(one.age_ms);
         const auto known = news ? naming(one.model, word) : word;
-        changed = fleet.told(one.model, one.version, known) || changed;
+        changed = fleet.add_version(one.model, one.version, known) || changed;
     }
     return changed;
 }
--- a/src/coursejunction/fleet/version_inquiry.hpp
+++ b/src/coursejunction/fleet/version_poller.hpp
@@ -2,8 +2,8 @@
  * @brief Asks a second source which version of a model was named last: what is
  * overwritten in the platform's store before anybody reads it is known there.
  */
-#ifndef COURSEJUNCTION_FLEET_VERSION_INQUIRY_HPP
-#define COURSEJUNCTION_FLEET_VERSION_INQUIRY_HPP
+#ifndef COURSEJUNCTION_FLEET_VERSION_POLLER_HPP
+#define COURSEJUNCTION_FLEET_VERSION_POLLER_HPP
 
 #include <algorithm>
 #include <cstddef>
@@ -17,8 +17,8 @@
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/core/result.hpp"
 #include "coursejunction/core/types.hpp"
-#include "coursejunction/fleet/inquiry_schedule.hpp"
 #include "coursejunction/fleet/installation.hpp"
+#include "coursejunction/fleet/poll_schedule.hpp"
 #include "coursejunction/fleet/version_record.hpp"
 #include "coursejunction/fleet/version_source.hpp"
 #include "coursejunction/net/event_loop.hpp"
@@ -38,11 +38,11 @@
 };
 
 /*! @brief A version that only the second source told. */
-struct unheard_version
+struct missed_version
 {
     std::string model;
     std::uint64_t version{0};
-    time_point named_at{}; /*!< As far as is known. */
+    time_point published_at{}; /*!< As far as is known. */
 };
 
 /*! @brief Keeps asking, one question at a time for each model. A newer version
@@ -50,7 +50,7 @@
  * @tparam Source A `Version_source`.
  * @tparam Clock Tells the time at which an answer comes. */
 template <Version_source Source, typename Clock = event_loop>
-class version_inquiry
+class version_poller
 {
 public:
     /*! @brief A version that the source tells is usually on its way from the
@@ -64,14 +64,14 @@
 
     /*! @param told Takes versions that nobody reads in the store.
      * @param seed Another one for each entry. */
-    version_inquiry(Source& asked, metrics& counted, std::uint32_t seed,
-                    std::function<void(const unheard_version&)> told)
+    version_poller(Source& asked, metrics& counted, std::uint32_t seed,
+                   std::function<void(const missed_version&)> told)
         : source(asked), counters(counted), number(seed), news(std::move(told))
     {
     }
 
     /*! @brief What was read of the store may be incomplete. */
-    void doubt(const std::string& why, time_point now)
+    void request_recheck(const std::string& why, time_point now)
     {
         log::state("version_doubted", {{"why", why}});
         for (auto& [model, one] : models)
@@ -82,8 +82,8 @@
      * in the store.
      * @param from The service that is the source.
      * @param at This entry's place among those that it hears. */
-    void consider(const service_profile& from, const versioned_model& model,
-                  const entry_standing& at, time_point now)
+    void poll_if_due(const service_profile& from, const versioned_model& model,
+                     const entry_ranking& at, time_point now)
     {
         auto& one = known(from, model, now);
         one.model = model;
@@ -102,8 +102,8 @@
 
     /*! @brief Returns the latest moment at which a version that is newer than
      * all that are known here can count as named. */
-    [[nodiscard]] time_point latest_naming(const std::string& model,
-                                           time_point now) const
+    [[nodiscard]] time_point latest_publish_time(const std::string& model,
+                                                 time_point now) const
     {
         const auto found = models.find(model);
         return found == models.end()
@@ -135,7 +135,7 @@
 
     struct model_state
     {
-        inquiry_schedule schedule;
+        poll_schedule schedule;
         versioned_model model;
         /*! @brief When the source told nothing newer than what was known; at
          * first, when this process began to ask. */
@@ -155,7 +155,7 @@
         const auto found = models.find(model.name);
         if (found != models.end())
             return found->second;
-        model_state made{inquiry_schedule(number), {}, now};
+        model_state made{poll_schedule(number), {}, now};
         made.schedule.costs(model.chunks * chunk_answer_bytes,
                             from.origin_rate);
         made.schedule.doubt(now);
@@ -241,7 +241,7 @@
         const auto& offer = answer.value();
         if (offer.version < model.newest)
             return "older than what was named";
-        if (!follows_closely(model.newest, offer.version))
+        if (!plausible_successor(model.newest, offer.version))
             return "absurd version";
         if (offer.chunks != model.chunks ||
             offer.chunk_bytes != model.chunk_bytes)
@@ -279,7 +279,7 @@
     Source& source;
     metrics& counters;
     std::uint32_t number;
-    std::function<void(const unheard_version&)> news;
+    std::function<void(const missed_version&)> news;
     std::map<std::string, model_state> models;
 };
 
--- a/src/coursejunction/fleet/version_record.cpp
+++ b/src/coursejunction/fleet/version_record.cpp
@@ -16,7 +16,7 @@
     message::kept_versions kept;
     kept.model = record.model;
     kept.newest = record.newest;
-    kept.binding = record.binding;
+    kept.binding = record.minimum;
     return encode(kept);
 }
 
--- a/src/coursejunction/fleet/version_record.hpp
+++ b/src/coursejunction/fleet/version_record.hpp
@@ -21,13 +21,13 @@
 /*! @brief How far a version that somebody else than the operator's name tells
  * may be ahead of the newest that is known: a spoilt number would bind for
  * good. */
-inline constexpr std::uint64_t farthest_step = 1000;
+inline constexpr std::uint64_t max_version_step = 1000;
 
 /*! @brief Tells whether a version may be believed after a known one. */
-[[nodiscard]] constexpr bool follows_closely(std::uint64_t known,
-                                             std::uint64_t version) noexcept
+[[nodiscard]] constexpr bool plausible_successor(std::uint64_t known,
+                                                 std::uint64_t version) noexcept
 {
-    return version <= known || version - known <= farthest_step;
+    return version <= known || version - known <= max_version_step;
 }
 
 /*! @brief What is known of a model's versions. Both only rise. */
@@ -35,28 +35,29 @@
 {
     std::string model;
     std::uint64_t newest{0};  /*!< That was ever named. */
-    std::uint64_t binding{0}; /*!< Older ones begin no request any more. */
+    std::uint64_t minimum{0}; /*!< Older ones begin no request any more. */
 
     /*! @brief Tells whether this says all that another record does. */
     [[nodiscard]] bool covers(const version_record& other) const noexcept
     {
-        return newest >= other.newest && binding >= other.binding;
+        return newest >= other.newest && minimum >= other.minimum;
     }
 
     /*! @brief Takes over what another record knows beyond this one. */
     void merge(const version_record& other)
     {
         newest = std::max(newest, other.newest);
-        binding = std::max(binding, other.binding);
+        minimum = std::max(minimum, other.minimum);
     }
 };
 
 /*! @brief Tells whether a record may be believed.
  * @param vouched The newest version that anything but a record tells. */
-[[nodiscard]] inline bool believable(const version_record& record,
-                                     std::uint64_t vouched) noexcept
+[[nodiscard]] inline bool plausible(const version_record& record,
+                                    std::uint64_t vouched) noexcept
 {
-    return follows_closely(vouched, std::max(record.newest, record.binding));
+    return plausible_successor(vouched,
+                               std::max(record.newest, record.minimum));
 }
 
 /*! @brief Returns the key of a model's item. */
--- a/src/coursejunction/fleet/version_keeper.hpp
+++ b/src/coursejunction/fleet/version_record_writer.hpp
@@ -2,8 +2,8 @@
  * @brief Keeps in the platform's store which versions were named and which of
  * them bind, where it outlasts all processes.
  */
-#ifndef COURSEJUNCTION_FLEET_VERSION_KEEPER_HPP
-#define COURSEJUNCTION_FLEET_VERSION_KEEPER_HPP
+#ifndef COURSEJUNCTION_FLEET_VERSION_RECORD_WRITER_HPP
+#define COURSEJUNCTION_FLEET_VERSION_RECORD_WRITER_HPP
 
 #include <algorithm>
 #include <concepts>
@@ -31,12 +31,12 @@
  * key that is absent. Answers come on the loop's thread: whether it was written
  * (false: the key is at another revision), or `unavailable`. */
 template <typename Store>
-concept Keeping_store = requires(Store& store, const std::string& key,
-                                 const std::string& payload,
-                                 std::uint64_t revision,
-                                 std::function<void(result<bool>)> done)
+concept Permanent_store = requires(Store& store, const std::string& key,
+                                   const std::string& payload,
+                                   std::uint64_t revision,
+                                   std::function<void(result<bool>)> done)
 {
-    store.keep(key, payload, revision, done);
+    store.put_permanent(key, payload, revision, done);
 };
 
 /*! @brief Writes what the store's records lack. All entries know the same, so
@@ -44,13 +44,13 @@
  *
  * The name of a version in the store may go back: a write without an answer can
  * be done seconds later, over a newer one.
- * @tparam Store A `Keeping_store`. */
+ * @tparam Store A `Permanent_store`. */
 template <typename Store>
-class version_keeper
+class version_record_writer
 {
 public:
     /*! @brief An entry waits this long for each entry before it. */
-    static constexpr milliseconds turn{500};
+    static constexpr milliseconds rank_delay{500};
 
     /*! @brief A record that cannot be believed is left for so long: the name
      * that bears it out may be on its way. */
@@ -62,8 +62,9 @@
     static constexpr milliseconds longest_pause{4000};
 
     /*! @param seed Another one for each entry. */
-    version_keeper(event_loop& owner, Store& service, const store_mirror& held,
-                   metrics& counted, std::uint32_t seed)
+    version_record_writer(event_loop& owner, Store& service,
+                          const store_mirror& held, metrics& counted,
+                          std::uint32_t seed)
         : store(service), mirror(held),
           writer(owner, counted, "version_record_writes_total",
                  backoff(first_pause, longest_pause, seed))
@@ -72,7 +73,7 @@
 
     /*! @brief Notes what is known of a model's versions.
      * @param vouched The newest version that anything but a record tells. */
-    void know(const version_record& record, std::uint64_t vouched)
+    void add_known(const version_record& record, std::uint64_t vouched)
     {
         auto& one = known[record.model];
         one.record.model = record.model;
@@ -82,7 +83,7 @@
 
     /*! @brief Writes what is missing when it is this entry's turn.
      * @param rank How many entries come before this one. */
-    void consider(std::size_t rank, time_point now)
+    void write_if_due(std::size_t rank, time_point now)
     {
         for (const auto& [model, one] : known)
         {
@@ -93,7 +94,7 @@
                 continue;
             }
             const auto since = missing_since.try_emplace(model, now);
-            const auto waits = turn * static_cast<std::int64_t>(rank) +
+            const auto waits = rank_delay * static_cast<std::int64_t>(rank) +
                                (held.believed ? milliseconds{0} : doubt_time);
             if (!writer.busy() && now - since.first->second >= waits)
                 write(one.record, held);
@@ -125,7 +126,7 @@
         made.revision = value->revision;
         if (const auto read = read_version_record(key, value->payload))
             made.record = read.value();
-        made.believed = believable(made.record, one.vouched);
+        made.believed = plausible(made.record, one.vouched);
         return made;
     }
 
@@ -140,7 +141,7 @@
                          {{"model", record.model},
                           {"held", std::to_string(held.record.newest)},
                           {"newest", std::to_string(record.newest)}});
-        store.keep(
+        store.put_permanent(
             version_record_key(record.model), version_record_payload(record),
             held.revision,
             writer.begin([this, record, added = held.believed](
@@ -156,7 +157,7 @@
         log::state("version_record_write",
                    {{"model", record.model},
                     {"newest", std::to_string(record.newest)},
-                    {"binding", std::to_string(record.binding)},
+                    {"binding", std::to_string(record.minimum)},
                     {"result", write_outcome_name(outcome)},
                     {"why", why}});
         if (outcome == write_outcome::written && added)
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -15,11 +15,11 @@
 
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/core/rendezvous.hpp"
-#include "coursejunction/fleet/configuration_keeper.hpp"
+#include "coursejunction/fleet/configuration_copy_writer.hpp"
 #include "coursejunction/fleet/fleet_node.hpp"
 #include "coursejunction/fleet/fleet_view.hpp"
 #include "coursejunction/fleet/quarantine_item.hpp"
-#include "coursejunction/fleet/quarantine_keeper.hpp"
+#include "coursejunction/fleet/quarantine_writer.hpp"
 #include "coursejunction/fleet/restore_turn.hpp"
 #include "coursejunction/net/event_loop.hpp"
 #include "coursejunction/net/metrics.hpp"
@@ -77,7 +77,7 @@
             [this](const std::vector<std::string>& keys, bool store_returned)
         { changed(keys, store_returned); };
         hooks.overwritten = [this](const message::mirror_item& one)
-        { fleet.pass(one, event_loop::now()); };
+        { fleet.add_overwritten_version(one, event_loop::now()); };
         hooks.heard =
             [this](const std::string& from, const message::fleet_heartbeat& one)
         { heard(from, one); };
@@ -212,14 +212,14 @@
     /*! @brief Ready means: knows what to do with a request. */
     [[nodiscard]] bool ready() const
     {
-        return !leaving && fleet.rules() != nullptr;
+        return !leaving && fleet.configuration() != nullptr;
     }
 
     /*! @param lapse Whether records that are gone may come back. */
     void changed(const std::vector<std::string>& keys, bool lapse)
     {
         const auto now = event_loop::now();
-        const auto* before = fleet.rules();
+        const auto* before = fleet.configuration();
         take_quarantines(keys);
         for (const auto& one : fleet.update(node.mirror(), keys))
         {
@@ -234,10 +234,11 @@
                         {"lapse", lapse ? "true" : "false"}});
         }
         versions.read(before == nullptr, now);
-        if (fleet.rules() != before)
+        if (fleet.configuration() != before)
             configure();
-        const auto* rules = fleet.rules();
-        configurations.read(keys, rules == nullptr ? 0 : rules->version);
+        const auto* rules = fleet.configuration();
+        configurations.on_keys_changed(keys,
+                                       rules == nullptr ? 0 : rules->version);
         name_sides();
     }
 
@@ -266,9 +267,9 @@
                          const message::crash_record* record)
     {
         if (record != nullptr)
-            keeper.keep(what, quarantine_payload(*record, wall_ms()));
+            keeper.persist(what, quarantine_payload(*record, wall_ms()));
         else
-            keeper.drop(what);
+            keeper.remove(what);
     }
 
     /*! @brief Writes quarantines again that the store lost by coming back from
@@ -320,14 +321,14 @@
 
     void configure()
     {
-        exchanges.configure(fleet.shared_rules());
-        callers->limits(fleet.rules()->limits);
+        exchanges.configure(fleet.shared_configuration());
+        callers->limits(fleet.configuration()->limits);
     }
 
     /*! @brief Sides stand beside the upstreams that have an engine. */
     void name_sides()
     {
-        const auto* rules = fleet.rules();
+        const auto* rules = fleet.configuration();
         if (rules == nullptr)
             return;
         for (const auto& [id, one] : fleet.upstreams())
@@ -454,7 +455,7 @@
         const auto rank =
             node.peers().entries_before(node.settings().address, now);
         restore_quarantines(rank, now);
-        configurations.consider(rank, now);
+        configurations.write_if_due(rank, now);
     }
 
     void go_on_stopping(time_point now)
@@ -482,9 +483,10 @@
     upstream_book book;
     fleet_view<Platform> fleet;
     exchange_service<codec> exchanges;
-    quarantine_keeper<typename Platform::store> keeper;
+    quarantine_writer<typename Platform::store> keeper;
     restore_turn restoring;
-    configuration_keeper<typename Platform::store, typename Platform::catalogue>
+    configuration_copy_writer<typename Platform::store,
+                              typename Platform::catalogue>
         configurations;
     version_controller<Platform> versions;
     std::unique_ptr<stream_server> callers;
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -16,10 +16,10 @@
 #include "coursejunction/core/types.hpp"
 #include "coursejunction/fleet/fleet_node.hpp"
 #include "coursejunction/fleet/fleet_view.hpp"
-#include "coursejunction/fleet/told_versions.hpp"
 #include "coursejunction/fleet/version_alarm.hpp"
-#include "coursejunction/fleet/version_inquiry.hpp"
-#include "coursejunction/fleet/version_keeper.hpp"
+#include "coursejunction/fleet/version_gossip.hpp"
+#include "coursejunction/fleet/version_poller.hpp"
+#include "coursejunction/fleet/version_record_writer.hpp"
 #include "coursejunction/net/event_loop.hpp"
 #include "coursejunction/net/metrics.hpp"
 #include "coursejunction/route/version_floor.hpp"
@@ -48,7 +48,7 @@
           keeper(owner, peers.service(), peers.mirror(), counted, seed),
           origin(peers.client()),
           inquiry(origin, counted, seed,
-                  [this](const unheard_version& one) { take_unheard(one); })
+                  [this](const missed_version& one) { take_unheard(one); })
     {
     }
 
@@ -63,28 +63,29 @@
                 floors.found(model, version, named, version_time);
         }
         bind();
-        if (fleet.take_repeated_names())
-            inquiry.doubt("named again without rising", now);
+        if (fleet.consume_nonincreasing_publish())
+            inquiry.request_recheck("named again without rising", now);
     }
 
     /*! @brief Takes what a peer was told of versions that the store lacks. */
     void heard(const std::vector<message::told_version>& told, time_point now)
     {
         const auto naming = [&](const std::string& model, time_point word)
-        { return std::max(word, inquiry.latest_naming(model, now)); };
-        if (fleet.rules() == nullptr || !take_told(fleet, told, now, naming))
+        { return std::max(word, inquiry.latest_publish_time(model, now)); };
+        if (fleet.configuration() == nullptr ||
+            !merge_gossiped_versions(fleet, told, now, naming))
             return;
         bind();
         for (const auto& one : told)
             floors.named_later(one.model, one.version,
-                               fleet.named_at(one.model, one.version),
+                               fleet.published_at(one.model, one.version),
                                version_time, now);
     }
 
     /*! @brief Returns what the store does not show, for other processes. */
     [[nodiscard]] std::vector<message::told_version> told(time_point now) const
     {
-        return versions_to_tell(fleet, now);
+        return versions_to_gossip(fleet, now);
     }
 
     /*! @brief Called often; `takes_part` is false while this entry stops. */
@@ -107,7 +108,7 @@
     {
         for (const auto& [key, named] : fleet.versions())
             floors.name(key.first, key.second, named, version_time);
-        for (const auto& [model, version] : fleet.binding())
+        for (const auto& [model, version] : fleet.minimum_versions())
             floors.binds(model, version);
         judge_found();
     }
@@ -162,19 +163,20 @@
         {
             const auto& [model, version] = named;
             const auto binding = floors.least_known(model, now);
-            keeper.know({model, std::max(version, binding), binding},
-                        fleet.vouched(model));
+            keeper.add_known({model, std::max(version, binding), binding},
+                             fleet.newest_corroborated(model));
         }
-        keeper.consider(rank, now);
+        keeper.write_if_due(rank, now);
     }
 
-    void ask(const entry_standing& at, time_point now)
+    void ask(const entry_ranking& at, time_point now)
     {
         const auto gaps = node.gaps();
         if (gaps != gaps_seen)
-            inquiry.doubt("a gap in what was heard of the store", now);
+            inquiry.request_recheck("a gap in what was heard of the store",
+                                    now);
         gaps_seen = gaps;
-        const auto* rules = fleet.rules();
+        const auto* rules = fleet.configuration();
         const auto* from = rules != nullptr ? rules->origin() : nullptr;
         if (from == nullptr)
             return;
@@ -186,18 +188,18 @@
     }
 
     void ask(const service_profile& from, const engine_profile& engine,
-             const entry_standing& at, time_point now)
+             const entry_ranking& at, time_point now)
     {
         for (const auto& model : engine.models)
-            inquiry.consider(
+            inquiry.poll_if_due(
                 from,
                 {model, fleet.newest(model), engine.chunks, engine.chunk_bytes},
                 at, now);
     }
 
-    void take_unheard(const unheard_version& one)
+    void take_unheard(const missed_version& one)
     {
-        fleet.told(one.model, one.version, one.named_at);
+        fleet.add_version(one.model, one.version, one.published_at);
         bind();
         node.announce();
     }
@@ -207,7 +209,7 @@
         if (now - watched_at < alarm_interval)
             return;
         watched_at = now;
-        const auto* rules = fleet.rules();
+        const auto* rules = fleet.configuration();
         if (rules == nullptr)
             return;
         for (const auto& [name, service] : rules->services)
@@ -221,33 +223,33 @@
 
     void watch(const std::string& model, time_point now)
     {
-        const auto named = fleet.named_in_store(model);
+        const auto named = fleet.published_in_store(model);
         const auto newest = fleet.newest(model);
         const bool binds = floors.least(model, now) >= newest;
         const bool unserved =
             newest > 1 && binds && serving(model, newest).newest == 0;
         auto& one = alarms[model];
         report("version_name_outdated", model, named,
-               one.outdated.note(named < newest, now));
+               one.outdated.update(named < newest, now));
         report("version_unserved", model, named,
-               one.unserved.note(unserved, now));
+               one.unserved.update(unserved, now));
         const metrics::labels of{{"model", model}};
         counters.set("version_name_outdated_seconds",
-                     to_seconds(one.outdated.lasts(now)), of);
+                     to_seconds(one.outdated.duration(now)), of);
         counters.set("version_unserved_seconds",
-                     to_seconds(one.unserved.lasts(now)), of);
+                     to_seconds(one.unserved.duration(now)), of);
         counters.set("version_unconfirmed_seconds",
                      to_seconds(inquiry.unconfirmed_for(model, now)), of);
     }
 
     void report(const std::string& what, const std::string& model,
-                std::uint64_t named, lasting_condition::change change) const
+                std::uint64_t named, timed_condition::change change) const
     {
-        if (change == lasting_condition::change::none)
+        if (change == timed_condition::change::none)
             return;
         const auto newest = std::to_string(fleet.newest(model));
         const auto name = std::to_string(named);
-        if (change == lasting_condition::change::began)
+        if (change == timed_condition::change::began)
             log::warning(
                 what, {{"model", model}, {"named", name}, {"newest", newest}});
         else
@@ -260,9 +262,9 @@
     version_floor& floors;
     metrics& counters;
     milliseconds version_time;
-    version_keeper<typename Platform::store> keeper;
+    version_record_writer<typename Platform::store> keeper;
     origin_type origin;
-    version_inquiry<origin_type> inquiry;
+    version_poller<origin_type> inquiry;
     std::uint64_t gaps_seen{0};
     time_point watched_at{};
     std::map<std::string, version_alarms> alarms;
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -18,7 +18,7 @@
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/fleet/fleet_node.hpp"
 #include "coursejunction/fleet/fleet_view.hpp"
-#include "coursejunction/fleet/told_versions.hpp"
+#include "coursejunction/fleet/version_gossip.hpp"
 #include "coursejunction/net/event_loop.hpp"
 #include "coursejunction/net/metrics.hpp"
 #include "coursejunction/rollout/agent_state.hpp"
@@ -88,7 +88,7 @@
         hooks.changed = [this](const std::vector<std::string>& keys, bool)
         { changed(keys); };
         hooks.overwritten = [this](const message::mirror_item& one)
-        { fleet.pass(one, event_loop::now()); };
+        { fleet.add_overwritten_version(one, event_loop::now()); };
         hooks.heard =
             [this](const std::string& from, const message::fleet_heartbeat& one)
         { heard(from, one); };
@@ -136,7 +136,7 @@
 
     [[nodiscard]] bool has_engine(const upstream_record& one) const
     {
-        const auto* rules = fleet.rules();
+        const auto* rules = fleet.configuration();
         const auto* service =
             rules != nullptr ? rules->service(one.service) : nullptr;
         return service != nullptr && service->engine.has_value();
@@ -147,7 +147,7 @@
     {
         if (last && !last->model.empty())
             return last->model;
-        const auto* rules = fleet.rules();
+        const auto* rules = fleet.configuration();
         if (rules == nullptr)
             return {};
         for (const auto& [name, service] : rules->services)
@@ -197,8 +197,8 @@
                               one.second->complete())
                               return false;
                           const auto found = transfers.find(newest);
-                          return overtaken(fleet.named_at(name, version),
-                                           fleet.named_at(name, newest)) ||
+                          return overtaken(fleet.published_at(name, version),
+                                           fleet.published_at(name, newest)) ||
                                  too_late(*one.second, newest) ||
                                  (found != transfers.end() &&
                                   found->second->complete());
@@ -214,7 +214,8 @@
         if (!needs)
             return false;
         const auto used_until =
-            fleet.named_at(one.version().model, newest) + options.send_until;
+            fleet.published_at(one.version().model, newest) +
+            options.send_until;
         if (!comes_too_late(*needs, event_loop::now(), used_until))
             return false;
         log::state("version_passed_over",
@@ -285,13 +286,13 @@
         typename transfer_type::surroundings around;
         around.origin = [this]
         {
-            const auto* rules = fleet.rules();
+            const auto* rules = fleet.configuration();
             const auto* from = rules != nullptr ? rules->origin() : nullptr;
             return from != nullptr ? from->origin : std::string();
         };
         around.origin_rate = [this]
         {
-            const auto* rules = fleet.rules();
+            const auto* rules = fleet.configuration();
             const auto* from = rules != nullptr ? rules->origin() : nullptr;
             return from != nullptr ? from->origin_rate : byte_rate{0};
         };
@@ -338,7 +339,7 @@
     [[nodiscard]] bool lately_named(std::uint64_t version) const
     {
         return version > 1 && last &&
-               event_loop::now() - fleet.named_at(last->model, version) <
+               event_loop::now() - fleet.published_at(last->model, version) <
                    options.spread_time;
     }
 
@@ -473,7 +474,8 @@
                               one.last.upstream.version < wanted.version &&
                                   next.whole_at(one.last.chunks)});
         }
-        const auto known = now - fleet.named_at(wanted.model, wanted.version);
+        const auto known =
+            now - fleet.published_at(wanted.model, wanted.version);
         return may_close(options.turns, instance_id(own), others,
                          wanted.rank_key(), known);
     }
@@ -507,7 +509,7 @@
     /*! @brief Tells whether every request here can be resumed elsewhere. */
     [[nodiscard]] bool may_cut() const
     {
-        const auto* rules = fleet.rules();
+        const auto* rules = fleet.configuration();
         if (rules == nullptr)
             return false;
         return std::all_of(rules->routes.begin(), rules->routes.end(),
@@ -586,8 +588,8 @@
     {
         if (one.entry)
         {
-            if (fleet.rules() != nullptr &&
-                take_told(fleet, one.versions, event_loop::now()))
+            if (fleet.configuration() != nullptr &&
+                merge_gossiped_versions(fleet, one.versions, event_loop::now()))
                 decide();
             return;
         }
--- a/tests/fleet/configuration_keeper.cpp
+++ b/tests/fleet/configuration_copy_writer.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/fleet/configuration_keeper.hpp"
+#include "coursejunction/fleet/configuration_copy_writer.hpp"
 
 #include <functional>
 #include <string>
@@ -25,8 +25,9 @@
         std::function<void(result<bool>)> done;
     };
 
-    void keep(const std::string&, const std::string& payload,
-              std::uint64_t revision, std::function<void(result<bool>)> done)
+    void put_permanent(const std::string&, const std::string& payload,
+                       std::uint64_t revision,
+                       std::function<void(result<bool>)> done)
     {
         calls.push_back({payload, revision, std::move(done)});
     }
@@ -44,8 +45,8 @@
 {
     static item_kind kind(const std::string& key)
     {
-        if (key == kept_configuration_key())
-            return item_kind::kept_configuration;
+        if (key == configuration_copy_key())
+            return item_kind::configuration_copy;
         return key == "operator" ? item_kind::configuration : item_kind::other;
     }
     static item_order order(const std::string& key, const std::string& payload)
@@ -61,7 +62,8 @@
 SCENARIO("a copy of the newest configuration is kept while it is needed",
          "[fleet]")
 {
-    using keeper_type = configuration_keeper<noted_store, number_catalogue>;
+    using keeper_type =
+        configuration_copy_writer<noted_store, number_catalogue>;
     loopback::running_loop running;
     noted_store store;
     store_mirror mirror({number_catalogue::order, [](const std::string& key)
@@ -74,9 +76,10 @@
                            std::uint64_t in_force, bool removed = false)
     {
         ++revision;
-        keeper.read(mirror.apply({{key, payload, revision, 0, removed, "", 0}},
-                                 revision, start),
-                    in_force);
+        keeper.on_keys_changed(
+            mirror.apply({{key, payload, revision, 0, removed, "", 0}},
+                         revision, start),
+            in_force);
     };
     const auto on_loop = [&](auto work) { running.on_loop(work); };
 
@@ -87,7 +90,7 @@
             {
                 shows("operator", "3", 3);
                 shows("operator", "5", 5);
-                keeper.consider(0, start + 10s);
+                keeper.write_if_due(0, start + 10s);
                 CHECK(store.calls.empty());
             });
     }
@@ -98,8 +101,8 @@
             {
                 shows("operator", "5", 5);
                 shows("operator", "3", 5);
-                keeper.consider(0, start);
-                keeper.consider(0, start);
+                keeper.write_if_due(0, start);
+                keeper.write_if_due(0, start);
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].payload == "5");
                 CHECK(store.calls[0].revision == 0);
@@ -112,10 +115,10 @@
             {
                 shows("operator", "5", 5);
                 shows("operator", "3", 5);
-                keeper.consider(1, start);
+                keeper.write_if_due(1, start);
                 CHECK(store.calls.empty());
-                shows(kept_configuration_key(), "5", 5);
-                keeper.consider(1, start + 10s);
+                shows(configuration_copy_key(), "5", 5);
+                keeper.write_if_due(1, start + 10s);
                 CHECK(store.calls.empty());
             });
     }
@@ -125,8 +128,8 @@
             [&]
             {
                 shows("operator", "3", 3);
-                shows(kept_configuration_key(), "5", 5);
-                keeper.consider(0, start);
+                shows(configuration_copy_key(), "5", 5);
+                keeper.write_if_due(0, start);
                 CHECK(store.calls.empty());
             });
     }
@@ -136,9 +139,9 @@
             [&]
             {
                 shows("operator", "3", 3);
-                shows(kept_configuration_key(), "5", 5);
+                shows(configuration_copy_key(), "5", 5);
                 shows("operator", "6", 6);
-                keeper.consider(0, start);
+                keeper.write_if_due(0, start);
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].payload.empty());
                 CHECK(store.calls[0].revision == 2);
@@ -151,7 +154,7 @@
             {
                 shows("operator", "5", 5);
                 mirror.replace({}, {1, 1}, start);
-                keeper.consider(0, start);
+                keeper.write_if_due(0, start);
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].payload == "5");
             });
@@ -162,14 +165,15 @@
             [&]
             {
                 shows("operator", "3", 3);
-                shows(kept_configuration_key(), "4", 4);
+                shows(configuration_copy_key(), "4", 4);
                 shows("operator", "5", 5);
-                shows(kept_configuration_key(), "", 5, true);
+                shows(configuration_copy_key(), "", 5, true);
                 message::mirror_item lost{
-                    kept_configuration_key(), "4", 2, 0, false, "", 0};
+                    configuration_copy_key(), "4", 2, 0, false, "", 0};
                 lost.era = 1;
-                keeper.read(mirror.replace({lost}, {1, 2}, start), 5);
-                keeper.consider(0, start);
+                keeper.on_keys_changed(mirror.replace({lost}, {1, 2}, start),
+                                       5);
+                keeper.write_if_due(0, start);
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].payload == "5");
                 CHECK(store.calls[0].revision == 2);
@@ -182,17 +186,17 @@
             {
                 shows("operator", "5", 5);
                 shows("operator", "3", 5);
-                keeper.consider(0, start);
+                keeper.write_if_due(0, start);
                 store.calls.at(0).done(
                     failure(error_kind::unavailable, "away"));
-                keeper.consider(0, start);
+                keeper.write_if_due(0, start);
                 CHECK(store.calls.size() == 1);
             });
         std::this_thread::sleep_for(900ms);
         on_loop(
             [&]
             {
-                keeper.consider(0, start);
+                keeper.write_if_due(0, start);
                 CHECK(store.calls.size() == 2);
             });
     }
--- a/tests/fleet/inquiry_schedule.cpp
+++ b/tests/fleet/poll_schedule.cpp
@@ -1,11 +1,11 @@
-#include "coursejunction/fleet/inquiry_schedule.hpp"
+#include "coursejunction/fleet/poll_schedule.hpp"
 
 #include <algorithm>
 #include <string>
 
 #include <catch2/catch.hpp>
 
-#include "fleet/inquiry_replay.hpp"
+#include "fleet/poll_simulation.hpp"
 
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
@@ -13,7 +13,7 @@
 namespace
 {
 
-using schedule = cj::inquiry_schedule;
+using schedule = cj::poll_schedule;
 
 constexpr cj::time_point start{100s};
 constexpr std::size_t others = 9; /*!< Entries that are heard. */
@@ -210,7 +210,7 @@
 namespace
 {
 
-namespace replay = inquiry_replay;
+namespace replay = poll_simulation;
 
 /*! @brief Of the source's link, in any window. */
 constexpr double most_share = 0.05;
--- a/tests/fleet/inquiry_replay.hpp
+++ b/tests/fleet/poll_simulation.hpp
@@ -2,8 +2,8 @@
  * @brief Replays in virtual time how many entries ask one source which version
  * was named last. Without input or output.
  */
-#ifndef COURSEJUNCTION_TESTS_FLEET_INQUIRY_REPLAY_HPP
-#define COURSEJUNCTION_TESTS_FLEET_INQUIRY_REPLAY_HPP
+#ifndef COURSEJUNCTION_TESTS_FLEET_POLL_SIMULATION_HPP
+#define COURSEJUNCTION_TESTS_FLEET_POLL_SIMULATION_HPP
 
 #include <algorithm>
 #include <chrono>
@@ -13,9 +13,9 @@
 #include <random>
 #include <vector>
 
-#include "coursejunction/fleet/inquiry_schedule.hpp"
+#include "coursejunction/fleet/poll_schedule.hpp"
 
-namespace inquiry_replay
+namespace poll_simulation
 {
 
 namespace cj = coursejunction;
@@ -118,11 +118,11 @@
             life.starts = start;
         }
 
-        cj::inquiry_schedule schedule;
+        cj::poll_schedule schedule;
         fate life;
         bool begun{false};
         bool seed{false};
-        cj::entry_standing at;
+        cj::entry_ranking at;
         ms asking_until{0};
     };
 
@@ -161,9 +161,9 @@
                clear(own.cut, now) && clear(one.cut, now);
     }
 
-    [[nodiscard]] cj::entry_standing standing_of(std::size_t at, ms now) const
+    [[nodiscard]] cj::entry_ranking standing_of(std::size_t at, ms now) const
     {
-        cj::entry_standing seen;
+        cj::entry_ranking seen;
         for (std::size_t other = 0; other < entries.size(); ++other)
         {
             if (other == at || !hears(at, other, now))
@@ -275,6 +275,6 @@
     outcome made;
 };
 
-} // namespace inquiry_replay
+} // namespace poll_simulation
 
 #endif
--- a/tests/fleet/quarantine_keeper.cpp
+++ b/tests/fleet/quarantine_writer.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/fleet/quarantine_keeper.hpp"
+#include "coursejunction/fleet/quarantine_writer.hpp"
 
 #include <functional>
 #include <string>
@@ -52,7 +52,7 @@
     noted_store store;
     store_mirror mirror;
     metrics counters;
-    quarantine_keeper<noted_store> keeper(running.loop, store, mirror, counters,
+    quarantine_writer<noted_store> keeper(running.loop, store, mirror, counters,
                                           1);
     const auto bad = request_content::of("school", "/", "bad");
     const auto key = quarantine_key(bad);
@@ -66,13 +66,13 @@
         on_loop(
             [&]
             {
-                keeper.keep(bad, "first");
+                keeper.persist(bad, "first");
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].key == key);
                 CHECK(store.calls[0].payload == "first");
                 CHECK(store.calls[0].revision == 0);
                 store.calls[0].done(true);
-                CHECK(keeper.waiting() == 0);
+                CHECK(keeper.pending() == 0);
                 CHECK(store.calls.size() == 1);
             });
     }
@@ -85,7 +85,7 @@
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].revision == 0);
                 store.calls[0].done(true);
-                CHECK(keeper.waiting() == 0);
+                CHECK(keeper.pending() == 0);
             });
     }
     SECTION("one that the store lost and another entry writes stays as it is")
@@ -103,7 +103,7 @@
             [&]
             {
                 CHECK(store.calls.size() == 1);
-                CHECK(keeper.waiting() == 0);
+                CHECK(keeper.pending() == 0);
                 keeper.restore(bad, "first");
                 CHECK(store.calls.size() == 1);
             });
@@ -114,7 +114,7 @@
             [&]
             {
                 keeper.restore(bad, "first");
-                keeper.keep(bad, "second");
+                keeper.persist(bad, "second");
                 keeper.restore(bad, "first");
                 shows(7);
                 store.calls.at(0).done(true);
@@ -128,8 +128,8 @@
         on_loop(
             [&]
             {
-                keeper.keep(bad, "first");
-                keeper.keep(bad, "second");
+                keeper.persist(bad, "first");
+                keeper.persist(bad, "second");
                 CHECK(store.calls.size() == 1);
                 shows(7);
                 store.calls[0].done(true);
@@ -143,8 +143,8 @@
         on_loop(
             [&]
             {
-                keeper.keep(bad, "first");
-                keeper.drop(bad);
+                keeper.persist(bad, "first");
+                keeper.remove(bad);
                 shows(7);
                 store.calls[0].done(true);
                 REQUIRE(store.calls.size() == 2);
@@ -154,7 +154,7 @@
     }
     SECTION("what was never kept costs no call")
     {
-        on_loop([&] { keeper.drop(bad); });
+        on_loop([&] { keeper.remove(bad); });
         CHECK(store.calls.empty());
     }
     SECTION("a write that failed is done again after a pause")
@@ -170,7 +170,7 @@
                     CHECK(store.calls[1].payload == "first");
                 });
         };
-        on_loop([&] { keeper.keep(bad, "first"); });
+        on_loop([&] { keeper.persist(bad, "first"); });
 
         SECTION("the store was away")
         {
@@ -199,11 +199,11 @@
             [&]
             {
                 for (int at = 0; at < 1000; ++at)
-                    keeper.keep(
+                    keeper.persist(
                         request_content::of("school", "/", std::to_string(at)),
                         "x");
-                CHECK(keeper.waiting() ==
-                      quarantine_keeper<noted_store>::most_waiting);
+                CHECK(keeper.pending() ==
+                      quarantine_writer<noted_store>::most_waiting);
                 CHECK(store.calls.size() == 1);
             });
     }
--- a/tests/fleet/version_histories.cpp
+++ b/tests/fleet/version_convergence.cpp
@@ -10,8 +10,8 @@
 #include <rapidcheck/catch.h>
 
 #include "coursejunction/fleet/store_mirror.hpp"
-#include "coursejunction/fleet/told_versions.hpp"
-#include "coursejunction/fleet/version_inquiry.hpp"
+#include "coursejunction/fleet/version_gossip.hpp"
+#include "coursejunction/fleet/version_poller.hpp"
 #include "coursejunction/fleet/version_record.hpp"
 #include "fleet/named_platform.hpp"
 
@@ -122,9 +122,10 @@
 {
 public:
     process(naming_source& asked, std::uint32_t seed)
-        : inquiry(asked, counters, seed,
-                  [this](const cj::unheard_version& one)
-                  { view.told(one.model, one.version, one.named_at); })
+        : inquiry(
+              asked, counters, seed,
+              [this](const cj::missed_version& one)
+              { view.add_version(one.model, one.version, one.published_at); })
     {
         from.origin = "source";
         from.origin_rate = 1'250'000;
@@ -136,8 +137,8 @@
         const auto changed = mirror.apply(
             store.after(mirror.position().revision), store.revision, now);
         view.update(mirror, changed);
-        if (view.take_repeated_names())
-            inquiry.doubt("named again without rising", now);
+        if (view.consume_nonincreasing_publish())
+            inquiry.request_recheck("named again without rising", now);
     }
 
     /*! @brief Writes the record when it lacks something. */
@@ -153,10 +154,10 @@
             store.write(key, cj::version_record_payload(known));
     }
 
-    void ask(const cj::entry_standing& standing)
+    void ask(const cj::entry_ranking& standing)
     {
-        inquiry.consider(from, {"m", newest(), chunks, chunk_bytes}, standing,
-                         virtual_clock::now());
+        inquiry.poll_if_due(from, {"m", newest(), chunks, chunk_bytes},
+                            standing, virtual_clock::now());
     }
 
     [[nodiscard]] std::uint64_t newest() const { return view.newest("m"); }
@@ -165,7 +166,7 @@
     named_platform::view view;
     cj::metrics counters;
     cj::service_profile from;
-    cj::version_inquiry<naming_source, virtual_clock> inquiry;
+    cj::version_poller<naming_source, virtual_clock> inquiry;
 };
 
 /*! @brief Plays a history. */
@@ -271,7 +272,7 @@
             if (unread)
                 continue;
             if (missed)
-                one->inquiry.doubt("a gap", virtual_clock::now());
+                one->inquiry.request_recheck("a gap", virtual_clock::now());
             one->read(store);
         }
         missed = unread;
@@ -283,15 +284,15 @@
         if (!all.empty() && now % 500 == 0 && !played.writes.covers(now))
             all.front()->keep(store);
         for (std::size_t at = 0; at < all.size(); ++at)
-            all[at]->ask(met ? cj::entry_standing{at, all.size() - 1}
-                             : cj::entry_standing{});
+            all[at]->ask(met ? cj::entry_ranking{at, all.size() - 1}
+                             : cj::entry_ranking{});
         if (now % beat != 0 || !met)
             return;
         const auto moment = virtual_clock::now();
         for (const auto& by : all)
             for (const auto& to : all)
-                cj::take_told(to->view, cj::versions_to_tell(by->view, moment),
-                              moment);
+                cj::merge_gossiped_versions(
+                    to->view, cj::versions_to_gossip(by->view, moment), moment);
     }
 
     std::string went_back()
--- a/tests/fleet/told_versions.cpp
+++ b/tests/fleet/version_gossip.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/fleet/told_versions.hpp"
+#include "coursejunction/fleet/version_gossip.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -46,12 +46,12 @@
 {
     process first;
     first.names(2);
-    CHECK(cj::versions_to_tell(first.view, now).empty());
-    first.view.told("m", 3, now - 700ms);
+    CHECK(cj::versions_to_gossip(first.view, now).empty());
+    first.view.add_version("m", 3, now - 700ms);
 
     THEN("it is told with its age")
     {
-        const auto told = cj::versions_to_tell(first.view, now);
+        const auto told = cj::versions_to_gossip(first.view, now);
         REQUIRE(told.size() == 1);
         CHECK(told[0].model == "m");
         CHECK(told[0].version == 3);
@@ -61,17 +61,18 @@
         {
             process peer;
             peer.names(2);
-            CHECK(cj::take_told(peer.view, told, now + 300ms));
+            CHECK(cj::merge_gossiped_versions(peer.view, told, now + 300ms));
             THEN("it has the time of the naming, and hears nothing new twice")
             {
                 CHECK(peer.view.newest("m") == 3);
-                CHECK(peer.view.named_at("m", 3) == now - 400ms);
-                CHECK_FALSE(cj::take_told(peer.view, told, now + 900ms));
-                CHECK(peer.view.named_at("m", 3) == now - 400ms);
+                CHECK(peer.view.published_at("m", 3) == now - 400ms);
+                CHECK_FALSE(
+                    cj::merge_gossiped_versions(peer.view, told, now + 900ms));
+                CHECK(peer.view.published_at("m", 3) == now - 400ms);
             }
             THEN("it tells it on")
             {
-                const auto on = cj::versions_to_tell(peer.view, now + 400ms);
+                const auto on = cj::versions_to_gossip(peer.view, now + 400ms);
                 REQUIRE(on.size() == 1);
                 CHECK(on[0].age_ms == 800);
             }
@@ -80,26 +81,26 @@
         {
             process peer;
             peer.names(4);
-            CHECK_FALSE(cj::take_told(peer.view, told, now));
+            CHECK_FALSE(cj::merge_gossiped_versions(peer.view, told, now));
             CHECK(peer.view.newest("m") == 4);
         }
     }
     THEN("it is told until the store's record shows it")
     {
         first.records({"m", 2, 1});
-        CHECK(cj::versions_to_tell(first.view, now).size() == 1);
+        CHECK(cj::versions_to_gossip(first.view, now).size() == 1);
         first.records({"m", 3, 2});
-        CHECK(cj::versions_to_tell(first.view, now).empty());
+        CHECK(cj::versions_to_gossip(first.view, now).empty());
     }
     THEN("it is told until the store names it")
     {
         first.names(3);
-        CHECK(cj::versions_to_tell(first.view, now).empty());
+        CHECK(cj::versions_to_gossip(first.view, now).empty());
         AND_WHEN("a late write takes the name back")
         {
             first.names(2);
             CHECK(first.view.newest("m") == 3);
-            CHECK(cj::versions_to_tell(first.view, now).size() == 1);
+            CHECK(cj::versions_to_gossip(first.view, now).size() == 1);
         }
     }
 }
@@ -113,16 +114,17 @@
     // Here the source confirmed a moment ago that nothing newer is named.
     const auto confirmed = [&](const std::string&, cj::time_point)
     { return moment; };
-    REQUIRE(cj::take_told(one.view, {{"m", 3, 5000}}, moment, confirmed));
-    CHECK(one.view.named_at("m", 3) == now);
+    REQUIRE(cj::merge_gossiped_versions(one.view, {{"m", 3, 5000}}, moment,
+                                        confirmed));
+    CHECK(one.view.published_at("m", 3) == now);
 
     for (std::uint32_t passed = 1000; passed <= 10'000; passed += 1000)
     {
         moment = now + cj::milliseconds(passed);
-        CHECK_FALSE(cj::take_told(one.view, {{"m", 3, 5000 + passed}}, moment,
-                                  confirmed));
+        CHECK_FALSE(cj::merge_gossiped_versions(
+            one.view, {{"m", 3, 5000 + passed}}, moment, confirmed));
     }
-    CHECK(one.view.named_at("m", 3) == now);
+    CHECK(one.view.published_at("m", 3) == now);
 }
 
 SCENARIO("a peer that tells nonsense binds nobody", "[fleet]")
@@ -131,27 +133,30 @@
     one.names(2);
     SECTION("a number far ahead")
     {
-        CHECK_FALSE(cj::take_told(one.view,
-                                  {{"m", 2 + cj::farthest_step + 1, 0}}, now));
-        CHECK_FALSE(
-            cj::take_told(one.view, {{"m", ~std::uint64_t{0}, 0}}, now));
+        CHECK_FALSE(cj::merge_gossiped_versions(
+            one.view, {{"m", 2 + cj::max_version_step + 1, 0}}, now));
+        CHECK_FALSE(cj::merge_gossiped_versions(
+            one.view, {{"m", ~std::uint64_t{0}, 0}}, now));
         CHECK(one.view.newest("m") == 2);
     }
     SECTION("beside a version that can be")
     {
-        CHECK(cj::take_told(one.view, {{"m", 90'000, 0}, {"m", 3, 0}}, now));
+        CHECK(cj::merge_gossiped_versions(
+            one.view, {{"m", 90'000, 0}, {"m", 3, 0}}, now));
         CHECK(one.view.newest("m") == 3);
     }
     SECTION("an older one, or none")
     {
-        CHECK_FALSE(cj::take_told(one.view, {{"m", 1, 0}, {"m", 0, 0}}, now));
+        CHECK_FALSE(cj::merge_gossiped_versions(
+            one.view, {{"m", 1, 0}, {"m", 0, 0}}, now));
         CHECK(one.view.newest("m") == 2);
     }
     SECTION("an age that is longer than any clock runs")
     {
-        CHECK(cj::take_told(one.view, {{"m", 3, ~std::uint32_t{0}}}, now));
-        CHECK(one.view.named_at("m", 3) < now);
-        const auto told = cj::versions_to_tell(one.view, now + 1h);
+        CHECK(cj::merge_gossiped_versions(one.view,
+                                          {{"m", 3, ~std::uint32_t{0}}}, now));
+        CHECK(one.view.published_at("m", 3) < now);
+        const auto told = cj::versions_to_gossip(one.view, now + 1h);
         REQUIRE(told.size() == 1);
         // It stays old, rather than to begin anew.
         CHECK(told[0].age_ms == ~std::uint32_t{0});
--- a/tests/fleet/version_inquiry.cpp
+++ b/tests/fleet/version_poller.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/fleet/version_inquiry.hpp"
+#include "coursejunction/fleet/version_poller.hpp"
 
 #include <functional>
 #include <optional>
@@ -59,7 +59,7 @@
 public:
     asker()
         : inquiry(source, counters, 7,
-                  [this](const cj::unheard_version& one)
+                  [this](const cj::missed_version& one)
                   {
                       news.push_back(one);
                       newest = std::max(newest, one.version);
@@ -85,8 +85,8 @@
 
     void look(const std::string& model)
     {
-        inquiry.consider(from, {model, newest, chunks, chunk_bytes}, {rank, 9},
-                         virtual_clock::now());
+        inquiry.poll_if_due(from, {model, newest, chunks, chunk_bytes},
+                            {rank, 9}, virtual_clock::now());
     }
 
     /*! @brief Answers the questions that are open. */
@@ -106,8 +106,8 @@
     std::uint64_t newest{2}; /*!< That the store shows or others told. */
     std::size_t rank{0};
     std::optional<noted_source::answer> answer;
-    std::vector<cj::unheard_version> news;
-    cj::version_inquiry<noted_source, virtual_clock> inquiry;
+    std::vector<cj::missed_version> news;
+    cj::version_poller<noted_source, virtual_clock> inquiry;
 };
 
 /*! @brief An answer that is not to be believed, and what is logged of it. */
@@ -134,7 +134,8 @@
          "status 302"},
         {"an older version", offers(1), "older"},
         {"no version", offers(0), "older"},
-        {"one that is far ahead", offers(2 + cj::farthest_step + 1), "absurd"},
+        {"one that is far ahead", offers(2 + cj::max_version_step + 1),
+         "absurd"},
         {"the highest number", offers(~std::uint64_t{0}), "absurd"},
         {"more chunks than the model has", other(chunks + 1, chunk_bytes),
          "do not fit"},
@@ -205,7 +206,7 @@
     entry.pass(5000ms);
     REQUIRE(entry.news.empty());
     const auto named = virtual_clock::now();
-    const auto seen_at = [&] { return entry.news.at(0).named_at; };
+    const auto seen_at = [&] { return entry.news.at(0).published_at; };
 
     WHEN("the store shows it within a second")
     {
@@ -258,7 +259,7 @@
         while (entry.questions() == before)
             entry.pass(asker::tick);
         entry.pass(600ms);
-        entry.inquiry.doubt("a test", virtual_clock::now());
+        entry.inquiry.request_recheck("a test", virtual_clock::now());
         entry.answer = offers(4);
         entry.pass(300ms);
         // Asked, asked again as each newer version is, and asked in doubt.
@@ -279,7 +280,7 @@
             entry.pass(2000ms);
             REQUIRE_FALSE(entry.news.empty());
             CHECK(entry.news.back().version == 4);
-            CHECK(entry.news.back().named_at <= told);
+            CHECK(entry.news.back().published_at <= told);
             CHECK(entry.news.size() <= 2);
         }
     }
@@ -295,7 +296,7 @@
 
     WHEN("the answer takes long and there is doubt")
     {
-        entry.inquiry.doubt("a test", virtual_clock::now());
+        entry.inquiry.request_recheck("a test", virtual_clock::now());
         entry.pass(10'000ms);
         for (int turn = 0; turn < 50; ++turn)
         {
@@ -341,7 +342,7 @@
     }
     THEN("they know soon after a doubt")
     {
-        entry.inquiry.doubt("a test", virtual_clock::now());
+        entry.inquiry.request_recheck("a test", virtual_clock::now());
         entry.pass(1200ms + rank * 250ms + (rank + 2) * (rank + 2) * 250ms / 4);
         CHECK(entry.news.size() == 1);
     }
@@ -355,7 +356,7 @@
     entry.answer = offers(2);
     entry.pass(60'000ms);
     const auto before = entry.questions();
-    entry.inquiry.doubt("a test", virtual_clock::now());
+    entry.inquiry.request_recheck("a test", virtual_clock::now());
     entry.pass(900ms);
     CHECK(entry.questions() == before);
     entry.answer = offers(3);
@@ -374,8 +375,8 @@
     for (int turn = 0; turn < 600; ++turn)
     {
         virtual_clock::moment() += asker::tick;
-        entry.inquiry.consider(entry.from, {"m", 2, many, chunk_bytes}, {0, 9},
-                               virtual_clock::now());
+        entry.inquiry.poll_if_due(entry.from, {"m", 2, many, chunk_bytes},
+                                  {0, 9}, virtual_clock::now());
         entry.reply(cj::failure(cj::error_kind::unavailable, "no answer"));
     }
     CHECK(entry.questions() <= 2);
--- a/tests/fleet/version_record.cpp
+++ b/tests/fleet/version_record.cpp
@@ -16,7 +16,7 @@
         REQUIRE(read);
         CHECK(read.value().model == "m");
         CHECK(read.value().newest == 5);
-        CHECK(read.value().binding == 4);
+        CHECK(read.value().minimum == 4);
     }
     SECTION("not under another model's key, nor cut off")
     {
@@ -38,6 +38,6 @@
     CHECK_FALSE(one.covers(other));
     one.merge(other);
     CHECK(one.newest == 5);
-    CHECK(one.binding == 3);
+    CHECK(one.minimum == 3);
     CHECK(one.covers(other));
 }
--- a/tests/fleet/version_claims.cpp
+++ b/tests/fleet/version_record_plausibility.cpp
@@ -78,8 +78,8 @@
 
     [[nodiscard]] std::uint64_t binding() const
     {
-        const auto found = view.binding().find("m");
-        return found == view.binding().end() ? 0 : found->second;
+        const auto found = view.minimum_versions().find("m");
+        return found == view.minimum_versions().end() ? 0 : found->second;
     }
 
     cj::store_mirror mirror;
@@ -103,7 +103,7 @@
             read.put({recorded(absurd, absurd), named(3)});
         CHECK(read.newest() == 3);
         CHECK(read.binding() == 0);
-        CHECK(read.view.stored("m") == 3);
+        CHECK(read.view.newest_stored("m") == 3);
     }
     SECTION("while no version was ever named")
     {
@@ -152,7 +152,7 @@
     SECTION("somebody else tells the large number")
     {
         read.put({recorded(70'001, 70'000)});
-        read.view.told("m", 70'000, cj::time_point{100s});
+        read.view.add_version("m", 70'000, cj::time_point{100s});
         CHECK(read.newest() == 70'001);
     }
     SECTION("the name was large while this process lived, and went back")
--- a/tests/fleet/version_keeper.cpp
+++ b/tests/fleet/version_record_writer.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/fleet/version_keeper.hpp"
+#include "coursejunction/fleet/version_record_writer.hpp"
 
 #include <functional>
 #include <string>
@@ -25,8 +25,9 @@
         std::function<void(result<bool>)> done;
     };
 
-    void keep(const std::string& key, const std::string& payload,
-              std::uint64_t revision, std::function<void(result<bool>)> done)
+    void put_permanent(const std::string& key, const std::string& payload,
+                       std::uint64_t revision,
+                       std::function<void(result<bool>)> done)
     {
         calls.push_back({read_version_record(key, payload).value(), revision,
                          std::move(done)});
@@ -35,13 +36,13 @@
     std::vector<call> calls;
 };
 
-static_assert(Keeping_store<noted_store>);
+static_assert(Permanent_store<noted_store>);
 
 } // namespace
 
 SCENARIO("named versions are kept where they outlast all processes", "[fleet]")
 {
-    using keeper_type = version_keeper<noted_store>;
+    using keeper_type = version_record_writer<noted_store>;
     loopback::running_loop running;
     noted_store store;
     store_mirror mirror;
@@ -62,16 +63,16 @@
         on_loop(
             [&]
             {
-                keeper.know({"m", 3, 2}, 3);
-                keeper.consider(0, start);
-                keeper.consider(0, start);
+                keeper.add_known({"m", 3, 2}, 3);
+                keeper.write_if_due(0, start);
+                keeper.write_if_due(0, start);
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].written.newest == 3);
-                CHECK(store.calls[0].written.binding == 2);
+                CHECK(store.calls[0].written.minimum == 2);
                 CHECK(store.calls[0].revision == 0);
                 store.calls[0].done(true);
                 shows({"m", 3, 2}, 7);
-                keeper.consider(0, start + 10s);
+                keeper.write_if_due(0, start + 10s);
                 CHECK(store.calls.size() == 1);
             });
     }
@@ -80,11 +81,11 @@
         on_loop(
             [&]
             {
-                keeper.know({"m", 3, 2}, 3);
-                keeper.consider(2, start);
-                keeper.consider(2, start + keeper_type::turn);
+                keeper.add_known({"m", 3, 2}, 3);
+                keeper.write_if_due(2, start);
+                keeper.write_if_due(2, start + keeper_type::rank_delay);
                 CHECK(store.calls.empty());
-                keeper.consider(2, start + keeper_type::turn * 2);
+                keeper.write_if_due(2, start + keeper_type::rank_delay * 2);
                 CHECK(store.calls.size() == 1);
             });
     }
@@ -94,11 +95,11 @@
             [&]
             {
                 shows({"m", 5, 1}, 9);
-                keeper.know({"m", 3, 2}, 3);
-                keeper.consider(0, start);
+                keeper.add_known({"m", 3, 2}, 3);
+                keeper.write_if_due(0, start);
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].written.newest == 5);
-                CHECK(store.calls[0].written.binding == 2);
+                CHECK(store.calls[0].written.minimum == 2);
                 CHECK(store.calls[0].revision == 9);
             });
     }
@@ -108,13 +109,13 @@
             [&]
             {
                 shows({"m", 1'000'000'000'000, 1'000'000'000'000}, 9);
-                keeper.know({"m", 3, 2}, 3);
-                keeper.consider(0, start);
+                keeper.add_known({"m", 3, 2}, 3);
+                keeper.write_if_due(0, start);
                 CHECK(store.calls.empty());
-                keeper.consider(0, start + keeper_type::doubt_time);
+                keeper.write_if_due(0, start + keeper_type::doubt_time);
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].written.newest == 3);
-                CHECK(store.calls[0].written.binding == 2);
+                CHECK(store.calls[0].written.minimum == 2);
                 CHECK(store.calls[0].revision == 9);
             });
     }
@@ -124,10 +125,10 @@
             [&]
             {
                 shows({"m", 70'000, 70'000}, 9);
-                keeper.know({"m", 3, 2}, 3);
-                keeper.consider(0, start);
-                keeper.know({"m", 70'000, 70'000}, 70'000);
-                keeper.consider(0, start + 10s);
+                keeper.add_known({"m", 3, 2}, 3);
+                keeper.write_if_due(0, start);
+                keeper.add_known({"m", 70'000, 70'000}, 70'000);
+                keeper.write_if_due(0, start + 10s);
                 CHECK(store.calls.empty());
             });
     }
@@ -136,17 +137,17 @@
         on_loop(
             [&]
             {
-                keeper.know({"m", 3, 2}, 3);
-                keeper.consider(0, start);
+                keeper.add_known({"m", 3, 2}, 3);
+                keeper.write_if_due(0, start);
                 store.calls.at(0).done(answer);
-                keeper.consider(0, start);
+                keeper.write_if_due(0, start);
                 CHECK(store.calls.size() == 1);
             });
         std::this_thread::sleep_for(900ms);
         on_loop(
             [&]
             {
-                keeper.consider(0, start);
+                keeper.write_if_due(0, start);
                 CHECK(store.calls.size() == 2);
             });
     };
--- a/tests/platform/catalogue.cpp
+++ b/tests/platform/catalogue.cpp
@@ -87,13 +87,13 @@
     CHECK(catalogue::kind("op/version/m") == cj::item_kind::version);
     CHECK(catalogue::kind("servers/i-1") == cj::item_kind::upstream);
     CHECK(catalogue::kind("mine") == cj::item_kind::other);
-    CHECK(catalogue::kind(cj::kept_configuration_key()) ==
-          cj::item_kind::kept_configuration);
+    CHECK(catalogue::kind(cj::configuration_copy_key()) ==
+          cj::item_kind::configuration_copy);
     CHECK(catalogue::order("op/config", configuration_text).count > 0);
     // Our own keys are compared by revisions, and do not stand without them.
-    CHECK(catalogue::order(cj::kept_configuration_key(), configuration_text) ==
+    CHECK(catalogue::order(cj::configuration_copy_key(), configuration_text) ==
           cj::item_order{});
-    CHECK_FALSE(catalogue::is_operators(cj::kept_configuration_key()));
+    CHECK_FALSE(catalogue::is_operators(cj::configuration_copy_key()));
 
     const auto one = catalogue::upstream(
         "servers/i-1",
--- a/tests/platform/store_client.cpp
+++ b/tests/platform/store_client.cpp
@@ -124,8 +124,9 @@
     SECTION("one that stays needs no lease")
     {
         client_of_store one({answered("200 OK", R"({"revision":412})")});
-        const auto done = one.write([](platform::store_client& to, auto call)
-                                    { to.keep("version/m", "b", 41, call); });
+        const auto done =
+            one.write([](platform::store_client& to, auto call)
+                      { to.put_permanent("version/m", "b", 41, call); });
         REQUIRE(done);
         CHECK(done.value());
         const auto arrived = one.peer.arrivals();
--- a/tests/proxy/gateway.cpp
+++ b/tests/proxy/gateway.cpp
@@ -30,8 +30,8 @@
             return cj::item_kind::version_record;
         if (key.starts_with(cj::quarantine_prefix))
             return cj::item_kind::quarantine;
-        if (key == cj::kept_configuration_key())
-            return cj::item_kind::kept_configuration;
+        if (key == cj::configuration_copy_key())
+            return cj::item_kind::configuration_copy;
         if (key.starts_with("up/"))
             return cj::item_kind::upstream;
         return key.starts_with("named/") ? cj::item_kind::version
@@ -79,7 +79,7 @@
         const bool unordered = key == "other" ||
                                kind(key) == cj::item_kind::version_record ||
                                kind(key) == cj::item_kind::quarantine ||
-                               kind(key) == cj::item_kind::kept_configuration;
+                               kind(key) == cj::item_kind::configuration_copy;
         return unordered ? cj::item_order{}
                          : cj::item_order{0, std::stoull(payload)};
     }
@@ -261,7 +261,7 @@
 
     [[nodiscard]] std::uint64_t in_force() const
     {
-        const auto* rules = made->view().rules();
+        const auto* rules = made->view().configuration();
         return rules == nullptr ? 0 : rules->version;
     }
 
@@ -519,7 +519,7 @@
          "anew",
          "[proxy]")
 {
-    const auto copied = cj::kept_configuration_key();
+    const auto copied = cj::configuration_copy_key();
     proxy_test::stored_keys keys;
     keys.write("configuration", "3");
     const auto copy = keys;
@@ -561,10 +561,10 @@
 SCENARIO("an absurd copy of the configuration is not believed", "[proxy]")
 {
     proxy_test::stored_keys keys;
-    keys.write(cj::kept_configuration_key(), "1000000000000");
+    keys.write(cj::configuration_copy_key(), "1000000000000");
     keys.write("configuration", "3");
     entry_process entry(keys, 1);
     REQUIRE(entry.obeys(3));
-    CHECK(entry.misses(keys, cj::kept_configuration_key()));
+    CHECK(entry.misses(keys, cj::configuration_copy_key()));
     CHECK(entry.configuration() == 3);
 }
--- a/tests/proxy/memory_store.hpp
+++ b/tests/proxy/memory_store.hpp
@@ -97,8 +97,8 @@
         done(true);
     }
 
-    void keep(const std::string& key, const std::string& payload,
-              std::uint64_t revision, const write_callback& done)
+    void put_permanent(const std::string& key, const std::string& payload,
+                       std::uint64_t revision, const write_callback& done)
     {
         put(key, payload, revision, {}, done);
     }
