--- a/src/coursejunction/daemon/internal/caller_answers.cpp
+++ b/src/coursejunction/daemon/internal/caller_answers.cpp
@@ -116,9 +116,9 @@
 void caller_answers::unclaimed(const live_pointer& one, attempt_end end)
 {
     notes.look(one->id,
-               [this, one, end](claim_word word) mutable
+               [this, one, end](claim_verdict word) mutable
                {
-                   if (word != claim_word::free)
+                   if (word != claim_verdict::free)
                        end.result = outcome::unknown;
                    answer(*one, end);
                });
--- a/src/coursejunction/daemon/internal/claim_notes.cpp
+++ b/src/coursejunction/daemon/internal/claim_notes.cpp
@@ -48,23 +48,24 @@
     auto& one =
         questions
             .emplace(note.number,
-                     question{claim_tally({keepers.begin(), keepers.end()}),
+                     question{claim_quorum({keepers.begin(), keepers.end()}),
                               std::move(done),
                               {}})
             .first->second;
     for (const auto& keeper : keepers)
     {
         if (keeper == host.settings().instance)
-            one.tally.answered(keeper, taken(note));
+            one.tally.add_answer(keeper, taken(note));
         else if (!host.send(keeper, note))
-            one.tally.lost(keeper);
+            one.tally.drop_voter(keeper);
     }
-    one.patience = host.loop().after(keeper_patience,
-                                     [this, number = note.number]
-                                     {
-                                         questions.at(number).tally.close();
-                                         settle(number);
-                                     });
+    one.patience =
+        host.loop().after(keeper_patience,
+                          [this, number = note.number]
+                          {
+                              questions.at(number).tally.stop_waiting();
+                              settle(number);
+                          });
     settle(note.number);
 }
 
@@ -84,8 +85,8 @@
 bool claim_notes::taken(const message::claim_note& ask)
 {
     return ask.claimant.empty()
-               ? book.holds(ask.request, node::now())
-               : !book.note(ask.request, ask.claimant, node::now());
+               ? book.contains(ask.request, node::now())
+               : !book.try_claim(ask.request, ask.claimant, node::now());
 }
 
 bool claim_notes::received(const instance_id& from, const frame& one)
@@ -105,7 +106,7 @@
             answer ? questions.find(answer.value().number) : questions.end();
         if (found == questions.end())
             return true;
-        found->second.tally.answered(from, answer.value().taken);
+        found->second.tally.add_answer(from, answer.value().taken);
         settle(found->first);
         return true;
     }
@@ -117,7 +118,7 @@
     std::vector<std::uint64_t> open;
     for (auto& [number, one] : questions)
     {
-        one.tally.lost(peer);
+        one.tally.drop_voter(peer);
         open.push_back(number);
     }
     for (const auto number : open)
@@ -129,7 +130,7 @@
 {
     const auto found = questions.find(number);
     const auto word =
-        found == questions.end() ? std::nullopt : found->second.tally.word();
+        found == questions.end() ? std::nullopt : found->second.tally.verdict();
     if (!word)
         return;
     const auto ended = std::move(found->second);
--- a/src/coursejunction/daemon/internal/claim_notes.hpp
+++ b/src/coursejunction/daemon/internal/claim_notes.hpp
@@ -13,8 +13,8 @@
 
 #include "coursejunction/core/types.hpp"
 #include "coursejunction/net/event_loop.hpp"
-#include "coursejunction/run/claim_book.hpp"
-#include "coursejunction/run/claim_tally.hpp"
+#include "coursejunction/run/claim_quorum.hpp"
+#include "coursejunction/run/claim_registry.hpp"
 #include "coursejunction/wire/codec.hpp"
 
 namespace coursejunction
@@ -31,7 +31,7 @@
 class claim_notes
 {
 public:
-    using done_callback = std::function<void(claim_word)>;
+    using done_callback = std::function<void(claim_verdict)>;
 
     explicit claim_notes(node& owner);
 
@@ -52,7 +52,7 @@
 private:
     struct question
     {
-        claim_tally tally;
+        claim_quorum tally;
         done_callback done;
         timer patience;
     };
@@ -65,7 +65,7 @@
     void settle(std::uint64_t number);
 
     node& host;
-    claim_book book;
+    claim_registry book;
     std::map<std::uint64_t, question> questions;
     /*! @brief Begins anywhere: an answer may come to another process of the
      * same instance. */
--- a/src/coursejunction/daemon/internal/crash_gossip.hpp
+++ b/src/coursejunction/daemon/internal/crash_gossip.hpp
@@ -14,7 +14,7 @@
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/net/metrics.hpp"
 #include "coursejunction/run/crash_ledger.hpp"
-#include "coursejunction/run/crash_witness.hpp"
+#include "coursejunction/run/lost_attempt_tracker.hpp"
 
 namespace coursejunction::internal
 {
@@ -35,10 +35,10 @@
 
     [[nodiscard]] const crash_ledger& records() const { return ledger; }
 
-    [[nodiscard]] crash_standing standing(const request_content& what,
-                                          time_point now) const
+    [[nodiscard]] crash_status standing(const request_content& what,
+                                        time_point now) const
     {
-        return ledger.standing(what, now);
+        return ledger.status(what, now);
     }
 
     /*! @brief Returns how many copies of a request may run at once.
@@ -46,15 +46,15 @@
     [[nodiscard]] std::size_t most_running(const request_content& what,
                                            bool tries_it, time_point now) const
     {
-        return ledger.most_running(what, tries_it, now);
+        return ledger.max_running(what, tries_it, now);
     }
 
     /*! @brief An upstream ended under some requests. */
-    void accuse(const std::vector<crash_accusation>& accused, time_point now)
+    void accuse(const std::vector<crash_report>& accused, time_point now)
     {
         for (const auto& one : accused)
         {
-            if (ledger.accuse(one.content, one.end, one.evidence, now))
+            if (ledger.record_crash(one.content, one.crash, one.evidence, now))
                 note(one.content);
         }
         announce(now);
@@ -63,7 +63,7 @@
     /*! @brief An upstream answered a request in whole. */
     void answered(const request_content& what, time_point now)
     {
-        if (ledger.answered(what, now))
+        if (ledger.record_response(what, now))
             announce(now);
     }
 
@@ -75,7 +75,7 @@
             if (ledger.merge(one, now))
                 note(one.content);
         }
-        if (ledger.changed_since_told())
+        if (ledger.has_pending_updates())
             announce(now);
     }
 
@@ -83,7 +83,7 @@
      * @return Whether there was one. */
     bool lift(const request_content& what, time_point now)
     {
-        if (!ledger.lift(what, now))
+        if (!ledger.lift_quarantine(what, now))
             return false;
         log::state("quarantine_lifted", {{"content", what.hex()}});
         announce(now);
@@ -96,8 +96,9 @@
     {
         ledger.expire(now);
         counters.set("requests_quarantined",
-                     static_cast<double>(ledger.suspected()));
-        const auto told = ledger.news(crash_ledger::most_told, now);
+                     static_cast<double>(ledger.blocked_count()));
+        const auto told =
+            ledger.collect_updates(crash_ledger::max_records_per_datagram, now);
         if (!told.empty())
             tell(told);
     }
@@ -106,7 +107,7 @@
     [[nodiscard]] static crash_limits limits()
     {
         crash_limits made;
-        made.passes_on = true;
+        made.relays_records = true;
         return made;
     }
 
--- a/src/coursejunction/daemon/internal/fenced_orders.cpp
+++ b/src/coursejunction/daemon/internal/fenced_orders.cpp
@@ -62,7 +62,7 @@
     const auto newest = parse_token(stored.text);
     if (newest.owner == owner_text() && newest.token >= highest)
     {
-        guard.taken(newest.token);
+        guard.token_acquired(newest.token);
         return request();
     }
     const fencing_token next(std::max(newest.token, highest).value() + 1);
@@ -76,7 +76,7 @@
 {
     if (done != swap_outcome::swapped)
         return request_later();
-    guard.taken(next);
+    guard.token_acquired(next);
     log::state("fencing_token_taken",
                {{"token", std::to_string(next.value())}});
     request();
@@ -90,10 +90,10 @@
         {
             if (got)
             {
-                guard.confirmed(parse_token(got.value().text).token);
+                guard.newest_token_read(parse_token(got.value().text).token);
                 return request();
             }
-            guard.unanswered();
+            guard.service_unreachable();
             return guard.state() == fence_state::held ? request()
                                                       : request_later();
         });
--- a/src/coursejunction/daemon/internal/fenced_orders.hpp
+++ b/src/coursejunction/daemon/internal/fenced_orders.hpp
@@ -40,14 +40,14 @@
     bool tick(time_point now) { return guard.tick(now); }
 
     /*! @brief An order was given. */
-    void ordered() { guard.ordered(); }
+    void ordered() { guard.command_sent(); }
 
     /*! @brief The upstream has seen this token. The next one that is taken is
      * above it, also when the service has lost the newest. */
     void seen(fencing_token newest) { highest = std::max(highest, newest); }
 
     /*! @brief The upstream refused the token as old. */
-    void refused() { guard.refused(); }
+    void refused() { guard.token_rejected(); }
 
     /*! @brief Returns the token; empty before one was taken. */
     [[nodiscard]] fencing_token token() const { return guard.token(); }
--- a/src/coursejunction/daemon/internal/retry_rule.cpp
+++ b/src/coursejunction/daemon/internal/retry_rule.cpp
@@ -25,7 +25,7 @@
         return false;
     case refusal::none:
     case refusal::unreachable:
-        return budget.spend();
+        return budget.try_spend();
     }
     return false;
 }
--- a/src/coursejunction/daemon/internal/retry_rule.hpp
+++ b/src/coursejunction/daemon/internal/retry_rule.hpp
@@ -27,7 +27,7 @@
     static constexpr unsigned max_attempts = 4;
 
     /*! @brief A request came. */
-    void request() { budget.request(); }
+    void request() { budget.record_request(); }
 
     /*! @brief Decides on another attempt. Being refused by a gate or a full
      * side costs nobody work, so it spends none of the budget.
--- a/src/coursejunction/daemon/internal/run_claims.cpp
+++ b/src/coursejunction/daemon/internal/run_claims.cpp
@@ -36,7 +36,7 @@
     if (!session.usable(node::now()))
         return open_session(one);
     ++one->tries;
-    const auto used = session.use();
+    const auto used = session.use_for_claim();
     host.key_values().acquire(
         claim_key(one->request), used, host.settings().instance.value(),
         [this, one, used](swap_outcome end) { acquired(one, used, end); });
@@ -50,7 +50,7 @@
         {
             if (!opened)
                 return one->done(claim_end::unknown);
-            session.opened(opened.value(), node::now());
+            session.open(opened.value(), node::now());
             acquire(one);
         });
 }
@@ -65,7 +65,7 @@
     case swap_outcome::lost_race:
         return one->done(claim_end::lost);
     case swap_outcome::no_session:
-        session.lost(used);
+        session.invalidate(used);
         return acquire_later(one);
     case swap_outcome::not_sent:
     case swap_outcome::unknown:
@@ -87,18 +87,18 @@
 void run_claims::note(const attempt_pointer& one, const std::string& used)
 {
     notes.note(one->request, used,
-               [this, one](claim_word word)
+               [this, one](claim_verdict word)
                {
                    switch (word)
                    {
-                   case claim_word::free:
+                   case claim_verdict::free:
                        return one->done(claim_end::won);
-                   case claim_word::taken:
+                   case claim_verdict::taken:
                        host.counters().count("claims_lost_by_service_total");
                        log::warning("claim_lost_by_service",
                                     {{"request", one->request.value()}});
                        return one->done(claim_end::lost);
-                   case claim_word::silent:
+                   case claim_verdict::no_quorum:
                        return one->done(claim_end::unknown);
                    }
                });
--- a/src/coursejunction/daemon/quarantine_api.cpp
+++ b/src/coursejunction/daemon/quarantine_api.cpp
@@ -16,17 +16,17 @@
     reply.send(status, "application/json", {}, body.dump());
 }
 
-std::string_view standing_name(crash_standing what)
+std::string_view standing_name(crash_status what)
 {
     switch (what)
     {
-    case crash_standing::clear:
+    case crash_status::clear:
         return "clear";
-    case crash_standing::doubted:
+    case crash_status::suspect:
         return "doubted";
-    case crash_standing::on_trial:
+    case crash_status::on_trial:
         return "on trial";
-    case crash_standing::quarantined:
+    case crash_status::quarantined:
         break;
     }
     return "quarantined";
@@ -35,15 +35,16 @@
 std::string quarantine_json(const crash_ledger& ledger, time_point now)
 {
     auto list = nlohmann::json::array();
-    for (const auto& [what, one] : ledger.all())
+    for (const auto& [what, one] : ledger.histories())
     {
-        const auto standing = ledger.standing(what, now);
-        if (standing == crash_standing::clear)
+        const auto standing = ledger.status(what, now);
+        if (standing == crash_status::clear)
             continue;
-        list.push_back({{"content", what.hex()},
-                        {"standing", std::string(standing_name(standing))},
-                        {"ends", one.count()},
-                        {"left_ms", ledger.left(what, now).count()}});
+        list.push_back(
+            {{"content", what.hex()},
+             {"standing", std::string(standing_name(standing))},
+             {"ends", one.active_crashes()},
+             {"left_ms", ledger.quarantine_left(what, now).count()}});
     }
     return list.dump();
 }
--- a/src/coursejunction/daemon/report_service.cpp
+++ b/src/coursejunction/daemon/report_service.cpp
@@ -125,7 +125,7 @@
         if (chosen == halls)
             return;
         halls = std::move(chosen);
-        permits.settle_until(now() + settling());
+        permits.delay_grants_until(now() + settling());
         host.counters().set("designated_halls",
                             static_cast<double>(halls.size()));
     }
@@ -165,9 +165,9 @@
         if (one.leaving)
             host.members().left(from);
         if (!one.deployment.empty())
-            permits.reported(deployment_name(one.deployment), from,
-                             internal::is_closed(one), one.phase == "waiting",
-                             now());
+            permits.update_replica(deployment_name(one.deployment), from,
+                                   internal::is_closed(one),
+                                   one.phase == "waiting", now());
         heard(one);
         reports[from] = std::move(one);
     }
--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -146,9 +146,9 @@
     bool kept_from_upstreams(const pointer& one)
     {
         const auto standing = host.crashes().standing(one->content, now());
-        if (standing == crash_standing::clear)
+        if (standing == crash_status::clear)
             return false;
-        const bool trial = standing == crash_standing::on_trial;
+        const bool trial = standing == crash_status::on_trial;
         const auto most = host.crashes().most_running(
             one->content, trial && owns_trials(one->content), now());
         // A trial is one attempt: that it failed may be all it was to show.
@@ -214,7 +214,8 @@
                                              {"content", one->content.hex()}});
         give_up(one, internal::quarantined_status,
                 "the request is quarantined: upstreams ended under it",
-                std::max(host.crashes().records().left(one->content, now()),
+                std::max(host.crashes().records().quarantine_left(one->content,
+                                                                  now()),
                          internal::trial_time));
     }
 
--- a/src/coursejunction/daemon/run_service.cpp
+++ b/src/coursejunction/daemon/run_service.cpp
@@ -9,7 +9,7 @@
 #include "coursejunction/daemon/internal/run_claims.hpp"
 #include "coursejunction/daemon/node.hpp"
 #include "coursejunction/daemon/upstream_client.hpp"
-#include "coursejunction/run/crash_witness.hpp"
+#include "coursejunction/run/lost_attempt_tracker.hpp"
 #include "coursejunction/run/run_registry.hpp"
 
 namespace coursejunction
@@ -90,7 +90,7 @@
         one->from = from;
         one->content = request_content::of(ask.organisation, ask.path, body);
         one->trial = host.crashes().standing(one->content, now()) ==
-                     crash_standing::on_trial;
+                     crash_status::on_trial;
         one->body = std::move(body);
         one->began = now();
         const auto why = refused(ask);
@@ -124,19 +124,19 @@
     void admit(const run_pointer& one)
     {
         const request_id id(one->ask.request);
-        switch (registry.admit(id))
+        switch (registry.begin_claim(id))
         {
-        case admission::start:
+        case start_decision::start:
             one->claiming = true;
             return claim(one);
-        case admission::claiming:
-        case admission::running:
+        case start_decision::claim_pending:
+        case start_decision::running:
             return duplicate(one, internal::outage_retry);
-        case admission::ended:
-            return repeat(one, registry.answer(id));
-        case admission::elsewhere:
+        case start_decision::finished:
+            return repeat(one, registry.find_response(id));
+        case start_decision::claimed_elsewhere:
             return duplicate(one);
-        case admission::never:
+        case start_decision::forbidden:
             return refuse(one, refusal::cancelled, milliseconds(0));
         }
     }
@@ -151,7 +151,7 @@
     }
 
     /*! @brief Gives the kept answer of a request that has run. */
-    void repeat(const run_pointer& one, const kept_answer* answer)
+    void repeat(const run_pointer& one, const cached_response* answer)
     {
         if (answer == nullptr)
             return duplicate(one);
@@ -174,12 +174,12 @@
         {
         case internal::claim_end::won:
             one->claiming = false;
-            if (registry.start(id))
+            if (registry.start_claimed(id))
                 return start(one);
             return refuse(one, refusal::cancelled, milliseconds(0));
         case internal::claim_end::lost:
             one->claiming = false;
-            registry.lost(id);
+            registry.claim_lost(id);
             return duplicate(one);
         case internal::claim_end::unknown:
             return unclaimed(one);
@@ -189,7 +189,7 @@
     void unclaimed(const run_pointer& one)
     {
         one->claiming = false;
-        registry.withdraw(request_id(one->ask.request));
+        registry.release_claim(request_id(one->ask.request));
         refuse(one, refusal::claim, internal::outage_retry);
     }
 
@@ -306,14 +306,14 @@
     {
         const instance_id life(host.settings().instance.value() + "/" +
                                std::to_string(host.incarnation()));
-        const auto end = crash_of(life, incarnation(ends + 1));
-        const auto evidence = one.trial       ? end_evidence::trial
-                              : one.parts > 0 ? end_evidence::weak
-                                              : end_evidence::beginning;
-        if (!witness.lost({host.settings().instance,
-                           upstream.url(),
-                           {one.content, end, evidence}},
-                          now()))
+        const auto end = crash_id_of(life, incarnation(ends + 1));
+        const auto evidence = one.trial       ? crash_evidence::trial
+                              : one.parts > 0 ? crash_evidence::mid_response
+                                              : crash_evidence::before_response;
+        if (!witness.add_lost_attempt({host.settings().instance,
+                                       upstream.url(),
+                                       {one.content, end, evidence}},
+                                      now()))
             return;
         http_call call;
         call.url = upstream.url() + "/v1/state";
@@ -341,8 +341,8 @@
     void upstream_ended()
     {
         ++ends;
-        const auto accused =
-            witness.ended(host.settings().instance, end_proof::seen, now());
+        const auto accused = witness.confirm_crash(
+            host.settings().instance, crash_proof::confirmed, now());
         host.counters().count("upstreams_ended_under_requests_total");
         log::warning("upstream_ended",
                      {{"requests", std::to_string(accused.size())}});
@@ -353,7 +353,7 @@
     void unreached(const run_pointer& one)
     {
         if (one->ask.not_repeatable)
-            registry.unreached(request_id(one->ask.request));
+            registry.upstream_unreached(request_id(one->ask.request));
         gate.doubt();
         refuse(one, refusal::unreachable, internal::busy_retry);
     }
@@ -365,10 +365,10 @@
         {
             const bool whole = what == outcome::answered &&
                                one->kept.size() <= internal::kept_body;
-            registry.end(request_id(one->ask.request),
-                         whole
-                             ? kept_answer{status, one->content_type, one->kept}
-                             : kept_answer{});
+            registry.finish(
+                request_id(one->ask.request),
+                whole ? cached_response{status, one->content_type, one->kept}
+                      : cached_response{});
         }
         end(one, what, status, reason);
     }
@@ -448,7 +448,7 @@
     run_gate gate;
     run_registry registry;
     internal::run_claims claims;
-    crash_witness witness;
+    lost_attempt_tracker witness;
     std::uint64_t ends{0}; /*!< Of the upstream, as far as they were seen. */
     std::map<run_key, run_pointer> runs;
 };
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -82,9 +82,10 @@
     run_gate make_gate()
     {
         run_gate gate;
-        gate.open = [this] { return plain || copy.open(); };
+        gate.open = [this] { return plain || copy.accepts_requests(); };
         gate.slots = [this] { return slots_now(); };
-        gate.weights = [this] { return plain ? digest() : copy.serving(); };
+        gate.weights = [this]
+        { return plain ? digest() : copy.serving_version(); };
         gate.doubt = [this] { doubt(); };
         gate.first_token = [this](std::chrono::microseconds took)
         { transfer.first_token(took); };
@@ -113,13 +114,13 @@
             own == assigned.end() ? nullptr : wanted.find(own->second);
         if (spec == nullptr)
         {
-            copy.want(std::nullopt);
+            copy.set_target(std::nullopt);
             transfer.want_nothing();
             return changed();
         }
         target = *spec;
-        copy.want(replica_target{spec->name, spec->model, spec->adapter,
-                                 spec->version, spec->paused});
+        copy.set_target(replica_target{spec->name, spec->model, spec->adapter,
+                                       spec->version, spec->paused});
         transfer.participants(sharers(assigned, wanted, spec->version));
         transfer.want(spec->version, spec->weigh);
         changed();
@@ -127,9 +128,9 @@
 
     /*! @brief Instances that are listed and not leaving; heartbeats and
      * failures do not move deployments, so that a short cut moves nothing. */
-    std::vector<upstream_slot> slots() const
+    std::vector<upstream_candidate> slots() const
     {
-        std::vector<upstream_slot> found;
+        std::vector<upstream_candidate> found;
         for (const auto& [id, one] : host.members().all())
         {
             if (one.kind == role::side && one.upstream_kind != "plain" &&
@@ -157,13 +158,13 @@
 
     void staged(const digest& version)
     {
-        copy.staged(version);
+        copy.staging_completed(version);
         changed();
     }
 
     void doubt()
     {
-        copy.doubt();
+        copy.invalidate();
         changed();
     }
 
@@ -180,7 +181,7 @@
         if (plain)
             return;
         const auto before = copy.phase();
-        act(copy.next(runs.size(), now()));
+        act(copy.next_action(runs.size(), now()));
         if (copy.phase() != before)
             changed();
     }
@@ -191,9 +192,9 @@
         {
         case replica_action::read_upstream:
             return read_engine();
-        case replica_action::ask_permit:
+        case replica_action::request_permit:
             return ask_permit();
-        case replica_action::order_load:
+        case replica_action::send_load_command:
             return orders.request();
         case replica_action::stage:
         case replica_action::none:
@@ -212,7 +213,7 @@
                 reading = false;
                 if (!got)
                 {
-                    copy.read_failed(got.error().message, now());
+                    copy.version_read_failed(got.error().message, now());
                     return changed();
                 }
                 seen(got.value());
@@ -226,14 +227,14 @@
         orders.seen(state.newest);
         if (state.loading)
             return;
-        const auto before = copy.serving();
+        const auto before = copy.serving_version();
         if (state.serving.empty() &&
             (!before.empty() || copy.phase() == replica_phase::checking))
             engine_lost_all();
-        copy.read_back(state.serving, now());
-        if (before != copy.serving())
+        copy.version_read(state.serving, now());
+        if (before != copy.serving_version())
         {
-            transfer.serving(copy.serving());
+            transfer.serving(copy.serving_version());
             log::state("upstream_serves", {{"version", state.serving.hex()}});
         }
         changed();
@@ -243,7 +244,7 @@
      * lost what was staged, so it is handed over again before an order. */
     void engine_lost_all()
     {
-        copy.unstage();
+        copy.staging_lost();
         transfer.hand_over_again();
     }
 
@@ -273,14 +274,16 @@
 
     void order_refused()
     {
-        copy.loaded(false, "another side is in charge of the upstream", now());
+        copy.load_finished(false, "another side is in charge of the upstream",
+                           now());
         changed();
     }
 
     void send_order()
     {
         if (!copy.target())
-            return copy.loaded(false, "nothing is wanted any more", now());
+            return copy.load_finished(false, "nothing is wanted any more",
+                                      now());
         load_order order;
         order.version = copy.target()->version;
         order.model = copy.target()->model;
@@ -301,7 +304,7 @@
             engine_lost_all();
         if (got.end != kind::loaded)
             log::warning("load_failed", {{"reason", got.reason}});
-        copy.loaded(got.end == kind::loaded, got.reason, now());
+        copy.load_finished(got.end == kind::loaded, got.reason, now());
         changed();
     }
 
@@ -324,7 +327,7 @@
             const auto version = reply ? digest::parse(reply.value().version)
                                        : digest::parse("");
             if (version && reply.value().granted)
-                copy.permit(version.value(), now());
+                copy.permit_granted(version.value(), now());
         }
     }
 
@@ -350,8 +353,9 @@
         describe_replica(now_state);
         now_state.bytes_done = progress.done;
         now_state.bytes_total = progress.total;
-        now_state.reason =
-            copy.reason().empty() ? progress.reason : copy.reason();
+        now_state.reason = copy.failure_reason().empty()
+                               ? progress.reason
+                               : copy.failure_reason();
         now_state.origin_bytes = transfer.counters().origin_bytes;
         now_state.cross_hall_bytes = transfer.counters().cross_hall_bytes;
         now_state.cached_prefixes = cached;
@@ -361,14 +365,15 @@
     void describe_replica(message::report& into) const
     {
         into.phase = to_string(copy.phase());
-        into.serving = copy.serving().empty() ? "" : copy.serving().hex();
+        into.serving =
+            copy.serving_version().empty() ? "" : copy.serving_version().hex();
         if (copy.target())
         {
             into.deployment = copy.target()->name.value();
             into.model = copy.target()->model;
             into.wanted = copy.target()->version.hex();
         }
-        if (!copy.open())
+        if (!copy.accepts_requests())
             into.serving.clear();
     }
 
@@ -376,12 +381,12 @@
      * has changed, else with the next regular report. */
     void changed()
     {
-        const auto key = std::pair(copy.phase(), copy.serving());
+        const auto key = std::pair(copy.phase(), copy.serving_version());
         if (key == reported)
             return;
         reported = key;
         log::state("replica", {{"phase", std::string(to_string(copy.phase()))},
-                               {"reason", copy.reason()}});
+                               {"reason", copy.failure_reason()}});
         report();
     }
 
@@ -391,11 +396,11 @@
     {
         using nlohmann::json;
         return json{{"phase", to_string(copy.phase())},
-                    {"reason", copy.reason()},
-                    {"serving", copy.serving().hex()},
+                    {"reason", copy.failure_reason()},
+                    {"serving", copy.serving_version().hex()},
                     {"wanted", copy.target() ? copy.target()->version.hex()
                                              : std::string{}},
-                    {"open", plain || copy.open()},
+                    {"open", plain || copy.accepts_requests()},
                     {"fencing_token", orders.token().value()},
                     {"subscribers", reports.size()},
                     {"transfer", json::parse(transfer.dump())},
--- a/src/coursejunction/daemon/state_dump.cpp
+++ b/src/coursejunction/daemon/state_dump.cpp
@@ -113,9 +113,9 @@
     auto list = json::array();
     for (const auto& one : agent.versions)
         list.push_back({{"version", one.version},
-                        {"chunks", one.chunks},
-                        {"held", one.held},
-                        {"staged", one.staged}});
+                        {"chunks", one.chunk_count},
+                        {"held", one.held_chunks},
+                        {"staged", one.staged_chunks}});
     return list;
 }
 
@@ -123,7 +123,7 @@
 {
     return {{"life", one.life.value()}, {"model", one.model},
             {"version", one.version},   {"orders", one.sequence},
-            {"ordered", one.ordered},   {"running", one.running},
+            {"ordered", one.loading},   {"running", one.running},
             {"waiting", one.waiting},   {"pace", one.pace}};
 }
 
--- a/src/coursejunction/proxy/crash_guard.cpp
+++ b/src/coursejunction/proxy/crash_guard.cpp
@@ -29,55 +29,57 @@
     owns = std::move(call);
 }
 
-crash_standing crash_guard::standing(const request_content& what,
-                                     time_point now) const
+crash_status crash_guard::standing(const request_content& what,
+                                   time_point now) const
 {
-    return ledger.standing(what, now);
+    return ledger.status(what, now);
 }
 
 std::size_t crash_guard::most_running(const request_content& what,
                                       time_point now) const
 {
     const bool tries_it =
-        ledger.standing(what, now) == crash_standing::on_trial && tries(what);
-    return ledger.most_running(what, tries_it, now);
+        ledger.status(what, now) == crash_status::on_trial && tries(what);
+    return ledger.max_running(what, tries_it, now);
 }
 
 bool crash_guard::looking_into(const request_content& what,
                                time_point now) const
 {
-    return witness.waits(what, now);
+    return witness.has_unexplained_loss(what, now);
 }
 
 bool crash_guard::suspect(const request_content& what, time_point now) const
 {
-    return ledger.standing(what, now) != crash_standing::clear ||
+    return ledger.status(what, now) != crash_status::clear ||
            looking_into(what, now);
 }
 
 milliseconds crash_guard::left(const request_content& what,
                                time_point now) const
 {
-    return ledger.left(what, now);
+    return ledger.quarantine_left(what, now);
 }
 
 void crash_guard::lost(lost_attempt one, time_point now)
 {
     const auto upstream = one.upstream;
     const auto address = one.address;
-    if (witness.lost(std::move(one), now))
+    if (witness.add_lost_attempt(std::move(one), now))
         look_at(upstream, address);
 }
 
 void crash_guard::ended(const instance_id& upstream, const std::string& why)
 {
-    accuse(witness.ended(upstream, end_proof::seen, event_loop::now()),
+    accuse(witness.confirm_crash(upstream, crash_proof::confirmed,
+                                 event_loop::now()),
            upstream, why);
 }
 
 void crash_guard::record_gone(const instance_id& upstream)
 {
-    accuse(witness.ended(upstream, end_proof::record_gone, event_loop::now()),
+    accuse(witness.confirm_crash(upstream, crash_proof::record_expired,
+                                 event_loop::now()),
            upstream, "its record is gone");
     if (const auto address = witness.address_of(upstream))
         look_at(upstream, *address);
@@ -86,7 +88,7 @@
 void crash_guard::address_taken(const instance_id& by,
                                 const std::string& address)
 {
-    while (const auto other = witness.before(by, address))
+    while (const auto other = witness.previous_upstream_at(by, address))
         ended(*other, "its address belongs to another one");
 }
 
@@ -101,7 +103,7 @@
                  });
 }
 
-void crash_guard::accuse(const std::vector<crash_accusation>& accused,
+void crash_guard::accuse(const std::vector<crash_report>& accused,
                          const instance_id& upstream, const std::string& why)
 {
     if (accused.empty())
@@ -114,7 +116,7 @@
                   {"requests", std::to_string(accused.size())}});
     for (const auto& one : accused)
     {
-        if (!ledger.accuse(one.content, one.end, one.evidence, now))
+        if (!ledger.record_crash(one.content, one.crash, one.evidence, now))
             continue;
         note_quarantine(one.content, "upstreams ended under it here");
         keep(one.content);
@@ -125,7 +127,7 @@
 
 void crash_guard::answered(const request_content& what)
 {
-    if (ledger.answered(what, event_loop::now()))
+    if (ledger.record_response(what, event_loop::now()))
         cleared(what, "request_cleared");
 }
 
@@ -156,12 +158,13 @@
 
 std::vector<message::crash_record> crash_guard::told()
 {
-    return ledger.news(crash_ledger::most_told, event_loop::now());
+    return ledger.collect_updates(crash_ledger::max_records_per_datagram,
+                                  event_loop::now());
 }
 
 bool crash_guard::lift(const request_content& what)
 {
-    if (!ledger.lift(what, event_loop::now()))
+    if (!ledger.lift_quarantine(what, event_loop::now()))
         return false;
     cleared(what, "quarantine_lifted");
     return true;
@@ -188,9 +191,9 @@
 {
     ledger.expire(now);
     counters.set("requests_quarantined",
-                 static_cast<double>(ledger.suspected()));
+                 static_cast<double>(ledger.blocked_count()));
     counters.set("request_crash_records",
-                 static_cast<double>(ledger.all().size()));
+                 static_cast<double>(ledger.histories().size()));
 }
 
 void crash_guard::note_quarantine(const request_content& what,
--- a/src/coursejunction/proxy/crash_guard.hpp
+++ b/src/coursejunction/proxy/crash_guard.hpp
@@ -14,7 +14,7 @@
 #include "coursejunction/net/metrics.hpp"
 #include "coursejunction/net/stream_client.hpp"
 #include "coursejunction/run/crash_ledger.hpp"
-#include "coursejunction/run/crash_witness.hpp"
+#include "coursejunction/run/lost_attempt_tracker.hpp"
 
 namespace coursejunction
 {
@@ -53,8 +53,8 @@
      * entry's. */
     void owns_trials(trial_owner call);
 
-    [[nodiscard]] crash_standing standing(const request_content& what,
-                                          time_point now) const;
+    [[nodiscard]] crash_status standing(const request_content& what,
+                                        time_point now) const;
 
     /*! @brief Returns how many copies of a request may run here at once. */
     [[nodiscard]] std::size_t most_running(const request_content& what,
@@ -115,7 +115,7 @@
 
 private:
     void look_at(const instance_id& upstream, const std::string& address);
-    void accuse(const std::vector<crash_accusation>& accused,
+    void accuse(const std::vector<crash_report>& accused,
                 const instance_id& upstream, const std::string& why);
     void note_quarantine(const request_content& what, const std::string& why);
     [[nodiscard]] bool tries(const request_content& what) const;
@@ -129,7 +129,7 @@
     keep_callback kept;
     trial_owner owns;
     crash_ledger ledger;
-    crash_witness witness;
+    lost_attempt_tracker witness;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -77,12 +77,12 @@
 /*! @brief Returns an attempt that was lost, as evidence against its request.
  * @param life Of the upstream, as it is known. */
 [[nodiscard]] inline lost_attempt
-lost_attempt_of(const exchange& one, const incarnation& life, attempt_loss how)
+lost_attempt_of(const exchange& one, const incarnation& life, loss_cause how)
 {
-    const auto evidence = one.trial        ? end_evidence::trial
-                          : one.progressed ? end_evidence::weak
-                                           : end_evidence::beginning;
-    const auto end = crash_of(one.at.upstream, life);
+    const auto evidence = one.trial        ? crash_evidence::trial
+                          : one.progressed ? crash_evidence::mid_response
+                                           : crash_evidence::before_response;
+    const auto end = crash_id_of(one.at.upstream, life);
     return {one.at.upstream, one.at.address, {one.content, end, evidence}, how};
 }
 
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -169,10 +169,9 @@
                       [&](exchange& one)
                       {
                           client.cancel(one.call);
-                          crashes.lost(
-                              exchange_facts::lost_attempt_of(
-                                  one, life.life, attempt_loss::closed),
-                              event_loop::now());
+                          crashes.lost(exchange_facts::lost_attempt_of(
+                                           one, life.life, loss_cause::closed),
+                                       event_loop::now());
                           failed(one, attempt_reach::may_have_run,
                                  "upstream has started again");
                       });
@@ -227,7 +226,7 @@
         if (one.asked.deadline)
             one.ends = std::min<time_point>(one.ends,
                                             one.arrived + *one.asked.deadline);
-        budgets.of(one.service).request(one.arrived);
+        budgets.of(one.service).record_request(one.arrived);
         one.standing =
             decisions.arrived(*one.route, exchange_facts::profile_of(one),
                               one.fingerprint, one.asked.deadline, one.arrived);
@@ -287,8 +286,8 @@
     bool may_run_beside_copies(exchange& one, time_point now)
     {
         const auto standing = crashes.standing(one.content, now);
-        one.trial = standing == crash_standing::on_trial;
-        if (standing == crash_standing::clear)
+        one.trial = standing == crash_status::on_trial;
+        if (standing == crash_status::clear)
             return true;
         const auto most = crashes.most_running(one.content, now);
         // A trial is one attempt: that it failed may be all it was to show.
@@ -492,7 +491,7 @@
                           [&](exchange& found)
                           {
                               client.cancel(found.call);
-                              note_lost(found, attempt_loss::silent);
+                              note_lost(found, loss_cause::timed_out);
                               failed(found, attempt_reach::may_have_run,
                                      "upstream is silent");
                           });
@@ -568,7 +567,7 @@
     void got_end(exchange& one, stream_end how, const std::string& why)
     {
         if (how == stream_end::closed)
-            note_lost(one, attempt_loss::closed);
+            note_lost(one, loss_cause::closed);
         if (how != stream_end::whole)
             return failed(one,
                           how == stream_end::not_sent
@@ -589,7 +588,7 @@
     }
 
     /*! @brief An attempt was lost. An upstream that is leaving may end. */
-    void note_lost(const exchange& one, attempt_loss how)
+    void note_lost(const exchange& one, loss_cause how)
     {
         const auto* known = book.find(one.at.upstream);
         if (known != nullptr && known->leaving())
@@ -663,7 +662,7 @@
             ++one.runs;
         // What never arrived costs the service nothing.
         const bool paid = again && (reach == attempt_reach::not_sent ||
-                                    budgets.of(one.service).spend(now));
+                                    budgets.of(one.service).try_spend(now));
         exchange_log::attempt_failed(one, why, may_have_run, paid, now);
         if (paid)
             return place(one);
@@ -741,7 +740,7 @@
         if (one.attempt == 0)
             return;
         if (std::exchange(one.in_flight, false))
-            note_lost(one, attempt_loss::withdrawn);
+            note_lost(one, loss_cause::cancelled);
         client.cancel(one.call);
         book.withdraw(one.at.upstream, one.attempt);
     }
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -38,7 +38,7 @@
     std::string ready_address;  /*!< `IP:port` for the balancer's question. */
     std::string ready_path;
     /*! @brief Time after which older weights take no request any more:
-     * `version_times::send_until`. */
+     * `version_deadlines::send_until`. */
     milliseconds version_time{6000};
     /*! @brief A stop that takes longer is ended by force. */
     milliseconds stop_grace{8000};
@@ -278,9 +278,9 @@
         if (!restoring.due(node.mirror().position(), rank, now))
             return;
         const auto& records = exchanges.crashing().records();
-        for (const auto& [what, one] : records.all())
+        for (const auto& [what, one] : records.histories())
         {
-            if (records.suspects(what) &&
+            if (records.is_blocked(what) &&
                 node.mirror().lacks_by_loss(quarantine_key(what)))
                 keeper.restore(what, quarantine_payload(
                                          records.record(what, now), wall_ms()));
--- a/src/coursejunction/proxy/retry_budgets.hpp
+++ b/src/coursejunction/proxy/retry_budgets.hpp
@@ -37,7 +37,7 @@
         own.reserve =
             std::max(limits.reserve / static_cast<double>(entry_count), 1.0);
         auto& found = windows.try_emplace(service, own).first->second;
-        found.reserve(own.reserve);
+        found.set_reserve(own.reserve);
         return found;
     }
 
--- a/src/coursejunction/rollout/agent_state.hpp
+++ b/src/coursejunction/rollout/agent_state.hpp
@@ -18,9 +18,10 @@
 struct version_progress
 {
     std::uint64_t version{0};
-    std::size_t chunks{0}; /*!< Of the manifest; 0 while that is missing. */
-    std::size_t held{0};
-    std::size_t staged{0}; /*!< Put to the upstream. */
+    std::size_t chunk_count{
+        0}; /*!< Of the manifest; 0 while that is missing. */
+    std::size_t held_chunks{0};
+    std::size_t staged_chunks{0}; /*!< Put to the upstream. */
 };
 
 /*! @brief A side at one moment. */
--- a/src/coursejunction/rollout/assignment.cpp
+++ b/src/coursejunction/rollout/assignment.cpp
@@ -10,7 +10,7 @@
 namespace internal
 {
 
-bool matches(const upstream_slot& upstream, const placement& where)
+bool matches(const upstream_candidate& upstream, const placement& where)
 {
     if (upstream.hall != where.hall)
         return false;
@@ -27,7 +27,7 @@
 
 std::map<instance_id, deployment_name>
 assign_deployments(const configuration& wanted,
-                   const std::vector<upstream_slot>& upstreams)
+                   const std::vector<upstream_candidate>& upstreams)
 {
     std::map<instance_id, deployment_name> assigned;
     for (const auto& [name, spec] : wanted.deployments())
--- a/src/coursejunction/rollout/assignment.hpp
+++ b/src/coursejunction/rollout/assignment.hpp
@@ -16,7 +16,7 @@
 {
 
 /*! @brief An upstream that may run a deployment. */
-struct upstream_slot
+struct upstream_candidate
 {
     instance_id instance;
     hall_id hall;
@@ -29,7 +29,7 @@
  * upstream that dies moves only its own deployment. */
 [[nodiscard]] std::map<instance_id, deployment_name>
 assign_deployments(const configuration& wanted,
-                   const std::vector<upstream_slot>& upstreams);
+                   const std::vector<upstream_candidate>& upstreams);
 
 } // namespace coursejunction
 
--- a/src/coursejunction/rollout/turn_policy.hpp
+++ b/src/coursejunction/rollout/close_policy.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief When a side may close its upstream to load new weights; pure.
  */
-#ifndef COURSEJUNCTION_ROLLOUT_TURN_POLICY_HPP
-#define COURSEJUNCTION_ROLLOUT_TURN_POLICY_HPP
+#ifndef COURSEJUNCTION_ROLLOUT_CLOSE_POLICY_HPP
+#define COURSEJUNCTION_ROLLOUT_CLOSE_POLICY_HPP
 
 #include <algorithm>
 #include <cstddef>
@@ -16,17 +16,17 @@
 {
 
 /*! @brief Limits of a rollout inside one hall. */
-struct turn_limits
+struct close_limits
 {
     /*! @brief Part of a hall's upstreams that may be closed at once. */
-    double closed_part{0.34};
+    double max_closed_fraction{0.34};
     /*! @brief Time after which an upstream closes whatever the others do:
-     * `version_times::close_latest`. */
-    milliseconds latest{5300};
+     * `version_deadlines::close_deadline`. */
+    milliseconds close_deadline{5300};
 };
 
 /*! @brief Another side of the same hall, as it last told. */
-struct hall_neighbour
+struct hall_peer
 {
     instance_id id;
     bool closed{false}; /*!< Takes nothing new. */
@@ -37,17 +37,17 @@
  * counts those that it hears, and ties go by rank. Sides that do not hear each
  * other may close together, which costs room for a moment but no rule.
  * @param known How long ago the version was named. */
-[[nodiscard]] inline bool may_close(const turn_limits& limits,
+[[nodiscard]] inline bool may_close(const close_limits& limits,
                                     const instance_id& own,
-                                    const std::vector<hall_neighbour>& others,
+                                    const std::vector<hall_peer>& others,
                                     const std::string& version,
                                     std::chrono::microseconds known)
 {
-    if (known >= limits.latest)
+    if (known >= limits.close_deadline)
         return true;
     const auto size = static_cast<double>(others.size() + 1);
     const auto most = std::max<std::size_t>(
-        1, static_cast<std::size_t>(size * limits.closed_part + 0.5));
+        1, static_cast<std::size_t>(size * limits.max_closed_fraction + 0.5));
     std::size_t closed = 0;
     std::size_t before = 0;
     const auto rank = rendezvous_weight(version, own.value());
--- a/src/coursejunction/rollout/fence.hpp
+++ b/src/coursejunction/rollout/fence.hpp
@@ -50,7 +50,7 @@
     }
 
     /*! @brief A token was taken. */
-    void taken(fencing_token token)
+    void token_acquired(fencing_token token)
     {
         if (superseded && token <= own)
             return;
@@ -61,7 +61,7 @@
     }
 
     /*! @brief The newest token was read from the service. */
-    void confirmed(fencing_token newest)
+    void newest_token_read(fencing_token newest)
     {
         if (newest > own)
             superseded = true;
@@ -72,13 +72,13 @@
     /*! @brief The service did not answer when asked to confirm: nobody can
      * take a later token meanwhile, so a process that was not paused goes
      * on. */
-    void unanswered() { fresh = !doubt; }
+    void service_unreachable() { fresh = !doubt; }
 
     /*! @brief An order was given: the next one is confirmed anew. */
-    void ordered() { fresh = false; }
+    void command_sent() { fresh = false; }
 
     /*! @brief An upstream refused the token as old. */
-    void refused() { superseded = true; }
+    void token_rejected() { superseded = true; }
 
     /*! @brief Returns whether an order may be given now. */
     [[nodiscard]] fence_state state() const
--- a/src/coursejunction/rollout/fwd.hpp
+++ b/src/coursejunction/rollout/fwd.hpp
@@ -13,7 +13,7 @@
 enum class replica_action : std::uint8_t;
 enum class report_order : std::uint8_t;
 struct replica_target;
-struct upstream_slot;
+struct upstream_candidate;
 class replica;
 class permit_table;
 class fence;
--- a/src/coursejunction/rollout/permit_table.hpp
+++ b/src/coursejunction/rollout/permit_table.hpp
@@ -50,9 +50,9 @@
 
     /*! @brief Takes a report: a closed replica counts, whoever let it close;
      * one that is open again counts no more once it has changed. */
-    void reported(const deployment_name& deployment,
-                  const instance_id& instance, bool is_closed, bool waiting,
-                  time_point now)
+    void update_replica(const deployment_name& deployment,
+                        const instance_id& instance, bool is_closed,
+                        bool waiting, time_point now)
     {
         auto& held = closed[deployment];
         if (is_closed)
@@ -62,13 +62,14 @@
     }
 
     /*! @brief Starts the settling time anew, when the hall's entries change. */
-    void settle_until(time_point when)
+    void delay_grants_until(time_point when)
     {
         grants_from = std::max(grants_from, when);
     }
 
     /*! @brief Returns how many replicas count as closed. */
-    [[nodiscard]] std::size_t size(const deployment_name& deployment) const
+    [[nodiscard]] std::size_t
+    closed_count(const deployment_name& deployment) const
     {
         const auto found = closed.find(deployment);
         return found == closed.end() ? 0 : found->second.size();
--- a/src/coursejunction/rollout/replica.hpp
+++ b/src/coursejunction/rollout/replica.hpp
@@ -62,10 +62,10 @@
 enum class replica_action : std::uint8_t
 {
     none,
-    read_upstream, /*!< Ask the upstream what it serves. */
-    stage,         /*!< Start or go on fetching `wanted`. */
-    ask_permit,    /*!< Ask the hall's entries for a permit to close. */
-    order_load     /*!< Take a fencing token and order the load. */
+    read_upstream,    /*!< Ask the upstream what it serves. */
+    stage,            /*!< Start or go on fetching `wanted`. */
+    request_permit,   /*!< Ask the hall's entries for a permit to close. */
+    send_load_command /*!< Take a fencing token and order the load. */
 };
 
 /*! @brief What a replica is to serve. */
@@ -81,8 +81,8 @@
                            const replica_target&) = default;
 };
 
-/*! @brief State machine of one replica. Pure: `next` says what to do, the
- * other members say what happened. The gate is open only while the upstream
+/*! @brief State machine of one replica. Pure: `next_action` says what to do,
+ * the other members say what happened. The gate is open only while the upstream
  * was read to serve one whole version. */
 class replica
 {
@@ -94,7 +94,7 @@
 
     /*! @brief Sets what is wanted; a changed version stops the way to the
      * one before, wherever it stood. */
-    void want(std::optional<replica_target> target)
+    void set_target(std::optional<replica_target> target)
     {
         if (target == wanted_target)
             return;
@@ -115,7 +115,7 @@
     }
 
     /*! @brief The wanted version is whole and verified. */
-    void staged(const digest& version)
+    void staging_completed(const digest& version)
     {
         if (!wanted_target || wanted_target->version != version)
             return;
@@ -126,7 +126,7 @@
 
     /*! @brief The upstream lost what was staged: it must be handed over
      * again. */
-    void unstage()
+    void staging_lost()
     {
         staged_whole = false;
         if (phase_now == replica_phase::waiting)
@@ -141,7 +141,7 @@
     }
 
     /*! @brief A permit to close came. */
-    void permit(const digest& version, time_point)
+    void permit_granted(const digest& version, time_point)
     {
         if (wanted_target && wanted_target->version == version &&
             phase_now == replica_phase::waiting && !wanted_target->paused)
@@ -151,7 +151,7 @@
     }
 
     /*! @brief The upstream answered the order. */
-    void loaded(bool done, std::string reason, time_point now)
+    void load_finished(bool done, std::string reason, time_point now)
     {
         if (phase_now != replica_phase::loading)
             return;
@@ -163,7 +163,7 @@
     }
 
     /*! @brief The upstream said what it serves; empty means nothing. */
-    void read_back(const digest& version, time_point now)
+    void version_read(const digest& version, time_point now)
     {
         serving_now = version;
         if (phase_now == replica_phase::checking && load_refused)
@@ -185,7 +185,7 @@
     }
 
     /*! @brief The upstream did not say what it serves: nothing is known. */
-    void read_failed(std::string reason, time_point now)
+    void version_read_failed(std::string reason, time_point now)
     {
         why = std::move(reason);
         if (phase_now != replica_phase::checking)
@@ -194,7 +194,7 @@
     }
 
     /*! @brief Forgets what the upstream serves, so that it is read again. */
-    void doubt()
+    void invalidate()
     {
         if (phase_now != replica_phase::loading)
             phase_now = replica_phase::unknown;
@@ -203,7 +203,8 @@
 
     /*! @brief Returns what to do now.
      * @param running Requests in progress at the upstream. */
-    [[nodiscard]] replica_action next(std::size_t running, time_point now)
+    [[nodiscard]] replica_action next_action(std::size_t running,
+                                             time_point now)
     {
         switch (phase_now)
         {
@@ -223,7 +224,7 @@
             if (running > 0)
                 return replica_action::none;
             phase_now = replica_phase::loading;
-            return replica_action::order_load;
+            return replica_action::send_load_command;
         case replica_phase::loading:
         case replica_phase::serving:
         case replica_phase::idle:
@@ -233,7 +234,7 @@
     }
 
     /*! @brief Tells whether new requests may run at the upstream. */
-    [[nodiscard]] bool open() const
+    [[nodiscard]] bool accepts_requests() const
     {
         return !serving_now.empty() && (phase_now == replica_phase::idle ||
                                         phase_now == replica_phase::staging ||
@@ -243,7 +244,7 @@
     }
 
     /*! @brief Tells whether the replica is closed for a load. */
-    [[nodiscard]] bool closed() const
+    [[nodiscard]] bool closed_for_load() const
     {
         return phase_now == replica_phase::draining ||
                phase_now == replica_phase::loading ||
@@ -251,8 +252,14 @@
     }
 
     [[nodiscard]] replica_phase phase() const noexcept { return phase_now; }
-    [[nodiscard]] const digest& serving() const noexcept { return serving_now; }
-    [[nodiscard]] const std::string& reason() const noexcept { return why; }
+    [[nodiscard]] const digest& serving_version() const noexcept
+    {
+        return serving_now;
+    }
+    [[nodiscard]] const std::string& failure_reason() const noexcept
+    {
+        return why;
+    }
     [[nodiscard]] const std::optional<replica_target>& target() const noexcept
     {
         return wanted_target;
@@ -295,9 +302,9 @@
         if (serving_now.empty())
         {
             phase_now = replica_phase::loading;
-            return replica_action::order_load;
+            return replica_action::send_load_command;
         }
-        return at_most(replica_action::ask_permit, permit_retry, now);
+        return at_most(replica_action::request_permit, permit_retry, now);
     }
 
     replica_action at_most(replica_action action, milliseconds each,
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -22,8 +22,8 @@
 #include "coursejunction/net/event_loop.hpp"
 #include "coursejunction/net/metrics.hpp"
 #include "coursejunction/rollout/agent_state.hpp"
+#include "coursejunction/rollout/close_policy.hpp"
 #include "coursejunction/rollout/report_order.hpp"
-#include "coursejunction/rollout/turn_policy.hpp"
 #include "coursejunction/rollout/upstream_engine.hpp"
 #include "coursejunction/rollout/version_order.hpp"
 #include "coursejunction/transfer/chunk_transfer.hpp"
@@ -36,29 +36,29 @@
 {
     /*! @brief How often the upstream's state is read; entries place requests
      * by it, and 12 upstreams get some 10 requests a second each. */
-    milliseconds poll{50};
+    milliseconds poll_interval{50};
     /*! @brief How often chunks are told to the hall while they come; one
      * chunk takes 35 ms on a side's link. */
-    milliseconds spread{90};
+    milliseconds announce_interval{90};
     /*! @brief How long after a version was named some side may still fetch it:
      * the time that a version has. */
-    milliseconds spread_time{8000};
+    milliseconds fetch_window{8000};
     /*! @brief Time after which entries send nothing to weights older than a
-     * version that was named: `version_times::send_until`. */
-    milliseconds send_until{6000};
+     * version that was named: `version_deadlines::send_deadline`. */
+    milliseconds send_deadline{6000};
     /*! @brief Between the news that the upstream closes and the order, so that
      * requests on their way still arrive before it. */
-    milliseconds close_pause{30};
+    milliseconds close_propagation_delay{30};
     /*! @brief How long running requests may finish before the order cuts the
      * rest, which entries resume elsewhere. A whole drain takes 2 s and more,
      * so that three rounds of it would not fit into a version's 8 s; two
      * thirds of the streams end within 800 ms. */
-    milliseconds drain_time{800};
+    milliseconds drain_timeout{800};
     /*! @brief Without effect for this long, an order is given again. */
-    milliseconds order_patience{5000};
+    milliseconds load_timeout{5000};
     /*! @brief Rate of the instance's link; zero for no limit. */
     byte_rate link_rate{0};
-    turn_limits turns;
+    close_limits closing_limits;
 };
 
 /*! @brief Acts for one upstream.
@@ -99,8 +99,8 @@
         { serve_peer(request, std::move(reply)); };
         hooks.spreading = [this] { return spreading_now(); };
         node.start(std::move(hooks));
-        polling = loop.every(options.poll, [this] { poll(); });
-        spreading = loop.every(options.spread, [this] { spread(); });
+        polling = loop.every(options.poll_interval, [this] { poll(); });
+        spreading = loop.every(options.announce_interval, [this] { spread(); });
     }
 
     [[nodiscard]] const fleet_view<Platform>& view() const { return fleet; }
@@ -214,13 +214,13 @@
         if (!needs)
             return false;
         const auto used_until =
-            fleet.named_at(one.version().model, newest) + options.send_until;
+            fleet.named_at(one.version().model, newest) + options.send_deadline;
         if (!comes_too_late(*needs, event_loop::now(), used_until))
             return false;
         log::state("version_passed_over",
                    {{"version", std::to_string(one.version().version)},
                     {"for", std::to_string(newest)},
-                    {"chunks_unseen", std::to_string(needs->chunks_unseen)}});
+                    {"chunks_unseen", std::to_string(needs->missing_chunks)}});
         return true;
     }
 
@@ -339,7 +339,7 @@
     {
         return version > 1 && last &&
                event_loop::now() - fleet.named_at(last->model, version) <
-                   options.spread_time;
+                   options.fetch_window;
     }
 
     /*! @brief While chunks still come, the hall hears of each soon. */
@@ -393,7 +393,7 @@
         const bool differs =
             !reachable || !last || told.running != last->running ||
             told.waiting != last->waiting || told.version != last->version ||
-            told.ordered != last->ordered;
+            told.loading != last->loading;
         reachable = true;
         last = std::move(told);
         ++status_sequence;
@@ -433,8 +433,7 @@
     /*! @brief An order is out, or about to be given. */
     void await_order()
     {
-        if (!closing ||
-            event_loop::now() - ordered_at <= options.order_patience)
+        if (!closing || event_loop::now() - ordered_at <= options.load_timeout)
             return;
         log::warning("order_without_effect",
                      {{"version", std::to_string(ordered_version)}});
@@ -463,7 +462,7 @@
         if (last->version == 0)
             return true;
         const auto& wanted = next.version();
-        std::vector<hall_neighbour> others;
+        std::vector<hall_peer> others;
         for (const auto& [address, one] : node.peers().all())
         {
             if (one.entry || !peer_directory::alive(one, now) ||
@@ -474,7 +473,7 @@
                                   next.whole_at(one.last.chunks)});
         }
         const auto known = now - fleet.named_at(wanted.model, wanted.version);
-        return may_close(options.turns, instance_id(own), others,
+        return may_close(options.closing_limits, instance_id(own), others,
                          wanted.rank_key(), known);
     }
 
@@ -489,7 +488,8 @@
         log::state("upstream_closed",
                    {{"version", std::to_string(version)},
                     {"running", std::to_string(last->running)}});
-        order_timer = loop.after(options.close_pause, [this] { drain(); });
+        order_timer =
+            loop.after(options.close_propagation_delay, [this] { drain(); });
     }
 
     /*! @brief Waits until nothing runs, or until the time for it is over. */
@@ -497,11 +497,12 @@
     {
         if (!closing)
             return;
-        const bool over = event_loop::now() - ordered_at >= options.drain_time;
+        const bool over =
+            event_loop::now() - ordered_at >= options.drain_timeout;
         const bool empty = last && last->running + last->waiting == 0;
         if (over || empty || !may_cut())
             return order();
-        order_timer = loop.after(options.poll, [this] { drain(); });
+        order_timer = loop.after(options.poll_interval, [this] { drain(); });
     }
 
     /*! @brief Tells whether every request here can be resumed elsewhere. */
@@ -532,8 +533,8 @@
         counters.count("orders_total");
         engine.load(
             wanted, last->sequence,
-            may_cut() ? load_method::cut : load_method::finish,
-            [this, wanted, life = restarts](order_outcome outcome)
+            may_cut() ? load_method::abort : load_method::drain,
+            [this, wanted, life = restarts](load_outcome outcome)
             {
                 if (life != restarts)
                     return;
@@ -542,9 +543,9 @@
                     {{"model", wanted.model},
                      {"version", std::to_string(wanted.version)},
                      {"outcome", std::to_string(static_cast<int>(outcome))}});
-                if (outcome == order_outcome::begun ||
-                    outcome == order_outcome::done ||
-                    outcome == order_outcome::unknown)
+                if (outcome == load_outcome::accepted ||
+                    outcome == load_outcome::already_applied ||
+                    outcome == load_outcome::unknown)
                     return;
                 closing = false;
                 ++status_sequence;
--- a/src/coursejunction/rollout/upstream_engine.hpp
+++ b/src/coursejunction/rollout/upstream_engine.hpp
@@ -25,7 +25,7 @@
     std::string model;
     std::uint64_t version{0};  /*!< Whole weights; 0 while any layer lacks. */
     std::uint64_t sequence{0}; /*!< Orders taken since its start. */
-    bool ordered{false};       /*!< An order is under way. */
+    bool loading{false};       /*!< An order is under way. */
     std::uint32_t running{0};
     std::uint32_t waiting{0};
     std::uint64_t memory_used{0};
@@ -34,20 +34,20 @@
 };
 
 /*! @brief What became of an order to load. */
-enum class order_outcome : std::uint8_t
+enum class load_outcome : std::uint8_t
 {
-    begun,    /*!< It is under way. */
-    done,     /*!< It holds already. */
-    conflict, /*!< The upstream's state was another one. */
-    refused,  /*!< It will not be taken as it is. */
-    unknown   /*!< No answer came; it may have been taken. */
+    accepted,        /*!< It is under way. */
+    already_applied, /*!< It holds already. */
+    conflict,        /*!< The upstream's state was another one. */
+    refused,         /*!< It will not be taken as it is. */
+    unknown          /*!< No answer came; it may have been taken. */
 };
 
 /*! @brief What an order does with requests that run. */
 enum class load_method : std::uint8_t
 {
-    finish, /*!< They finish first; nothing new is taken meanwhile. */
-    cut     /*!< They are cut off; entries resume them elsewhere. */
+    drain, /*!< They finish first; nothing new is taken meanwhile. */
+    abort  /*!< They are cut off; entries resume them elsewhere. */
 };
 
 /*! @brief A version of a model. */
@@ -75,13 +75,13 @@
     std::function<void(result<engine_report>)> reported,
     std::function<void(result<std::vector<chunk_index>>)> listed,
     std::function<void(result<std::string>)> got, std::function<void(bool)> put,
-    std::function<void(order_outcome)> ordered)
+    std::function<void(load_outcome)> ordered)
 {
     engine.report(reported);
     engine.staged(model, listed);
     engine.staged_chunk(model, chunk, got);
     engine.stage(model, chunk, bytes, put);
-    engine.load(what, sequence, load_method::finish, ordered);
+    engine.load(what, sequence, load_method::drain, ordered);
 };
 
 /*! @brief Calls of the origin of weights at an address. */
--- a/src/coursejunction/rollout/version_order.hpp
+++ b/src/coursejunction/rollout/version_order.hpp
@@ -32,10 +32,11 @@
 }
 
 /*! @brief What a version still needs before upstreams can serve it. */
-struct version_need
+struct remaining_download
 {
-    std::size_t chunks_unseen{0}; /*!< No side is known to have them. */
-    std::chrono::microseconds chunk_time{0}; /*!< One on the origin's link. */
+    std::size_t missing_chunks{0}; /*!< No side is known to have them. */
+    std::chrono::microseconds origin_chunk_time{
+        0}; /*!< One on the origin's link. */
 };
 
 /*! @brief From the last chunk's arrival until half of the upstreams serve a
@@ -46,12 +47,12 @@
  * one takes all requests before upstreams have loaded it. What its chunks take
  * from the origin's link is then taken from the newer one.
  * @param used_until When requests go to the newer version only. */
-[[nodiscard]] inline bool comes_too_late(const version_need& needs,
+[[nodiscard]] inline bool comes_too_late(const remaining_download& needs,
                                          time_point now, time_point used_until)
 {
     const auto count =
-        static_cast<std::chrono::microseconds::rep>(needs.chunks_unseen);
-    return now + needs.chunk_time * count + serving_time >= used_until;
+        static_cast<std::chrono::microseconds::rep>(needs.missing_chunks);
+    return now + needs.origin_chunk_time * count + serving_time >= used_until;
 }
 
 /*! @brief A version that is on its way to an instance. */
--- a/src/coursejunction/run/claim_book.hpp
+++ b/src/coursejunction/run/claim_registry.hpp
@@ -2,8 +2,8 @@
  * @brief Claims of requests that may run once, as one entry remembers them;
  * pure.
  */
-#ifndef COURSEJUNCTION_RUN_CLAIM_BOOK_HPP
-#define COURSEJUNCTION_RUN_CLAIM_BOOK_HPP
+#ifndef COURSEJUNCTION_RUN_CLAIM_REGISTRY_HPP
+#define COURSEJUNCTION_RUN_CLAIM_REGISTRY_HPP
 
 #include <cstddef>
 #include <deque>
@@ -19,22 +19,22 @@
 
 /*! @brief Who claimed a request first, by the digest of its id. The claim in
  * the key-value service stands beside it. */
-class claim_book
+class claim_registry
 {
 public:
     using size_type = std::size_t;
 
     /*! @brief Claims are remembered as long as the key-value service keeps
      * them. */
-    static constexpr std::chrono::hours memory{24};
+    static constexpr std::chrono::hours retention{24};
 
     /*! @param most Claims that are remembered; the oldest go first. */
-    explicit claim_book(size_type most) : limit(most) {}
+    explicit claim_registry(size_type most) : limit(most) {}
 
     /*! @brief Notes a claim.
      * @return Whether the claimant is the first; it may ask again. */
-    [[nodiscard]] bool note(const digest& request, const std::string& claimant,
-                            time_point now)
+    [[nodiscard]] bool try_claim(const digest& request,
+                                 const std::string& claimant, time_point now)
     {
         forget(now);
         const auto [found, added] = claimants.emplace(request, claimant);
@@ -47,7 +47,7 @@
     }
 
     /*! @brief Tells whether anybody has claimed a request. */
-    [[nodiscard]] bool holds(const digest& request, time_point now)
+    [[nodiscard]] bool contains(const digest& request, time_point now)
     {
         forget(now);
         return claimants.contains(request);
@@ -58,7 +58,7 @@
 private:
     void forget(time_point now)
     {
-        while (!order.empty() && now - order.front().first >= memory)
+        while (!order.empty() && now - order.front().first >= retention)
             drop_oldest();
     }
 
--- a/src/coursejunction/run/claim_session.hpp
+++ b/src/coursejunction/run/claim_session.hpp
@@ -22,13 +22,13 @@
     using size_type = std::size_t;
 
     /*! @brief A session is used so long. */
-    static constexpr std::chrono::hours longest{1};
+    static constexpr std::chrono::hours max_age{1};
 
     /*! @param most Claims that one session makes: fewer than the side
      * remembers requests. */
     explicit claim_session(size_type most) : limit(most) {}
 
-    void opened(std::string id, time_point now)
+    void open(std::string id, time_point now)
     {
         name = std::move(id);
         since = now;
@@ -36,7 +36,7 @@
     }
 
     /*! @brief The service lacks a session. */
-    void lost(const std::string& id)
+    void invalidate(const std::string& id)
     {
         if (name == id)
             name.clear();
@@ -45,11 +45,11 @@
     /*! @brief Tells whether another claim may hang on it. */
     [[nodiscard]] bool usable(time_point now) const
     {
-        return !name.empty() && claims < limit && now - since <= longest;
+        return !name.empty() && claims < limit && now - since <= max_age;
     }
 
     /*! @brief Returns the session for one claim. */
-    [[nodiscard]] std::string use()
+    [[nodiscard]] std::string use_for_claim()
     {
         ++claims;
         return name;
--- a/src/coursejunction/run/crash_evidence.hpp
+++ b/src/coursejunction/run/crash_evidence.hpp
@@ -20,8 +20,8 @@
 using crash_id = strong<struct crash_tag, std::uint64_t>;
 
 /*! @brief Returns the id of the end of a life. */
-[[nodiscard]] inline crash_id crash_of(const instance_id& upstream,
-                                       const incarnation& life)
+[[nodiscard]] inline crash_id crash_id_of(const instance_id& upstream,
+                                          const incarnation& life)
 {
     return crash_id(
         stable_hash(upstream.value() + "/" + std::to_string(life.value())));
@@ -29,45 +29,46 @@
 
 /*! @brief What a request was doing when its upstream ended; a later value
  * says more against it. */
-enum class end_evidence : std::uint8_t
+enum class crash_evidence : std::uint8_t
 {
     /*! @brief Its answer had begun. A request that is moved from one killed
      * upstream to the next loses most of them so. */
-    weak,
+    mid_response,
     /*! @brief Nothing of its answer had come. */
-    beginning,
+    before_response,
     /*! @brief It ran as a trial, the only copy of it anywhere. */
     trial
 };
 
 /*! @brief Returns how much an end weighs. Three that came before any answer, or
  * six that say less, are as much as a trial. */
-[[nodiscard]] constexpr std::size_t weight_of(end_evidence what)
+[[nodiscard]] constexpr std::size_t weight_of(crash_evidence what)
 {
     switch (what)
     {
-    case end_evidence::weak:
+    case crash_evidence::mid_response:
         return 1;
-    case end_evidence::beginning:
+    case crash_evidence::before_response:
         return 2;
-    case end_evidence::trial:
+    case crash_evidence::trial:
         break;
     }
     return 6;
 }
 
 /*! @brief One content with the upstreams that ended under it. */
-struct crash_entry
+struct crash_history
 {
-    std::map<crash_id, end_evidence> crashes;
+    std::map<crash_id, crash_evidence> crashes;
     std::set<crash_id> cleared; /*!< Those of them that no longer count. */
-    time_point last{};          /*!< When the last one ended. */
+    time_point last_crash{};    /*!< When the last one ended. */
     std::uint64_t change{0};    /*!< Rises with each change to tell of. */
     time_point changed{};       /*!< When there last was one. */
-    std::size_t passed{0};      /*!< Answers given here since the last end. */
+    std::size_t responses_since_crash{
+        0}; /*!< Answers given here since the last end. */
 
     /*! @brief Returns how many ends count. */
-    [[nodiscard]] std::size_t count() const
+    [[nodiscard]] std::size_t active_crashes() const
     {
         std::size_t sum = 0;
         for (const auto& [end, evidence] : crashes)
@@ -89,7 +90,7 @@
     {
         for (const auto& [end, evidence] : crashes)
         {
-            if (evidence == end_evidence::trial && !cleared.contains(end))
+            if (evidence == crash_evidence::trial && !cleared.contains(end))
                 return true;
         }
         return false;
--- a/src/coursejunction/run/crash_ledger.cpp
+++ b/src/coursejunction/run/crash_ledger.cpp
@@ -29,16 +29,16 @@
 
 /*! @brief Reads evidence as it is told; what a later version may add says no
  * less than all that is known here. */
-end_evidence evidence_of(std::uint8_t told)
+crash_evidence evidence_of(std::uint8_t told)
 {
-    constexpr auto most = static_cast<std::uint8_t>(end_evidence::trial);
-    return static_cast<end_evidence>(std::min(told, most));
+    constexpr auto most = static_cast<std::uint8_t>(crash_evidence::trial);
+    return static_cast<crash_evidence>(std::min(told, most));
 }
 
 /*! @brief Makes room for an end. What is cleared goes first; then, for a
  * trial's end, one that says least.
  * @return Whether there is room. */
-bool make_room(crash_entry& one, end_evidence evidence)
+bool make_room(crash_history& one, crash_evidence evidence)
 {
     if (one.crashes.size() < most_ends)
         return true;
@@ -47,7 +47,7 @@
     one.cleared.clear();
     if (one.crashes.size() < most_ends)
         return true;
-    if (evidence != end_evidence::trial)
+    if (evidence != crash_evidence::trial)
         return false;
     const auto least = std::min_element(one.crashes.begin(), one.crashes.end(),
                                         [](const auto& left, const auto& right)
@@ -58,7 +58,7 @@
 
 /*! @brief Adds an end, or what is newly known of it.
  * @return Whether that changed the record. */
-bool insert(crash_entry& one, const crash_id& end, end_evidence evidence)
+bool insert(crash_history& one, const crash_id& end, crash_evidence evidence)
 {
     const auto found = one.crashes.find(end);
     if (found != one.crashes.end())
@@ -71,7 +71,7 @@
     if (!make_room(one, evidence))
         return false;
     one.crashes.emplace(end, evidence);
-    one.passed = 0;
+    one.responses_since_crash = 0;
     return true;
 }
 
@@ -83,7 +83,7 @@
 }
 
 message::crash_record record_of(const request_content& what,
-                                const crash_entry& one, time_point now)
+                                const crash_history& one, time_point now)
 {
     message::crash_record made;
     made.content = what;
@@ -93,51 +93,52 @@
     for (const auto& end : one.cleared)
         made.cleared.push_back(end.value());
     const auto age =
-        std::chrono::duration_cast<milliseconds>(now - one.last).count();
+        std::chrono::duration_cast<milliseconds>(now - one.last_crash).count();
     made.age_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(0, age));
     return made;
 }
 
 } // namespace
 
-bool crash_ledger::accuse(const request_content& what, const crash_id& end,
-                          end_evidence evidence, time_point now)
+bool crash_ledger::record_crash(const request_content& what,
+                                const crash_id& end, crash_evidence evidence,
+                                time_point now)
 {
-    if (answers.count(what, now) >= limits.answers_per_end)
+    if (answers.count(what, now) >= limits.responses_per_crash)
     {
-        answers.spend(what, limits.answers_per_end);
+        answers.consume(what, limits.responses_per_crash);
         return false;
     }
     auto& one = found_or_made(what, now);
     const bool before = quarantined(one, now);
     // After an answer it is no longer the only copy that runs.
-    if (evidence == end_evidence::trial && one.passed > 0)
-        evidence = end_evidence::beginning;
+    if (evidence == crash_evidence::trial && one.responses_since_crash > 0)
+        evidence = crash_evidence::before_response;
     if (!insert(one, end, evidence))
         return false;
-    one.last = now;
+    one.last_crash = now;
     changed(one, now);
     return !before && quarantined(one, now);
 }
 
-bool crash_ledger::answered(const request_content& what, time_point now)
+bool crash_ledger::record_response(const request_content& what, time_point now)
 {
-    answers.note(what, now);
+    answers.record(what, now);
     const auto found = records.find(what);
     if (found == records.end())
         return false;
     auto& one = found->second;
-    ++one.passed;
-    if (standing(what, now) == crash_standing::on_trial &&
-        one.passed >= limits.trial_answers)
-        return lift(what, now);
+    ++one.responses_since_crash;
+    if (status(what, now) == crash_status::on_trial &&
+        one.responses_since_crash >= limits.trial_responses)
+        return lift_quarantine(what, now);
     return speaks_for(what, one, now);
 }
 
-bool crash_ledger::lift(const request_content& what, time_point now)
+bool crash_ledger::lift_quarantine(const request_content& what, time_point now)
 {
     const auto found = records.find(what);
-    if (found == records.end() || found->second.count() == 0)
+    if (found == records.end() || found->second.active_crashes() == 0)
         return false;
     for (const auto& [end, evidence] : found->second.crashes)
         found->second.cleared.insert(end);
@@ -145,49 +146,49 @@
     return true;
 }
 
-crash_standing crash_ledger::standing(const request_content& what,
-                                      time_point now) const
+crash_status crash_ledger::status(const request_content& what,
+                                  time_point now) const
 {
     const auto found = records.find(what);
-    if (found == records.end() || found->second.count() == 0)
-        return crash_standing::clear;
-    if (!suspected(found->second))
-        return crash_standing::doubted;
-    return quarantined(found->second, now) ? crash_standing::quarantined
-                                           : crash_standing::on_trial;
+    if (found == records.end() || found->second.active_crashes() == 0)
+        return crash_status::clear;
+    if (!blocked(found->second))
+        return crash_status::suspect;
+    return quarantined(found->second, now) ? crash_status::quarantined
+                                           : crash_status::on_trial;
 }
 
-std::size_t crash_ledger::most_running(const request_content& what,
-                                       bool tries_it, time_point now) const
+std::size_t crash_ledger::max_running(const request_content& what,
+                                      bool tries_it, time_point now) const
 {
-    switch (standing(what, now))
+    switch (status(what, now))
     {
-    case crash_standing::clear:
+    case crash_status::clear:
         return std::numeric_limits<std::size_t>::max();
-    case crash_standing::quarantined:
+    case crash_status::quarantined:
         return 0;
-    case crash_standing::on_trial:
-        return tries_it ? 1 + records.at(what).passed : 0;
-    case crash_standing::doubted:
+    case crash_status::on_trial:
+        return tries_it ? 1 + records.at(what).responses_since_crash : 0;
+    case crash_status::suspect:
         break;
     }
-    return 1 + records.at(what).passed;
+    return 1 + records.at(what).responses_since_crash;
 }
 
-milliseconds crash_ledger::left(const request_content& what,
-                                time_point now) const
+milliseconds crash_ledger::quarantine_left(const request_content& what,
+                                           time_point now) const
 {
     const auto found = records.find(what);
     if (found == records.end() || !quarantined(found->second, now))
         return milliseconds(0);
-    return std::chrono::duration_cast<milliseconds>(found->second.last +
+    return std::chrono::duration_cast<milliseconds>(found->second.last_crash +
                                                     lasts(found->second) - now);
 }
 
 bool crash_ledger::merge(const message::crash_record& told, time_point now)
 {
     const auto at = now - milliseconds(told.age_ms);
-    if (told.crashes.empty() || now - at >= limits.memory)
+    if (told.crashes.empty() || now - at >= limits.retention)
         return false;
     auto& one = found_or_made(told.content, at);
     const bool before = quarantined(one, now);
@@ -199,20 +200,20 @@
         if (one.crashes.contains(crash_id(end)))
             news = one.cleared.insert(crash_id(end)).second || news;
     }
-    if (at > one.last + age_error)
+    if (at > one.last_crash + age_error)
     {
-        one.last = at;
+        one.last_crash = at;
         news = true;
     }
-    if (news && limits.passes_on)
+    if (news && limits.relays_records)
         changed(one, now);
     if (speaks_for(told.content, one, now))
         return false;
     return !before && quarantined(one, now);
 }
 
-std::vector<message::crash_record> crash_ledger::news(std::size_t most,
-                                                      time_point now)
+std::vector<message::crash_record>
+crash_ledger::collect_updates(std::size_t most, time_point now)
 {
     std::vector<message::crash_record> made;
     const auto changes = untold();
@@ -242,65 +243,66 @@
 void crash_ledger::expire(time_point now)
 {
     std::erase_if(records, [&](const auto& one)
-                  { return now - one.second.last >= limits.memory; });
+                  { return now - one.second.last_crash >= limits.retention; });
 }
 
-bool crash_ledger::suspects(const request_content& what) const
+bool crash_ledger::is_blocked(const request_content& what) const
 {
     const auto found = records.find(what);
-    return found != records.end() && suspected(found->second);
+    return found != records.end() && blocked(found->second);
 }
 
-std::size_t crash_ledger::suspected() const
+std::size_t crash_ledger::blocked_count() const
 {
     return static_cast<std::size_t>(
         std::count_if(records.begin(), records.end(),
-                      [&](const auto& one) { return suspected(one.second); }));
+                      [&](const auto& one) { return blocked(one.second); }));
 }
 
-bool crash_ledger::suspected(const crash_entry& one) const
+bool crash_ledger::blocked(const crash_history& one) const
 {
-    return one.suspicion() >= limits.suspicion;
+    return one.suspicion() >= limits.quarantine_threshold;
 }
 
-bool crash_ledger::quarantined(const crash_entry& one, time_point now) const
+bool crash_ledger::quarantined(const crash_history& one, time_point now) const
 {
-    return suspected(one) && now - one.last < lasts(one);
+    return blocked(one) && now - one.last_crash < lasts(one);
 }
 
-milliseconds crash_ledger::lasts(const crash_entry& one) const
+milliseconds crash_ledger::lasts(const crash_history& one) const
 {
-    return one.failed_trial() ? limits.quarantine : limits.rest;
+    return one.failed_trial() ? limits.repeat_quarantine
+                              : limits.first_quarantine;
 }
 
 /*! @brief Clears a record for which there are answers enough. */
-bool crash_ledger::speaks_for(const request_content& what, crash_entry& one,
+bool crash_ledger::speaks_for(const request_content& what, crash_history& one,
                               time_point now)
 {
-    const auto ends = one.count();
-    const auto needed = ends * limits.answers_per_end;
+    const auto ends = one.active_crashes();
+    const auto needed = ends * limits.responses_per_crash;
     if (ends == 0 || answers.count(what, now) < needed)
         return false;
-    answers.spend(what, needed);
-    return lift(what, now);
+    answers.consume(what, needed);
+    return lift_quarantine(what, now);
 }
 
-void crash_ledger::changed(crash_entry& one, time_point now)
+void crash_ledger::changed(crash_history& one, time_point now)
 {
     one.change = ++last_change;
     one.changed = now;
 }
 
-crash_entry& crash_ledger::found_or_made(const request_content& what,
-                                         time_point last)
+crash_history& crash_ledger::found_or_made(const request_content& what,
+                                           time_point last)
 {
     const auto found = records.find(what);
     if (found != records.end())
         return found->second;
-    if (records.size() >= limits.most_records)
+    if (records.size() >= limits.max_records)
         drop_one();
     auto& made = records[what];
-    made.last = last;
+    made.last_crash = last;
     return made;
 }
 
@@ -312,8 +314,8 @@
         records.begin(), records.end(),
         [&](const auto& left, const auto& right)
         {
-            return std::pair(suspected(left.second), left.second.last) <
-                   std::pair(suspected(right.second), right.second.last);
+            return std::pair(blocked(left.second), left.second.last_crash) <
+                   std::pair(blocked(right.second), right.second.last_crash);
         });
     records.erase(first);
 }
@@ -321,7 +323,7 @@
 std::map<std::uint64_t, request_content> crash_ledger::untold() const
 {
     std::map<std::uint64_t, request_content> found;
-    if (!changed_since_told())
+    if (!has_pending_updates())
         return found;
     for (const auto& [what, one] : records)
     {
@@ -354,7 +356,7 @@
     {
         if (at == records.end())
             at = records.begin();
-        if (!suspected(at->second) || holds(made, at->first))
+        if (!blocked(at->second) || holds(made, at->first))
             continue;
         made.push_back(record_of(at->first, at->second, now));
         turn = at->first;
--- a/src/coursejunction/run/fwd.hpp
+++ b/src/coursejunction/run/fwd.hpp
@@ -9,21 +9,21 @@
 namespace coursejunction
 {
 
-enum class admission : std::uint8_t;
-enum class attempt_loss : std::uint8_t;
-enum class claim_word : std::uint8_t;
-enum class crash_standing : std::uint8_t;
-enum class end_evidence : std::uint8_t;
-enum class end_proof : std::uint8_t;
-struct crash_accusation;
-struct crash_entry;
+enum class start_decision : std::uint8_t;
+enum class loss_cause : std::uint8_t;
+enum class claim_verdict : std::uint8_t;
+enum class crash_status : std::uint8_t;
+enum class crash_evidence : std::uint8_t;
+enum class crash_proof : std::uint8_t;
+struct crash_report;
+struct crash_history;
 struct lost_attempt;
-class claim_book;
+class claim_registry;
 class claim_session;
-class claim_tally;
+class claim_quorum;
 class crash_ledger;
-class crash_witness;
-class recent_answers;
+class lost_attempt_tracker;
+class recent_responses;
 class run_registry;
 class retry_budget;
 class retry_window;
--- a/src/coursejunction/run/crash_witness.hpp
+++ b/src/coursejunction/run/lost_attempt_tracker.hpp
@@ -6,8 +6,8 @@
  * the upstream itself is seen to be gone, or to be another life, did it end
  * under the request. A cut link and a planned leaving accuse nobody.
  */
-#ifndef COURSEJUNCTION_RUN_CRASH_WITNESS_HPP
-#define COURSEJUNCTION_RUN_CRASH_WITNESS_HPP
+#ifndef COURSEJUNCTION_RUN_LOST_ATTEMPT_TRACKER_HPP
+#define COURSEJUNCTION_RUN_LOST_ATTEMPT_TRACKER_HPP
 
 #include <algorithm>
 #include <optional>
@@ -23,28 +23,28 @@
 {
 
 /*! @brief A request under which an upstream ended. */
-struct crash_accusation
+struct crash_report
 {
     request_content content;
-    crash_id end;
-    end_evidence evidence{end_evidence::beginning};
+    crash_id crash;
+    crash_evidence evidence{crash_evidence::before_response};
 };
 
 /*! @brief How an attempt was lost. */
-enum class attempt_loss : std::uint8_t
+enum class loss_cause : std::uint8_t
 {
-    closed,   /*!< The other end closed its connection. */
-    silent,   /*!< It was taken back, since nothing came. */
-    withdrawn /*!< It was taken back for another reason; it may go on for a
-                 moment. */
+    closed,    /*!< The other end closed its connection. */
+    timed_out, /*!< It was taken back, since nothing came. */
+    cancelled  /*!< It was taken back for another reason; it may go on for a
+                  moment. */
 };
 
 /*! @brief How the end of an upstream shows. */
-enum class end_proof : std::uint8_t
+enum class crash_proof : std::uint8_t
 {
-    record_gone, /*!< Nobody keeps its record; one that stands still does not
+    record_expired, /*!< Nobody keeps its record; one that stands still does not
                     either, and lives. */
-    seen         /*!< Its address refuses, or belongs to another life. */
+    confirmed       /*!< Its address refuses, or belongs to another life. */
 };
 
 /*! @brief An attempt that was lost before its answer was whole. */
@@ -52,12 +52,12 @@
 {
     instance_id upstream;
     std::string address; /*!< `IP:port` of the upstream. */
-    crash_accusation accused;
-    attempt_loss how{attempt_loss::closed};
+    crash_report report;
+    loss_cause cause{loss_cause::closed};
 };
 
 /*! @brief Attempts that were lost, until it is known why. */
-class crash_witness
+class lost_attempt_tracker
 {
 public:
     /*! @brief How long an upstream's end may show after its attempt was lost.
@@ -70,36 +70,37 @@
 
     /*! @brief Notes a lost attempt.
      * @return Whether its upstream's end is not being looked into yet. */
-    bool lost(lost_attempt one, time_point now)
+    bool add_lost_attempt(lost_attempt one, time_point now)
     {
         forget_old(now);
-        const bool first =
-            std::none_of(pending.begin(), pending.end(),
-                         [&](const auto& other)
-                         {
-                             return other.lost.accused.end == one.accused.end &&
-                                    other.lost.how != attempt_loss::withdrawn;
-                         });
+        const bool first = std::none_of(
+            pending.begin(), pending.end(),
+            [&](const auto& other)
+            {
+                return other.lost.report.crash == one.report.crash &&
+                       other.lost.cause != loss_cause::cancelled;
+            });
         const auto until =
-            now + (one.how == attempt_loss::withdrawn ? aftermath : patience);
+            now + (one.cause == loss_cause::cancelled ? aftermath : patience);
         pending.push_back({std::move(one), until});
-        return first && pending.back().lost.how != attempt_loss::withdrawn;
+        return first && pending.back().lost.cause != loss_cause::cancelled;
     }
 
     /*! @brief An upstream was seen to have ended.
      * @return The requests whose attempts it took along. */
-    [[nodiscard]] std::vector<crash_accusation>
-    ended(const instance_id& upstream, end_proof proof, time_point now)
+    [[nodiscard]] std::vector<crash_report>
+    confirm_crash(const instance_id& upstream, crash_proof proof,
+                  time_point now)
     {
         forget_old(now);
-        std::vector<crash_accusation> accused;
+        std::vector<crash_report> accused;
         std::erase_if(pending,
                       [&](const auto& one)
                       {
                           if (one.lost.upstream != upstream ||
-                              !proves(proof, one.lost.how))
+                              !proves(proof, one.lost.cause))
                               return false;
-                          accused.push_back(one.lost.accused);
+                          accused.push_back(one.lost.report);
                           return true;
                       });
         return accused;
@@ -120,7 +121,8 @@
 
     /*! @brief Returns another upstream that lost attempts at an address. */
     [[nodiscard]] std::optional<instance_id>
-    before(const instance_id& upstream, const std::string& address) const
+    previous_upstream_at(const instance_id& upstream,
+                         const std::string& address) const
     {
         for (const auto& one : pending)
         {
@@ -132,12 +134,13 @@
 
     /*! @brief Tells whether an attempt of a request was lost just now and it is
      * not known why. */
-    [[nodiscard]] bool waits(const request_content& what, time_point now) const
+    [[nodiscard]] bool has_unexplained_loss(const request_content& what,
+                                            time_point now) const
     {
         return std::any_of(pending.begin(), pending.end(),
                            [&](const auto& one) {
                                return now < one.until &&
-                                      one.lost.accused.content == what;
+                                      one.lost.report.content == what;
                            });
     }
 
@@ -148,9 +151,9 @@
         time_point until{};
     };
 
-    [[nodiscard]] static bool proves(end_proof proof, attempt_loss how)
+    [[nodiscard]] static bool proves(crash_proof proof, loss_cause how)
     {
-        return proof == end_proof::seen || how == attempt_loss::closed;
+        return proof == crash_proof::confirmed || how == loss_cause::closed;
     }
 
     void forget_old(time_point now)
--- a/src/coursejunction/run/recent_answers.hpp
+++ b/src/coursejunction/run/recent_responses.hpp
@@ -5,8 +5,8 @@
  * copies are with most upstreams. Whatever ends some of these then ends copies
  * of it, and only the answers of all the others tell that it is a bystander.
  */
-#ifndef COURSEJUNCTION_RUN_RECENT_ANSWERS_HPP
-#define COURSEJUNCTION_RUN_RECENT_ANSWERS_HPP
+#ifndef COURSEJUNCTION_RUN_RECENT_RESPONSES_HPP
+#define COURSEJUNCTION_RUN_RECENT_RESPONSES_HPP
 
 #include <cstddef>
 #include <deque>
@@ -20,30 +20,31 @@
 {
 
 /*! @brief Whole answers of the last while, by content. */
-class recent_answers
+class recent_responses
 {
 public:
     /*! @brief Answers count for so long: a content that begins to end its
      * upstreams, as with new weights, is taken for a bystander no longer. */
-    static constexpr milliseconds memory{10'000};
+    static constexpr milliseconds retention{10'000};
 
     /*! @brief Answers kept, 100 bytes each; the oldest go first. An entry of
      * the installations gives some 400 in ten seconds. */
-    static constexpr std::size_t most = 1024;
+    static constexpr std::size_t capacity = 1024;
 
     /*! @brief A request was answered in whole. */
-    void note(const request_content& what, time_point now)
+    void record(const request_content& what, time_point now)
     {
         ++counts[what];
         answers.emplace_back(now, what);
-        while (answers.size() > most || now - answers.front().first >= memory)
+        while (answers.size() > capacity ||
+               now - answers.front().first >= retention)
             drop_oldest();
     }
 
     /*! @brief Returns how many answers there were. */
     [[nodiscard]] std::size_t count(const request_content& what, time_point now)
     {
-        while (!answers.empty() && now - answers.front().first >= memory)
+        while (!answers.empty() && now - answers.front().first >= retention)
             drop_oldest();
         const auto found = counts.find(what);
         return found == counts.end() ? 0 : found->second;
@@ -51,7 +52,7 @@
 
     /*! @brief Takes some answers away, the oldest first: they have spoken for
      * the request once. */
-    void spend(const request_content& what, std::size_t count)
+    void consume(const request_content& what, std::size_t count)
     {
         std::size_t left = count;
         std::erase_if(answers,
--- a/src/coursejunction/run/retry_budget.hpp
+++ b/src/coursejunction/run/retry_budget.hpp
@@ -22,11 +22,11 @@
     }
 
     /*! @brief A request came. */
-    void request() { level = std::min(depth, level + earned); }
+    void record_request() { level = std::min(depth, level + earned); }
 
     /*! @brief Spends one retry.
      * @return Whether one was left. */
-    [[nodiscard]] bool spend()
+    [[nodiscard]] bool try_spend()
     {
         if (level < 1)
             return false;
--- a/src/coursejunction/run/retry_window.hpp
+++ b/src/coursejunction/run/retry_window.hpp
@@ -17,7 +17,7 @@
     /*! @brief Length of the window. */
     milliseconds window{10'000};
     /*! @brief Retries for each request of the window. */
-    double portion{0};
+    double retry_ratio{0};
     /*! @brief Retries of a window beside those. */
     double reserve{0};
 };
@@ -33,14 +33,14 @@
 
     /*! @brief Replaces the reserve: the number of those who share it changed.
      */
-    void reserve(double most) { limits.reserve = most; }
+    void set_reserve(double most) { limits.reserve = most; }
 
     /*! @brief A request came. */
-    void request(time_point now) { ++slot_at(now).requests; }
+    void record_request(time_point now) { ++slot_at(now).requests; }
 
     /*! @brief Spends one retry.
      * @return Whether one was left. */
-    [[nodiscard]] bool spend(time_point now)
+    [[nodiscard]] bool try_spend(time_point now)
     {
         auto& current = slot_at(now);
         double requests = 0;
@@ -51,7 +51,7 @@
             if (one.began > now - limits.window)
                 requests += one.requests;
         }
-        if (spent > limits.portion * requests + limits.reserve)
+        if (spent > limits.retry_ratio * requests + limits.reserve)
             return false;
         ++current.spent;
         return true;
--- a/src/coursejunction/run/run_registry.hpp
+++ b/src/coursejunction/run/run_registry.hpp
@@ -17,18 +17,18 @@
 {
 
 /*! @brief Whether a request may start at this side. */
-enum class admission : std::uint8_t
+enum class start_decision : std::uint8_t
 {
-    start,     /*!< It may start now. */
-    claiming,  /*!< The same request is being claimed. */
-    running,   /*!< The same request runs. */
-    ended,     /*!< The same request ran; its answer may be kept. */
-    elsewhere, /*!< Another side holds the claim. */
-    never      /*!< It was promised that it will never start here. */
+    start,             /*!< It may start now. */
+    claim_pending,     /*!< The same request is being claimed. */
+    running,           /*!< The same request runs. */
+    finished,          /*!< The same request ran; its answer may be kept. */
+    claimed_elsewhere, /*!< Another side holds the claim. */
+    forbidden          /*!< It was promised that it will never start here. */
 };
 
 /*! @brief Answer of a request that ran, kept for a caller who asks again. */
-struct kept_answer
+struct cached_response
 {
     std::uint16_t status{0};
     std::string content_type;
@@ -48,36 +48,36 @@
 
     /*! @brief Asks whether a request may start, and if so begins to claim
      * it. */
-    [[nodiscard]] admission admit(const request_id& id)
+    [[nodiscard]] start_decision begin_claim(const request_id& id)
     {
         const auto found = records.find(id);
         if (found == records.end())
         {
             remember(id);
-            return admission::start;
+            return start_decision::start;
         }
         switch (found->second.now)
         {
         case state::claiming:
-            return admission::claiming;
+            return start_decision::claim_pending;
         case state::running:
-            return admission::running;
+            return start_decision::running;
         case state::ended:
-            return admission::ended;
+            return start_decision::finished;
         case state::elsewhere:
-            return admission::elsewhere;
+            return start_decision::claimed_elsewhere;
         case state::never:
-            return admission::never;
+            return start_decision::forbidden;
         case state::withdrawn:
             found->second.now = state::claiming;
-            return admission::start;
+            return start_decision::start;
         }
-        return admission::never;
+        return start_decision::forbidden;
     }
 
     /*! @brief The claim was won: the request starts now.
      * @return False when it was promised meanwhile that it will not. */
-    [[nodiscard]] bool start(const request_id& id)
+    [[nodiscard]] bool start_claimed(const request_id& id)
     {
         auto& one = records.at(id);
         if (one.now != state::claiming)
@@ -87,11 +87,14 @@
     }
 
     /*! @brief The claim was lost for good: another side has it. */
-    void lost(const request_id& id) { records.at(id).now = state::elsewhere; }
+    void claim_lost(const request_id& id)
+    {
+        records.at(id).now = state::elsewhere;
+    }
 
     /*! @brief It is not known who holds the claim. It did not start here; a
      * later try may claim again. */
-    void withdraw(const request_id& id)
+    void release_claim(const request_id& id)
     {
         auto& one = records.at(id);
         COURSEJUNCTION_ASSERT(one.now == state::claiming ||
@@ -103,7 +106,7 @@
 
     /*! @brief The upstream was never reached, which is proved: a later try
      * may start it. */
-    void unreached(const request_id& id)
+    void upstream_unreached(const request_id& id)
     {
         records.at(id).now = state::withdrawn;
     }
@@ -127,7 +130,7 @@
     }
 
     /*! @brief The request has ended; its answer is kept when it is whole. */
-    void end(const request_id& id, kept_answer answer)
+    void finish(const request_id& id, cached_response answer)
     {
         auto& one = records.at(id);
         one.now = state::ended;
@@ -135,7 +138,8 @@
     }
 
     /*! @brief Returns the kept answer of a request that ended, or null. */
-    [[nodiscard]] const kept_answer* answer(const request_id& id) const
+    [[nodiscard]] const cached_response*
+    find_response(const request_id& id) const
     {
         const auto found = records.find(id);
         if (found == records.end() || found->second.now != state::ended ||
@@ -160,7 +164,7 @@
     struct record
     {
         state now{state::claiming};
-        kept_answer answer;
+        cached_response answer;
     };
 
     void remember(const request_id& id)
--- a/src/coursejunction/transfer/chunk_transfer.hpp
+++ b/src/coursejunction/transfer/chunk_transfer.hpp
@@ -117,7 +117,7 @@
 
     /*! @brief Returns what is missing until upstreams can serve this version;
      * nothing while too little is known to say. */
-    [[nodiscard]] std::optional<version_need> need() const
+    [[nodiscard]] std::optional<remaining_download> need() const
     {
         const auto rate = view.origin_rate();
         if (!planner || rate <= 0)
@@ -125,7 +125,8 @@
         const auto& list = store->of();
         const auto bytes = static_cast<double>(list.total_bytes()) /
                            static_cast<double>(list.size());
-        return version_need{planner->unseen(), from_seconds(bytes / rate)};
+        return remaining_download{planner->unseen(),
+                                  from_seconds(bytes / rate)};
     }
 
     /*! @brief Tells whether every chunk is held and staged at the upstream. */
--- a/src/coursejunction/wire/crash_record.hpp
+++ b/src/coursejunction/wire/crash_record.hpp
@@ -18,7 +18,7 @@
 {
     static constexpr std::size_t least_bytes = 9;
     std::uint64_t id{0};
-    std::uint8_t evidence{0}; /*!< An `end_evidence`. */
+    std::uint8_t evidence{0}; /*!< An `crash_evidence`. */
 
     template <typename Archive>
     void serialize(Archive& archive)
--- a/tests/core/suspension.cpp
+++ b/tests/core/suspension.cpp
@@ -115,10 +115,10 @@
     SECTION("retries from before it are out of the window")
     {
         retry_window window({10'000ms, 0, 1});
-        CHECK(window.spend(clocks.now));
-        CHECK_FALSE(window.spend(clocks.now + 1ms));
+        CHECK(window.try_spend(clocks.now));
+        CHECK_FALSE(window.try_spend(clocks.now + 1ms));
         clocks.suspend(12'000ms);
-        CHECK(window.spend(clocks.now));
+        CHECK(window.try_spend(clocks.now));
     }
 }
 
--- a/tests/daemon/internal/crash_gossip.cpp
+++ b/tests/daemon/internal/crash_gossip.cpp
@@ -42,11 +42,11 @@
     const auto bad = request_content::of("school", "/v1/completions", "bad");
     const auto end = [&](int number)
     {
-        return crash_accusation{
-            bad, crash_of(instance_id(std::to_string(number)), {})};
+        return crash_report{
+            bad, crash_id_of(instance_id(std::to_string(number)), {})};
     };
     const auto quarantined = [&](const internal::crash_gossip& one)
-    { return one.standing(bad, row.now) == crash_standing::quarantined; };
+    { return one.standing(bad, row.now) == crash_status::quarantined; };
     row.all.front().accuse({end(1)}, row.now);
     row.all[4].accuse({end(2)}, row.now);
     CHECK_FALSE(quarantined(row.all.back()));
--- a/tests/daemon/quarantine_api.cpp
+++ b/tests/daemon/quarantine_api.cpp
@@ -38,8 +38,8 @@
     const time_point now{100s};
     const auto bad = request_content::of("school", "/", "bad");
     for (const char* name : {"a", "b", "c"})
-        ledger.accuse(bad, crash_of(instance_id(name), {}),
-                      end_evidence::beginning, now);
+        ledger.record_crash(bad, crash_id_of(instance_id(name), {}),
+                            crash_evidence::before_response, now);
     const auto ask = [&](const std::string& method, const std::string& path)
     {
         http_request from;
@@ -48,7 +48,8 @@
         kept_reply reply;
         serve_quarantine(
             from, reply, ledger,
-            [&](const request_content& what) { return ledger.lift(what, now); },
+            [&](const request_content& what)
+            { return ledger.lift_quarantine(what, now); },
             now);
         return reply;
     };
@@ -75,8 +76,8 @@
     }
     SECTION("the list tells how long one is held whose trial has failed")
     {
-        ledger.accuse(bad, crash_of(instance_id("d"), {}), end_evidence::trial,
-                      now);
+        ledger.record_crash(bad, crash_id_of(instance_id("d"), {}),
+                            crash_evidence::trial, now);
         CHECK(ask("GET", "/v1/quarantine").text.find("\"left_ms\":600000") !=
               std::string::npos);
     }
--- a/tests/proxy/crash_guard.cpp
+++ b/tests/proxy/crash_guard.cpp
@@ -55,7 +55,7 @@
             [&]
             {
                 const instance_id id(upstream);
-                guard->lost({id, "127.0.0.1:1", {what, crash_of(id, {})}},
+                guard->lost({id, "127.0.0.1:1", {what, crash_id_of(id, {})}},
                             event_loop::now());
                 guard->ended(id, "seen");
             });
@@ -63,7 +63,7 @@
 
     void told(const std::string& upstream, const request_content& what)
     {
-        const auto end = crash_of(instance_id(upstream), {});
+        const auto end = crash_id_of(instance_id(upstream), {});
         running.on_loop(
             [&] {
                 guard->take({{what, {{end.value(), 1}}, {}, 0}}, "x");
@@ -121,7 +121,7 @@
             {
                 owner.guard->restore({bad, {{1, 1}, {2, 1}, {3, 1}}, {}, 200});
                 CHECK(owner.guard->standing(bad, event_loop::now()) ==
-                      crash_standing::quarantined);
+                      crash_status::quarantined);
             });
         CHECK(owner.kept == 0);
         CHECK(owner.quarantined.size() == 1);
--- a/tests/proxy/gateway.cpp
+++ b/tests/proxy/gateway.cpp
@@ -215,7 +215,7 @@
     [[nodiscard]] bool suspects(const cj::request_content& what)
     {
         return holds_soon(
-            [&] { return made->crashing().records().suspects(what); });
+            [&] { return made->crashing().records().is_blocked(what); });
     }
 
     /*! @brief Waits until the store does not hold a key. */
--- a/tests/rollout/assignment.cpp
+++ b/tests/rollout/assignment.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-std::vector<cj::upstream_slot> slots(std::size_t count)
+std::vector<cj::upstream_candidate> slots(std::size_t count)
 {
-    std::vector<cj::upstream_slot> made;
+    std::vector<cj::upstream_candidate> made;
     for (std::size_t at = 0; at < count; ++at)
     {
-        cj::upstream_slot one;
+        cj::upstream_candidate one;
         one.instance = cj::instance_id("i" + std::to_string(at));
         one.hall = cj::hall_id(at % 2 == 0 ? "north" : "south");
         if (at % 4 == 0)
--- a/tests/rollout/turn_policy.cpp
+++ b/tests/rollout/close_policy.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/rollout/turn_policy.hpp"
+#include "coursejunction/rollout/close_policy.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -12,8 +12,8 @@
  * @return How many closed in each round. */
 std::vector<std::size_t> rounds(std::size_t count)
 {
-    const cj::turn_limits limits;
-    std::vector<cj::hall_neighbour> all;
+    const cj::close_limits limits;
+    std::vector<cj::hall_peer> all;
     for (std::size_t at = 0; at < count; ++at)
         all.push_back(
             {cj::instance_id("side-" + std::to_string(at)), false, true});
@@ -23,7 +23,7 @@
         std::size_t closed = 0;
         for (auto& one : all)
         {
-            std::vector<cj::hall_neighbour> others;
+            std::vector<cj::hall_peer> others;
             for (const auto& other : all)
             {
                 if (other.id != one.id)
@@ -60,8 +60,8 @@
     }
     THEN("one whose weights are not whole yet holds nobody up")
     {
-        const cj::turn_limits limits;
-        std::vector<cj::hall_neighbour> others;
+        const cj::close_limits limits;
+        std::vector<cj::hall_peer> others;
         for (int at = 0; at < 5; ++at)
             others.push_back(
                 {cj::instance_id("side-" + std::to_string(at)), false, false});
@@ -69,13 +69,13 @@
     }
     THEN("late ones close whatever the others do")
     {
-        const cj::turn_limits limits;
-        const std::vector<cj::hall_neighbour> others{
+        const cj::close_limits limits;
+        const std::vector<cj::hall_peer> others{
             {cj::instance_id("a"), true, true},
             {cj::instance_id("b"), true, true}};
         CHECK_FALSE(
             cj::may_close(limits, cj::instance_id("c"), others, "m2", 3s));
         CHECK(cj::may_close(limits, cj::instance_id("c"), others, "m2",
-                            limits.latest));
+                            limits.close_deadline));
     }
 }
--- a/tests/rollout/fence.cpp
+++ b/tests/rollout/fence.cpp
@@ -13,7 +13,7 @@
         cj::fence guard(checked);
         CHECK(guard.state() == cj::fence_state::none);
         guard.tick(now);
-        guard.taken(cj::fencing_token(7));
+        guard.token_acquired(cj::fencing_token(7));
         REQUIRE(guard.state() == cj::fence_state::held);
 
         WHEN("the process was paused, upstream checks: " << checked)
@@ -28,34 +28,34 @@
             }
             THEN("a later token found then ends its orders for good")
             {
-                guard.confirmed(cj::fencing_token(8));
+                guard.newest_token_read(cj::fencing_token(8));
                 CHECK(guard.state() == cj::fence_state::lost);
-                guard.confirmed(cj::fencing_token(7));
+                guard.newest_token_read(cj::fencing_token(7));
                 CHECK(guard.state() == cj::fence_state::lost);
             }
             THEN("its own token found then lets it go on")
             {
-                guard.confirmed(cj::fencing_token(7));
+                guard.newest_token_read(cj::fencing_token(7));
                 CHECK(guard.state() == cj::fence_state::held);
             }
         }
         WHEN("an order was given, upstream checks: " << checked)
         {
             // Another may have taken over in a pause too short to notice.
-            guard.ordered();
+            guard.command_sent();
             CHECK(guard.state() == (checked ? cj::fence_state::held
                                             : cj::fence_state::unconfirmed));
-            guard.unanswered();
+            guard.service_unreachable();
             CHECK(guard.state() == cj::fence_state::held);
-            guard.ordered();
+            guard.command_sent();
             guard.tick(now + 5s);
-            guard.unanswered();
+            guard.service_unreachable();
             CHECK(guard.state() == (checked ? cj::fence_state::held
                                             : cj::fence_state::unconfirmed));
         }
         WHEN("the upstream refuses the token, checks: " << checked)
         {
-            guard.refused();
+            guard.token_rejected();
             CHECK(guard.state() == cj::fence_state::lost);
         }
     }
--- a/tests/rollout/permit_table.cpp
+++ b/tests/rollout/permit_table.cpp
@@ -30,12 +30,12 @@
         CHECK_FALSE(permits.request(tutor, c, 2, now));
         WHEN("one is open again")
         {
-            permits.reported(tutor, a, false, false, now);
+            permits.update_replica(tutor, a, false, false, now);
             CHECK(permits.request(tutor, c, 2, now));
         }
         WHEN("one that was granted has not closed yet")
         {
-            permits.reported(tutor, a, false, true, now);
+            permits.update_replica(tutor, a, false, true, now);
             THEN("it still counts")
             {
                 CHECK_FALSE(permits.request(tutor, c, 2, now));
@@ -48,9 +48,9 @@
     }
     GIVEN("replicas that another entry let close")
     {
-        permits.reported(tutor, a, true, false, now);
-        permits.reported(tutor, b, true, false, now);
+        permits.update_replica(tutor, a, true, false, now);
+        permits.update_replica(tutor, b, true, false, now);
         CHECK_FALSE(permits.request(tutor, c, 2, now));
-        CHECK(permits.size(tutor) == 2);
+        CHECK(permits.closed_count(tutor) == 2);
     }
 }
--- a/tests/rollout/version_order.cpp
+++ b/tests/rollout/version_order.cpp
@@ -63,7 +63,7 @@
     using namespace std::chrono_literals;
     const coursejunction::time_point newer_named{120s};
     const auto used_until = newer_named + 8300ms;
-    coursejunction::version_need needs{13, 44ms};
+    coursejunction::remaining_download needs{13, 44ms};
 
     GIVEN(
         "the origin is back 1.4 s before the newer version takes all requests")
@@ -75,7 +75,7 @@
         }
         THEN("its last 3 chunks do not")
         {
-            needs.chunks_unseen = 3;
+            needs.missing_chunks = 3;
             CHECK_FALSE(coursejunction::comes_too_late(needs, now, used_until));
         }
     }
--- a/tests/run/claim_tally.cpp
+++ b/tests/run/claim_quorum.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/run/claim_tally.hpp"
+#include "coursejunction/run/claim_quorum.hpp"
 
 #include <algorithm>
 #include <map>
@@ -9,72 +9,72 @@
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
 
-#include "coursejunction/run/claim_book.hpp"
+#include "coursejunction/run/claim_registry.hpp"
 
 namespace cj = coursejunction;
-using cj::claim_word;
+using cj::claim_verdict;
 
 SCENARIO("the keepers of a claim settle together who has it", "[run]")
 {
     const cj::instance_id first("entry-1");
     const cj::instance_id second("entry-2");
     const cj::instance_id third("entry-3");
-    cj::claim_tally tally({first, second, third});
-    CHECK_FALSE(tally.word());
+    cj::claim_quorum tally({first, second, third});
+    CHECK_FALSE(tally.verdict());
 
     GIVEN("two that know of no claim")
     {
-        tally.answered(first, false);
-        tally.answered(second, false);
-        CHECK_FALSE(tally.word());
+        tally.add_answer(first, false);
+        tally.add_answer(second, false);
+        CHECK_FALSE(tally.verdict());
         WHEN("the third knows of none either")
         {
-            tally.answered(third, false);
-            CHECK(tally.word() == claim_word::free);
+            tally.add_answer(third, false);
+            CHECK(tally.verdict() == claim_verdict::free);
         }
         WHEN("the third knows of one")
         {
-            tally.answered(third, true);
-            CHECK(tally.word() == claim_word::taken);
+            tally.add_answer(third, true);
+            CHECK(tally.verdict() == claim_verdict::taken);
         }
         WHEN("the third is lost")
         {
-            tally.lost(third);
-            CHECK(tally.word() == claim_word::free);
+            tally.drop_voter(third);
+            CHECK(tally.verdict() == claim_verdict::free);
         }
         WHEN("one answers twice, or somebody who was not asked")
         {
-            tally.answered(first, false);
-            tally.answered(cj::instance_id("entry-4"), true);
-            CHECK_FALSE(tally.word());
+            tally.add_answer(first, false);
+            tally.add_answer(cj::instance_id("entry-4"), true);
+            CHECK_FALSE(tally.verdict());
         }
     }
     GIVEN("one that knows of a claim")
     {
-        tally.answered(first, true);
+        tally.add_answer(first, true);
         THEN("nobody else needs to be heard")
         {
-            CHECK(tally.word() == claim_word::taken);
+            CHECK(tally.verdict() == claim_verdict::taken);
         }
     }
     GIVEN("one of three that answers")
     {
-        tally.answered(first, false);
-        tally.close();
-        CHECK(tally.word() == claim_word::silent);
+        tally.add_answer(first, false);
+        tally.stop_waiting();
+        CHECK(tally.verdict() == claim_verdict::no_quorum);
     }
     GIVEN("nobody who answers, or nobody to ask")
     {
-        tally.close();
-        CHECK(tally.word() == claim_word::silent);
-        CHECK(cj::claim_tally({}).word() == claim_word::silent);
+        tally.stop_waiting();
+        CHECK(tally.verdict() == claim_verdict::no_quorum);
+        CHECK(cj::claim_quorum({}).verdict() == claim_verdict::no_quorum);
     }
     GIVEN("an installation with two entries, of which one is gone")
     {
-        cj::claim_tally small({first, second});
-        small.lost(second);
-        small.answered(first, false);
-        CHECK(small.word() == claim_word::free);
+        cj::claim_quorum small({first, second});
+        small.drop_voter(second);
+        small.add_answer(first, false);
+        CHECK(small.verdict() == claim_verdict::free);
     }
 }
 
@@ -98,16 +98,16 @@
         std::set<cj::instance_id> asked;
         for (std::size_t at = 0; at < keepers; ++at)
             asked.insert(name(at));
-        cj::claim_tally tally(asked);
+        cj::claim_quorum tally(asked);
         for (std::size_t at = 0; at < keepers; ++at)
         {
             if ((silent >> at & 1U) == 0)
-                tally.answered(name(at),
-                               !books[at].note(cj::digest::of(id), side,
-                                               cj::time_point()));
+                tally.add_answer(name(at),
+                                 !books[at].try_claim(cj::digest::of(id), side,
+                                                      cj::time_point()));
         }
-        tally.close();
-        runs[id] += tally.word() == claim_word::free ? 1 : 0;
+        tally.stop_waiting();
+        runs[id] += tally.verdict() == claim_verdict::free ? 1 : 0;
     }
 
     static cj::instance_id name(std::size_t at)
@@ -123,7 +123,7 @@
 
     std::map<std::string, std::string> claims;
     std::map<std::string, std::string> copy;
-    std::vector<cj::claim_book> books{keepers, cj::claim_book(1000)};
+    std::vector<cj::claim_registry> books{keepers, cj::claim_registry(1000)};
     std::map<std::string, unsigned> runs;
 };
 
@@ -169,7 +169,7 @@
                      [](installation& all)
                      {
                          if (*rc::gen::arbitrary<bool>())
-                             all.books[0] = cj::claim_book(1000);
+                             all.books[0] = cj::claim_registry(1000);
                          return 0U;
                      });
                  RC_ASSERT(end.at_most_once());
--- a/tests/run/claim_session.cpp
+++ b/tests/run/claim_session.cpp
@@ -21,18 +21,18 @@
     bool request(const std::string& name)
     {
         const cj::request_id id(name);
-        if (registry.admit(id) != cj::admission::start)
+        if (registry.begin_claim(id) != cj::start_decision::start)
             return false;
         if (!session.usable(now))
-            session.opened(std::to_string(++sessions), now);
-        const auto used = session.use();
+            session.open(std::to_string(++sessions), now);
+        const auto used = session.use_for_claim();
         if (claims.emplace(name, used).first->second != used)
         {
-            registry.lost(id);
+            registry.claim_lost(id);
             return false;
         }
-        const bool started = registry.start(id);
-        registry.end(id, {});
+        const bool started = registry.start_claimed(id);
+        registry.finish(id, {});
         return started;
     }
 
@@ -62,33 +62,33 @@
     const cj::time_point now{std::chrono::hours(2)};
     cj::claim_session session(2);
     CHECK_FALSE(session.usable(now));
-    session.opened("a", now);
+    session.open("a", now);
     REQUIRE(session.usable(now));
 
     GIVEN("as many claims as it makes")
     {
-        CHECK(session.use() == "a");
+        CHECK(session.use_for_claim() == "a");
         CHECK(session.usable(now));
-        CHECK(session.use() == "a");
+        CHECK(session.use_for_claim() == "a");
         CHECK_FALSE(session.usable(now));
         WHEN("another is opened")
         {
-            session.opened("b", now);
+            session.open("b", now);
             CHECK(session.usable(now));
-            CHECK(session.use() == "b");
+            CHECK(session.use_for_claim() == "b");
         }
     }
     GIVEN("an hour")
     {
-        const auto hour = cj::claim_session::longest;
+        const auto hour = cj::claim_session::max_age;
         CHECK(session.usable(now + hour));
         CHECK_FALSE(session.usable(now + hour + std::chrono::seconds(1)));
     }
     GIVEN("a service that lacks it")
     {
-        session.lost("another");
+        session.invalidate("another");
         CHECK(session.usable(now));
-        session.lost("a");
+        session.invalidate("a");
         CHECK_FALSE(session.usable(now));
     }
 }
--- a/tests/run/crash_replay.hpp
+++ b/tests/run/crash_replay.hpp
@@ -20,7 +20,7 @@
 
 #include "coursejunction/core/rendezvous.hpp"
 #include "coursejunction/run/crash_ledger.hpp"
-#include "coursejunction/run/crash_witness.hpp"
+#include "coursejunction/run/lost_attempt_tracker.hpp"
 #include "coursejunction/wire/codec.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
@@ -131,7 +131,7 @@
     struct entry_state
     {
         crash_ledger ledger;
-        crash_witness witness;
+        lost_attempt_tracker witness;
         std::map<request_content, std::size_t> in_flight;
     };
 
@@ -218,9 +218,9 @@
     void place(const attempt_pointer& one)
     {
         auto& entry = entries[one->entry];
-        const auto standing = entry.ledger.standing(one->content, now);
-        const bool trial = standing == crash_standing::on_trial;
-        const auto most = entry.ledger.most_running(
+        const auto standing = entry.ledger.status(one->content, now);
+        const bool trial = standing == crash_status::on_trial;
+        const auto most = entry.ledger.max_running(
             one->content, trial && owner(one->content) == one->entry, now);
         if (most == 0 || (trial && one->runs > 0))
         {
@@ -275,9 +275,8 @@
     bool is_suspect(const attempt& one) const
     {
         const auto& entry = entries[one.entry];
-        return entry.ledger.standing(one.content, now) !=
-                   crash_standing::clear ||
-               entry.witness.waits(one.content, now);
+        return entry.ledger.status(one.content, now) != crash_status::clear ||
+               entry.witness.has_unexplained_loss(one.content, now);
     }
 
     void begin(const attempt_pointer& one, std::size_t at)
@@ -307,7 +306,7 @@
         leave(*one);
         counts.answered += one->harmful < 0 ? 1 : 0;
         auto& entry = entries[one->entry];
-        if (entry.ledger.answered(one->content, now))
+        if (entry.ledger.record_response(one->content, now))
             tell_all(one->entry);
     }
 
@@ -359,13 +358,13 @@
         leave(*one);
         auto& entry = entries[one->entry];
         const instance_id engine(std::to_string(one->engine));
-        const auto evidence = one->trial ? end_evidence::trial
+        const auto evidence = one->trial ? crash_evidence::trial
                               : now - one->begun >= first_event
-                                  ? end_evidence::weak
-                                  : end_evidence::beginning;
-        const auto end = crash_of(engine, incarnation(one->life));
-        if (entry.witness.lost({engine, "", {one->content, end, evidence}},
-                               now))
+                                  ? crash_evidence::mid_response
+                                  : crash_evidence::before_response;
+        const auto end = crash_id_of(engine, incarnation(one->life));
+        if (entry.witness.add_lost_attempt(
+                {engine, "", {one->content, end, evidence}}, now))
             after(probe,
                   [this, at = one->entry, engine] { accuse(at, engine); });
         if (one->runs > 0)
@@ -379,8 +378,9 @@
     {
         auto& entry = entries[at];
         for (const auto& one :
-             entry.witness.ended(engine, end_proof::seen, now))
-            entry.ledger.accuse(one.content, one.end, one.evidence, now);
+             entry.witness.confirm_crash(engine, crash_proof::confirmed, now))
+            entry.ledger.record_crash(one.content, one.crash, one.evidence,
+                                      now);
         tell_all(at);
     }
 
@@ -395,7 +395,8 @@
     void tell_all(std::size_t from)
     {
         auto records = std::make_shared<std::vector<message::crash_record>>(
-            entries[from].ledger.news(crash_ledger::most_told, now));
+            entries[from].ledger.collect_updates(
+                crash_ledger::max_records_per_datagram, now));
         if (records->empty())
             return;
         message::fleet_heartbeat with;
@@ -428,11 +429,11 @@
         std::map<request_content, bool> wrong;
         for (const auto& entry : entries)
         {
-            for (const auto& [what, one] : entry.ledger.all())
+            for (const auto& [what, one] : entry.ledger.histories())
             {
-                const auto standing = entry.ledger.standing(what, now);
-                if (standing == crash_standing::quarantined ||
-                    standing == crash_standing::on_trial)
+                const auto standing = entry.ledger.status(what, now);
+                if (standing == crash_status::quarantined ||
+                    standing == crash_status::on_trial)
                     wrong[what] = true;
             }
         }
--- a/tests/run/recent_answers.cpp
+++ b/tests/run/recent_responses.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/run/recent_answers.hpp"
+#include "coursejunction/run/recent_responses.hpp"
 
 #include <string>
 
@@ -9,35 +9,35 @@
 
 TEST_CASE("answers of the last while are counted by content", "[run]")
 {
-    recent_answers answers;
+    recent_responses answers;
     time_point now{100s};
     const auto asked = request_content::of("x", "/", "1");
 
     SECTION("they count for ten seconds")
     {
-        answers.note(asked, now);
-        answers.note(asked, now + 5s);
+        answers.record(asked, now);
+        answers.record(asked, now + 5s);
         CHECK(answers.count(asked, now + 9s) == 2);
         CHECK(answers.count(asked, now + 10s) == 1);
         CHECK(answers.count(asked, now + 15s) == 0);
     }
     SECTION("some are spent")
     {
-        answers.note(asked, now);
-        answers.note(request_content::of("x", "/", "2"), now);
-        answers.note(asked, now + 1s);
-        answers.spend(asked, 1);
+        answers.record(asked, now);
+        answers.record(request_content::of("x", "/", "2"), now);
+        answers.record(asked, now + 1s);
+        answers.consume(asked, 1);
         CHECK(answers.count(asked, now + 2s) == 1);
         CHECK(answers.count(request_content::of("x", "/", "2"), now) == 1);
-        answers.spend(asked, 5);
+        answers.consume(asked, 5);
         CHECK(answers.count(asked, now + 2s) == 0);
         CHECK(answers.count(asked, now + 20s) == 0);
     }
     SECTION("a flood of others pushes the oldest out")
     {
-        answers.note(asked, now);
-        for (std::size_t at = 0; at < recent_answers::most; ++at)
-            answers.note(
+        answers.record(asked, now);
+        for (std::size_t at = 0; at < recent_responses::capacity; ++at)
+            answers.record(
                 request_content::of("x", "/", std::to_string(at) + "y"), now);
         CHECK(answers.count(asked, now) == 0);
     }
--- a/tests/run/retry_budget.cpp
+++ b/tests/run/retry_budget.cpp
@@ -14,8 +14,8 @@
                  std::size_t retries = 0;
                  for (std::size_t at = 0; at < requests; ++at)
                  {
-                     budget.request();
-                     while (budget.spend())
+                     budget.record_request();
+                     while (budget.try_spend())
                          ++retries;
                  }
                  RC_ASSERT(retries <= requests / 10 + 11U);
--- a/tests/run/retry_window.cpp
+++ b/tests/run/retry_window.cpp
@@ -17,40 +17,40 @@
     SECTION("begins with its reserve")
     {
         int spent = 0;
-        while (window.spend(now))
+        while (window.try_spend(now))
             ++spent;
         REQUIRE(spent == 5);
 
         SECTION("which comes back when the window has passed")
         {
-            REQUIRE_FALSE(window.spend(now + 9s));
-            REQUIRE(window.spend(now + 11s));
+            REQUIRE_FALSE(window.try_spend(now + 9s));
+            REQUIRE(window.try_spend(now + 11s));
         }
     }
     SECTION("lets a burst spend what ten seconds of requests earned")
     {
         for (int at = 0; at < 100; ++at)
-            window.request(now + at * 90ms);
+            window.record_request(now + at * 90ms);
         int spent = 0;
-        while (window.spend(now + 9s))
+        while (window.try_spend(now + 9s))
             ++spent;
         REQUIRE(spent == 25);
     }
     SECTION("does not count a request from exactly a window ago")
     {
         for (int at = 0; at < 5; ++at)
-            window.request(now);
+            window.record_request(now);
         int spent = 0;
-        while (window.spend(now + 10s))
+        while (window.try_spend(now + 10s))
             ++spent;
         REQUIRE(spent == 5);
     }
     SECTION("forgets requests that are past")
     {
         for (int at = 0; at < 100; ++at)
-            window.request(now);
+            window.record_request(now);
         int spent = 0;
-        while (window.spend(now + 30s))
+        while (window.try_spend(now + 30s))
             ++spent;
         REQUIRE(spent == 5);
     }
@@ -70,9 +70,9 @@
                  for (const auto gap : gaps)
                  {
                      now += milliseconds(gap % 800);
-                     window.request(now);
+                     window.record_request(now);
                      requests.push_back(now);
-                     while (gap % 3 == 0 && window.spend(now))
+                     while (gap % 3 == 0 && window.try_spend(now))
                          retries.push_back(now);
                  }
                  for (const auto end : retries)
--- a/tests/run/run_registry.cpp
+++ b/tests/run/run_registry.cpp
@@ -4,59 +4,60 @@
 #include <rapidcheck/catch.h>
 
 namespace cj = coursejunction;
-using cj::admission;
+using cj::start_decision;
 
 SCENARIO("a request starts at most once at a side", "[run]")
 {
     cj::run_registry registry(100);
     const cj::request_id id("unlock-7");
-    REQUIRE(registry.admit(id) == admission::start);
+    REQUIRE(registry.begin_claim(id) == start_decision::start);
 
     GIVEN("a claim on its way")
     {
-        CHECK(registry.admit(id) == admission::claiming);
+        CHECK(registry.begin_claim(id) == start_decision::claim_pending);
         WHEN("the caller leaves first")
         {
             CHECK(registry.forbid(id));
             THEN("a claim that is won later does not start it")
             {
-                CHECK_FALSE(registry.start(id));
-                CHECK(registry.admit(id) == admission::never);
+                CHECK_FALSE(registry.start_claimed(id));
+                CHECK(registry.begin_claim(id) == start_decision::forbidden);
             }
         }
         WHEN("nobody knows who holds the claim")
         {
-            registry.withdraw(id);
+            registry.release_claim(id);
             THEN("a later try may claim again")
             {
-                CHECK(registry.admit(id) == admission::start);
+                CHECK(registry.begin_claim(id) == start_decision::start);
             }
         }
         WHEN("another side holds it")
         {
-            registry.lost(id);
-            CHECK(registry.admit(id) == admission::elsewhere);
+            registry.claim_lost(id);
+            CHECK(registry.begin_claim(id) ==
+                  start_decision::claimed_elsewhere);
         }
     }
     GIVEN("a run in progress")
     {
-        REQUIRE(registry.start(id));
+        REQUIRE(registry.start_claimed(id));
         CHECK_FALSE(registry.forbid(id));
-        CHECK(registry.admit(id) == admission::running);
+        CHECK(registry.begin_claim(id) == start_decision::running);
         WHEN("it has ended")
         {
-            registry.end(id, {200, "text/plain", "unlocked"});
+            registry.finish(id, {200, "text/plain", "unlocked"});
             THEN("its answer is given again, not its effect")
             {
-                CHECK(registry.admit(id) == admission::ended);
-                REQUIRE(registry.answer(id) != nullptr);
-                CHECK(registry.answer(id)->body == "unlocked");
+                CHECK(registry.begin_claim(id) == start_decision::finished);
+                REQUIRE(registry.find_response(id) != nullptr);
+                CHECK(registry.find_response(id)->body == "unlocked");
             }
         }
         WHEN("the upstream was never reached")
         {
-            registry.unreached(id);
-            CHECK(registry.admit(id) == admission::start);
+            registry.upstream_unreached(id);
+            CHECK(registry.begin_claim(id) == start_decision::start);
         }
     }
 }
@@ -76,7 +77,7 @@
                      switch (step % 4)
                      {
                      case 0:
-                         if (registry.admit(id) == admission::start)
+                         if (registry.begin_claim(id) == start_decision::start)
                          {
                              RC_ASSERT(!started);
                              RC_ASSERT(!promised);
@@ -84,7 +85,7 @@
                          }
                          break;
                      case 1:
-                         if (claiming && registry.start(id))
+                         if (claiming && registry.start_claimed(id))
                          {
                              RC_ASSERT(!started);
                              RC_ASSERT(!promised);
@@ -101,7 +102,7 @@
                          break;
                      default:
                          if (claiming)
-                             registry.withdraw(id);
+                             registry.release_claim(id);
                          claiming = false;
                      }
                  }
--- a/tests/transfer/upload_order.cpp
+++ b/tests/transfer/upload_order.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "coursejunction/rollout/turn_policy.hpp"
+#include "coursejunction/rollout/close_policy.hpp"
 
 using namespace coursejunction;
 using namespace std::chrono_literals;
@@ -13,7 +13,7 @@
 TEST_CASE("who closes first gets the weights first")
 {
     const std::string version = "tutor2";
-    std::vector<hall_neighbour> hall;
+    std::vector<hall_peer> hall;
     for (int at = 0; at < 24; ++at)
         hall.push_back(
             {instance_id("side-" + std::to_string(at)), false, true});
@@ -21,10 +21,10 @@
     for (const auto& one : hall)
     {
         auto others = hall;
-        std::erase_if(others, [&](const hall_neighbour& other)
+        std::erase_if(others, [&](const hall_peer& other)
                       { return other.id == one.id; });
         const bool closes =
-            may_close(turn_limits{}, one.id, others, version, 1s);
+            may_close(close_limits{}, one.id, others, version, 1s);
         const auto order = order_of(version, one.id.value());
         if (closes)
             REQUIRE(order == upload_order::first);
