--- a/tests/proxy/gateway.cpp
+++ b/tests/proxy/gateway.cpp
@@ -214,8 +214,8 @@
     /*! @brief Waits until a request is known to end upstreams. */
     [[nodiscard]] bool suspects(const cj::request_content& what)
     {
-        return holds_soon([&]
-                          { return made->crashes().records().suspects(what); });
+        return holds_soon(
+            [&] { return made->crashes().records().is_blocked(what); });
     }
 
     /*! @brief Waits until the store does not hold a key. */
