--- a/src/coursejunction/daemon/state_dump.cpp
+++ b/src/coursejunction/daemon/state_dump.cpp
@@ -57,7 +57,7 @@
         {"avoided_for_ms", std::max<std::int64_t>(
                                0, static_cast<std::int64_t>(
                                       to_seconds(one.avoid_until - now) * ms))},
-        {"side_silent", upstream_book::side_silent(one, now)}};
+        {"side_silent", upstream_registry::side_silent(one, now)}};
     if (one.status)
         made["status"] = {{"told_ms_ago", age_of(one.status_at, now)},
                           {"model", one.status->model},
@@ -96,7 +96,7 @@
            ms_of(now - terms.since()) + " ms ago";
 }
 
-json terms_of(const upstream_book& book, time_point now)
+json terms_of(const upstream_registry& book, time_point now)
 {
     auto list = json::array();
     for (const auto& [id, one] : book.all())
@@ -130,7 +130,7 @@
 } // namespace internal
 
 std::string entry_dump(const store_mirror& mirror, const peer_directory& peers,
-                       const upstream_book& book, const entry_load& load,
+                       const upstream_registry& book, const entry_load& load,
                        time_point now)
 {
     auto upstreams = internal::json::array();
--- a/src/coursejunction/daemon/state_dump.hpp
+++ b/src/coursejunction/daemon/state_dump.hpp
@@ -11,7 +11,7 @@
 #include "coursejunction/fleet/peer_directory.hpp"
 #include "coursejunction/fleet/store_mirror.hpp"
 #include "coursejunction/rollout/agent_state.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 
 namespace coursejunction
 {
@@ -27,7 +27,7 @@
  * Ages are in ms. */
 [[nodiscard]] std::string entry_dump(const store_mirror& mirror,
                                      const peer_directory& peers,
-                                     const upstream_book& book,
+                                     const upstream_registry& book,
                                      const entry_load& load, time_point now);
 
 /*! @brief Returns what a side believes of its peers and of its upstream, and
--- a/src/coursejunction/proxy/exchange.hpp
+++ b/src/coursejunction/proxy/exchange.hpp
@@ -48,7 +48,7 @@
     std::optional<organisation_id> owner;
     request_content content;
     request_fingerprint fingerprint;
-    arrival_standing standing;
+    arrival_state standing;
     timer limit;
 
     // The attempt in progress.
--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -10,8 +10,8 @@
 #include "coursejunction/core/request_content.hpp"
 #include "coursejunction/proxy/crash_guard.hpp"
 #include "coursejunction/proxy/exchange.hpp"
-#include "coursejunction/route/refusal_memory.hpp"
-#include "coursejunction/route/waiting_line.hpp"
+#include "coursejunction/route/placement_queue.hpp"
+#include "coursejunction/route/recent_refusals.hpp"
 
 namespace coursejunction::exchange_facts
 {
--- a/src/coursejunction/proxy/exchange_log.hpp
+++ b/src/coursejunction/proxy/exchange_log.hpp
@@ -43,7 +43,7 @@
 }
 
 /*! @brief Waits for a place. */
-inline void queued(const exchange& one, const no_placement& why)
+inline void queued(const exchange& one, const placement_failure& why)
 {
     log::decision("request_queued", {{"request", one.asked.id.value()},
                                      {"usable", std::to_string(why.usable)},
@@ -51,7 +51,7 @@
 }
 
 /*! @brief Found no place in time. */
-inline void refused(const exchange& one, const no_placement& why,
+inline void refused(const exchange& one, const placement_failure& why,
                     milliseconds come_back)
 {
     log::problem(
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -32,9 +32,9 @@
 #include "coursejunction/proxy/request_codec.hpp"
 #include "coursejunction/proxy/retry_budgets.hpp"
 #include "coursejunction/route/dispatcher.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/placement_queue.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 #include "coursejunction/route/version_floor.hpp"
-#include "coursejunction/route/waiting_line.hpp"
 
 namespace coursejunction
 {
@@ -46,7 +46,7 @@
 {
 public:
     exchange_service(event_loop& owner, stream_client& carrier,
-                     upstream_book& known, metrics& counted, placer choice,
+                     upstream_registry& known, metrics& counted, placer choice,
                      exchange_options set)
         : loop(owner), client(carrier), book(known), counters(counted),
           decisions(known, std::move(choice), set.dispatch), options(set),
@@ -87,7 +87,7 @@
 
     /*! @brief Returns callers sent away that other entries were not told of,
      * and takes them for told. */
-    [[nodiscard]] std::vector<refused_try> news_of_refusals(std::size_t most)
+    [[nodiscard]] std::vector<refusal_record> news_of_refusals(std::size_t most)
     {
         return decisions.news_of_refusals(most);
     }
@@ -100,7 +100,7 @@
     }
 
     /*! @brief Takes in that another entry sent a caller away. */
-    void sent_away_elsewhere(const refused_try& one, time_point now)
+    void sent_away_elsewhere(const refusal_record& one, time_point now)
     {
         decisions.sent_away_elsewhere(one, now);
     }
@@ -155,7 +155,7 @@
     /*! @brief An upstream has started again: connections to its earlier life
      * are dead, and what went there may have run and is not answered any more.
      */
-    void life_ended(const ended_life& life)
+    void life_ended(const ended_incarnation& life)
     {
         client.forget(life.address);
         const auto& attempts = life.attempts;
@@ -273,7 +273,7 @@
                                            placement_of(one, now), now);
         if (const auto* to = std::get_if<send_to>(&what))
             return send(one, *to);
-        if (const auto* waits = std::get_if<wait_for_place>(&what))
+        if (const auto* waits = std::get_if<wait_for_slot>(&what))
             return queue(one, waits->why);
         if (one.runs > 0)
             return give_up(one, "no other upstream takes it");
@@ -332,7 +332,7 @@
      * each may end an upstream, and the first one tells. */
     void wait_for_run(exchange& one, time_point now)
     {
-        const no_placement nowhere;
+        const placement_failure nowhere;
         if (now - one.arrived < options.doubt_wait || one.runs > 0)
             return queue(one, nowhere);
         refuse(one, {nowhere, least_wait()});
@@ -375,7 +375,7 @@
         return wanted;
     }
 
-    void queue(exchange& one, const no_placement& why)
+    void queue(exchange& one, const placement_failure& why)
     {
         if (one.in_queue)
             return;
@@ -404,7 +404,7 @@
     void remember_caller(const exchange& one, milliseconds come_back)
     {
         const auto now = event_loop::now();
-        refused_try made;
+        refusal_record made;
         made.what = one.fingerprint;
         made.first = one.arrived - one.standing.past.waited;
         if (one.asked.deadline)
@@ -793,7 +793,7 @@
 
     event_loop& loop;
     stream_client& client;
-    upstream_book& book;
+    upstream_registry& book;
     metrics& counters;
     dispatcher decisions;
     exchange_options options;
@@ -801,7 +801,7 @@
     version_floor floor;
     std::shared_ptr<const installation> current;
     open_exchanges open;
-    waiting_line waiting;
+    placement_queue waiting;
     notice_intake intake;
     retry_budgets budgets;
     std::function<void()> tell_refusals;
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -112,7 +112,7 @@
     }
 
     [[nodiscard]] const fleet_view<Platform>& view() const { return fleet; }
-    [[nodiscard]] const upstream_book& upstreams() const { return book; }
+    [[nodiscard]] const upstream_registry& upstreams() const { return book; }
     [[nodiscard]] crash_guard& crashing() { return exchanges.crashing(); }
     [[nodiscard]] std::size_t open_requests() const { return exchanges.size(); }
     [[nodiscard]] std::size_t queued() const { return exchanges.queued(); }
@@ -417,7 +417,7 @@
         exchanges.elsewhere(others, now);
         // An entry that stops has no share: the others count without it.
         book.share_limits(leaving ? std::string{} : self.address, demands, now);
-        book.divide(stretch_of(self.address, demands),
+        book.divide(demand_interval_of(self.address, demands),
                     [&](const known_upstream& one)
                     { return exchanges.takes_new(one, now); });
     }
@@ -479,7 +479,7 @@
     node_type& node;
     metrics& counters;
     gateway_options options;
-    upstream_book book;
+    upstream_registry book;
     fleet_view<Platform> fleet;
     exchange_service<codec> exchanges;
     quarantine_keeper<typename Platform::store> keeper;
--- a/src/coursejunction/proxy/notice_intake.hpp
+++ b/src/coursejunction/proxy/notice_intake.hpp
@@ -10,7 +10,7 @@
 #include "coursejunction/proxy/exchange.hpp"
 #include "coursejunction/proxy/exchange_log.hpp"
 #include "coursejunction/proxy/terms_news.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 
 namespace coursejunction
 {
@@ -19,7 +19,7 @@
 class notice_intake
 {
 public:
-    notice_intake(upstream_book& known, metrics& counted)
+    notice_intake(upstream_registry& known, metrics& counted)
         : book(known), counters(counted)
     {
     }
@@ -30,7 +30,8 @@
     void heard(const exchange& one, const upstream_notice& notice,
                time_point now)
     {
-        const heard_notice heard{notice, one.sent, succeeded(one.head.status)};
+        const received_notice heard{notice, one.sent,
+                                    succeeded(one.head.status)};
         if (book.heard(one.at.upstream, heard, now))
             log_terms(one.at.upstream, now);
         if (notice.empty())
@@ -77,7 +78,7 @@
             exchange_log::terms_changed(*known, now);
     }
 
-    upstream_book& book;
+    upstream_registry& book;
     metrics& counters;
 };
 
--- a/src/coursejunction/proxy/refusal_news.hpp
+++ b/src/coursejunction/proxy/refusal_news.hpp
@@ -10,7 +10,7 @@
 #include <cstdint>
 #include <limits>
 
-#include "coursejunction/route/refusal_memory.hpp"
+#include "coursejunction/route/recent_refusals.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
 namespace coursejunction
@@ -25,7 +25,7 @@
 }
 
 /*! @brief Returns what to tell of a refusal. */
-[[nodiscard]] inline message::refused_caller told_of(const refused_try& one,
+[[nodiscard]] inline message::refused_caller told_of(const refusal_record& one,
                                                      time_point now)
 {
     message::refused_caller made;
@@ -38,10 +38,10 @@
 }
 
 /*! @brief Reads what another entry told of a refusal. */
-[[nodiscard]] inline refused_try refusal_of(const message::refused_caller& told,
-                                            time_point now)
+[[nodiscard]] inline refusal_record
+refusal_of(const message::refused_caller& told, time_point now)
 {
-    refused_try made;
+    refusal_record made;
     made.what = request_fingerprint(told.fingerprint);
     made.first = now - milliseconds(told.waited_ms);
     if (told.left_ms > 0)
--- a/src/coursejunction/proxy/terms_news.hpp
+++ b/src/coursejunction/proxy/terms_news.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "coursejunction/proxy/refusal_news.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
 namespace coursejunction
@@ -23,7 +23,7 @@
 /*! @brief Returns what to tell the other entries of terms that answers told
  * this one lately. */
 [[nodiscard]] inline std::vector<message::upstream_terms>
-terms_news(const upstream_book& book, time_point now)
+terms_news(const upstream_registry& book, time_point now)
 {
     std::vector<message::upstream_terms> told;
     for (const auto& [id, one] : book.all())
@@ -51,10 +51,10 @@
 }
 
 /*! @brief Reads what another entry told. */
-[[nodiscard]] inline told_terms terms_of(const message::upstream_terms& told,
-                                         time_point now)
+[[nodiscard]] inline reported_terms
+terms_of(const message::upstream_terms& told, time_point now)
 {
-    told_terms made;
+    reported_terms made;
     made.leaving = told.leaving;
     if (told.per_second >= 0)
         made.per_second = static_cast<double>(told.per_second);
--- a/src/coursejunction/route/admission.hpp
+++ b/src/coursejunction/route/admission.hpp
@@ -16,13 +16,13 @@
 
 #include "coursejunction/core/types.hpp"
 #include "coursejunction/route/engine_estimate.hpp"
-#include "coursejunction/route/send_rate.hpp"
+#include "coursejunction/route/smoothed_rate.hpp"
 
 namespace coursejunction
 {
 
 /*! @brief Parts and times of the decision. */
-struct admission_weights
+struct admission_options
 {
     /*! @brief Part of the target that a predicted first event may take: the
      * prediction is a mean, half of those come sooner. */
@@ -82,7 +82,7 @@
 
 /*! @brief Returns the ms of a usual request's first event at an engine whose
  * last free place it takes. */
-[[nodiscard]] inline double last_place_ms(const engine_profile& engine)
+[[nodiscard]] inline double last_slot_ms(const engine_profile& engine)
 {
     engine_load load;
     load.running = static_cast<double>(engine.slots) - 1;
@@ -93,7 +93,7 @@
 class admission
 {
 public:
-    explicit admission(admission_weights set = {}) : weights(set) {}
+    explicit admission(admission_options set = {}) : weights(set) {}
 
     /*! @brief Tells whether a caller that has waited this long can't have its
      * first event within its target any more. */
@@ -101,7 +101,7 @@
                             milliseconds waited) const
     {
         return waited.count() > 0 &&
-               static_cast<double>(waited.count()) + last_place_ms(engine) >
+               static_cast<double>(waited.count()) + last_slot_ms(engine) >
                    weights.target_part * static_cast<double>(target.count());
     }
 
@@ -170,7 +170,7 @@
             weights.target_part * static_cast<double>(target.count()) -
             static_cast<double>(waited.count());
         const auto common = std::max(
-            last_place_ms(engine),
+            last_slot_ms(engine),
             weights.common_part * static_cast<double>(tightest(now).count()));
         const auto loose =
             weights.target_part * static_cast<double>(target.count());
@@ -214,12 +214,12 @@
         return milliseconds(std::numeric_limits<std::int32_t>::max());
     }
 
-    admission_weights weights;
-    send_rate all_asked{pressure_span};
-    send_rate all_refused{pressure_span};
+    admission_options weights;
+    smoothed_rate all_asked{pressure_span};
+    smoothed_rate all_refused{pressure_span};
     request_rates others;
-    send_rate demand{demand_span};
-    std::map<milliseconds, send_rate> asked_by_target;
+    smoothed_rate demand{demand_span};
+    std::map<milliseconds, smoothed_rate> asked_by_target;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/dispatcher.hpp
+++ b/src/coursejunction/route/dispatcher.hpp
@@ -20,9 +20,9 @@
 #include <vector>
 
 #include "coursejunction/route/admission.hpp"
-#include "coursejunction/route/first_try.hpp"
 #include "coursejunction/route/placement.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/retry_detector.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 #include "coursejunction/route/urgency.hpp"
 
 namespace coursejunction
@@ -41,7 +41,7 @@
     /*! @brief When no upstream is usable at all: times without any lasted 1.3
      * to 6 s, and callers of 6 s wait for 2 s at most. */
     milliseconds no_upstream_retry_after{2000};
-    admission_weights admission;
+    admission_options admission;
 };
 
 /*! @brief A request goes to an upstream. */
@@ -52,26 +52,27 @@
 };
 
 /*! @brief A request waits for a place. */
-struct wait_for_place
+struct wait_for_slot
 {
-    no_placement why;
+    placement_failure why;
 };
 
 /*! @brief A request is refused; it has not run. */
 struct refuse_request
 {
-    no_placement why;
+    placement_failure why;
     milliseconds come_back{0};
 };
 
 /*! @brief What becomes of a request now. */
-using dispatch = std::variant<send_to, wait_for_place, refuse_request>;
+using dispatch = std::variant<send_to, wait_for_slot, refuse_request>;
 
 /*! @brief The decisions of one entry. */
 class dispatcher
 {
 public:
-    dispatcher(const upstream_book& known, placer choice, dispatch_options set)
+    dispatcher(const upstream_registry& known, placer choice,
+               dispatch_options set)
         : book(known), places(std::move(choice)), options(set)
     {
     }
@@ -90,13 +91,12 @@
     /*! @brief Notes a request's arrival.
      * @param what Zero when it has nothing by which it is known again.
      * @param deadline What its caller will wait from now on. */
-    arrival_standing arrived(const route_rule& route,
-                             const service_profile& service,
-                             request_fingerprint what,
-                             std::optional<milliseconds> deadline,
-                             time_point now)
+    arrival_state arrived(const route_rule& route,
+                          const service_profile& service,
+                          request_fingerprint what,
+                          std::optional<milliseconds> deadline, time_point now)
     {
-        arrival_standing made;
+        arrival_state made;
         made.past = tries.arrived(route.name, what, deadline, now);
         auto& gate = gate_of(service);
         if (!made.returned())
@@ -110,20 +110,20 @@
 
     /*! @brief Notes that a caller was sent away and may come back, here or at
      * another entry. */
-    void sent_away(const refused_try& one, time_point now)
+    void sent_away(const refusal_record& one, time_point now)
     {
         tries.refused(one, now);
     }
 
     /*! @brief Takes in that another entry sent a caller away. */
-    void sent_away_elsewhere(const refused_try& one, time_point now)
+    void sent_away_elsewhere(const refusal_record& one, time_point now)
     {
         tries.told(one, now);
     }
 
     /*! @brief Returns callers sent away that other entries were not told of,
      * and takes them for told. */
-    [[nodiscard]] std::vector<refused_try> news_of_refusals(std::size_t most)
+    [[nodiscard]] std::vector<refusal_record> news_of_refusals(std::size_t most)
     {
         return tries.take_news(most);
     }
@@ -166,14 +166,14 @@
         if (service.engine)
             wanted.limits = gate.limits(*service.engine, wanted.target,
                                         wanted.standing.past.waited, now);
-        no_placement why;
+        placement_failure why;
         auto found = places.choose(book, service, wanted, now, why);
         if (found)
             return send_to{std::move(*found), rank_of(service, wanted, now)};
         const auto waits_until = wanted.since + longest_wait(wanted);
         const bool in_vain = why.opens && *why.opens > waits_until;
         if (now < waits_until && !in_vain)
-            return wait_for_place{why};
+            return wait_for_slot{why};
         if (!wanted.standing.returned())
             gate.refused(now);
         return refuse_request{why, come_back_after(gate, why, wanted, now)};
@@ -212,7 +212,7 @@
     }
 
     [[nodiscard]] milliseconds come_back_after(const admission& gate,
-                                               const no_placement& why,
+                                               const placement_failure& why,
                                                const placement_request& wanted,
                                                time_point now) const
     {
@@ -225,7 +225,7 @@
 
     /*! @brief Returns the wait of a caller that no upstream could serve. Where
      * only other entries may send, the next one may do so. */
-    [[nodiscard]] milliseconds none_usable_until(const no_placement& why,
+    [[nodiscard]] milliseconds none_usable_until(const placement_failure& why,
                                                  time_point now) const
     {
         if (!why.opens || *why.opens == time_point::max())
@@ -234,10 +234,10 @@
                         options.admission.least_retry_after);
     }
 
-    const upstream_book& book;
+    const upstream_registry& book;
     placer places;
     dispatch_options options;
-    first_try tries;
+    retry_detector tries;
     std::map<service_name, admission> gates;
     std::set<service_name> engines; /*!< Services of them that have engines. */
 };
--- a/src/coursejunction/route/engine_estimate.hpp
+++ b/src/coursejunction/route/engine_estimate.hpp
@@ -33,7 +33,8 @@
 }
 
 /*! @brief Returns the ms that reading a prompt alone takes. */
-[[nodiscard]] inline double read_ms(const engine_profile& engine, double prompt)
+[[nodiscard]] inline double prefill_ms(const engine_profile& engine,
+                                       double prompt)
 {
     constexpr double million = 1e6;
     return prompt / engine.read_per_ms +
@@ -43,11 +44,11 @@
 /*! @brief Returns the ms for which a usual request holds its place on a full
  * engine: it writes its answer, and meanwhile the engine reads one prompt for
  * each place that changes hands. */
-[[nodiscard]] inline double holding_ms(const engine_profile& engine)
+[[nodiscard]] inline double slot_occupancy_ms(const engine_profile& engine)
 {
     const auto slots = static_cast<double>(engine.slots);
     return engine.usual_answer * step_ms(engine, slots) +
-           slots * read_ms(engine, engine.usual_prompt);
+           slots * prefill_ms(engine, engine.usual_prompt);
 }
 
 /*! @brief Returns the ms until an engine gives the first event of a request
@@ -71,13 +72,13 @@
     const auto passes =
         std::max(1.0, std::ceil(tokens / std::max(engine.read_chunk, 1.0)));
     const auto reading =
-        read_ms(engine, prompt) + load.unread_tokens / engine.read_per_ms;
-    const auto arrivals = inside / holding_ms(engine);
+        prefill_ms(engine, prompt) + load.unread_tokens / engine.read_per_ms;
+    const auto arrivals = inside / slot_occupancy_ms(engine);
     const auto companions = arrivals * (stride / 2 + reading + load.age_ms) *
-                            read_ms(engine, engine.usual_prompt);
+                            prefill_ms(engine, engine.usual_prompt);
     auto total = stride / 2 + reading + companions + passes * stride;
     if (inside >= slots)
-        total += (inside - slots + 1) * holding_ms(engine) / slots;
+        total += (inside - slots + 1) * slot_occupancy_ms(engine) / slots;
     return total * std::max(load.pace, 1.0);
 }
 
--- a/src/coursejunction/route/engine_shares.hpp
+++ b/src/coursejunction/route/engine_shares.hpp
@@ -38,7 +38,7 @@
 }
 
 /*! @brief A stretch of a line. */
-struct line_stretch
+struct demand_interval
 {
     double from{0};
     double to{0};
@@ -48,8 +48,9 @@
  * has a part as long as its part of the demand.
  * @param own Address of the entry.
  * @param entries All of them, this one included, in any order. */
-[[nodiscard]] inline line_stretch
-stretch_of(const std::string& own, const std::vector<entry_demand>& entries)
+[[nodiscard]] inline demand_interval
+demand_interval_of(const std::string& own,
+                   const std::vector<entry_demand>& entries)
 {
     const auto self =
         std::find_if(entries.begin(), entries.end(),
@@ -76,7 +77,7 @@
  * @param places Places of each engine, in the common order.
  * @return A part, 0 to 1, for each engine. */
 [[nodiscard]] inline std::vector<double>
-engine_parts(const line_stretch& own, const std::vector<double>& places)
+engine_fractions(const demand_interval& own, const std::vector<double>& places)
 {
     double all = 0;
     for (const auto one : places)
--- a/src/coursejunction/route/fair_queue.hpp
+++ b/src/coursejunction/route/fair_queue.hpp
@@ -30,7 +30,7 @@
 };
 
 /*! @brief Whether a request may wait. */
-struct queue_verdict
+struct offer_result
 {
     bool accepted{false};
     milliseconds retry_after{0}; /*!< When refused: when room is expected. */
@@ -75,7 +75,7 @@
 
     /*! @brief Offers a request.
      * @param service Time that the request itself is expected to take. */
-    [[nodiscard]] queue_verdict
+    [[nodiscard]] offer_result
     offer(queued_request one, std::chrono::microseconds service, time_point now)
     {
         const auto wait = expected_wait(one.organisation, now);
--- a/src/coursejunction/route/known_upstream.hpp
+++ b/src/coursejunction/route/known_upstream.hpp
@@ -61,7 +61,7 @@
 };
 
 /*! @brief A life of an upstream that ended, since another one has begun. */
-struct ended_life
+struct ended_incarnation
 {
     std::string address;
     std::vector<std::uint64_t> attempts; /*!< It will not answer any more. */
--- a/src/coursejunction/route/placement.hpp
+++ b/src/coursejunction/route/placement.hpp
@@ -15,9 +15,9 @@
 
 #include "coursejunction/core/rendezvous.hpp"
 #include "coursejunction/route/admission.hpp"
-#include "coursejunction/route/first_try.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/retry_detector.hpp"
 #include "coursejunction/route/upstream_choice.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 
 namespace coursejunction
 {
@@ -47,15 +47,15 @@
 };
 
 /*! @brief How a request stands to its target when it arrives. */
-struct arrival_standing
+struct arrival_state
 {
-    caller_past past;
+    caller_history past;
     bool late{false}; /*!< It can't be in time any more. */
 
     /*! @brief Tells whether its caller tried before. */
     [[nodiscard]] bool returned() const
     {
-        return past.known_by != return_evidence::none;
+        return past.known_by != retry_evidence::none;
     }
 };
 
@@ -67,7 +67,7 @@
     std::uint64_t least_version{0}; /*!< Older weights may not be used. */
     double prompt{0};
     milliseconds target{0};
-    arrival_standing standing;
+    arrival_state standing;
     time_point since{}; /*!< Arrival, or the end of the last attempt. */
     time_point ends{};  /*!< Its deadline. */
     admission_limits limits;
@@ -90,9 +90,9 @@
 
     /*! @brief Returns a place, or nothing with the reason in `why`. */
     [[nodiscard]] std::optional<upstream_choice>
-    choose(const upstream_book& book, const service_profile& service,
+    choose(const upstream_registry& book, const service_profile& service,
            const placement_request& request, time_point now,
-           no_placement& why) const
+           placement_failure& why) const
     {
         if (!request.apart.empty())
         {
@@ -145,7 +145,7 @@
                 predicted / correction(book, one),
                 request.model.empty()
                     ? 0
-                    : upstream_book::version(one, request.model, now),
+                    : upstream_registry::version(one, request.model, now),
                 load};
         }
         return best;
@@ -156,7 +156,7 @@
      * terms of all keep this entry from sending; otherwise one of them may
      * become usable at any time. */
     [[nodiscard]] static std::optional<time_point>
-    all_closed_until(const upstream_book& book,
+    all_closed_until(const upstream_registry& book,
                      const placement_request& request, time_point now)
     {
         std::optional<time_point> soonest;
@@ -191,11 +191,12 @@
             return false;
         if (request.model.empty())
             return true;
-        const bool told =
-            one.status && now - one.status_at <= upstream_book::status_validity;
+        const bool told = one.status && now - one.status_at <=
+                                            upstream_registry::status_validity;
         if (told && (!one.status->open || !one.status->reachable))
             return false;
-        const auto version = upstream_book::version(one, request.model, now);
+        const auto version =
+            upstream_registry::version(one, request.model, now);
         return version > 0 && version >= request.least_version;
     }
 
@@ -208,7 +209,7 @@
     };
 
     [[nodiscard]] static std::vector<candidate>
-    candidates(const upstream_book& book, const service_profile& service,
+    candidates(const upstream_registry& book, const service_profile& service,
                const placement_request& request, time_point now)
     {
         std::vector<candidate> all;
@@ -234,7 +235,7 @@
      * upstream that has just opened before any of them hears of the others'
      * requests. */
     [[nodiscard]] std::vector<double>
-    others_rates(const upstream_book& book, const service_profile& service,
+    others_rates(const upstream_registry& book, const service_profile& service,
                  const std::vector<candidate>& all, time_point now) const
     {
         std::vector<double> rates(all.size(), 0.0);
@@ -263,13 +264,13 @@
     }
 
     /*! @brief Returns how many times later first events come here lately. */
-    [[nodiscard]] static double correction(const upstream_book& book,
+    [[nodiscard]] static double correction(const upstream_registry& book,
                                            const known_upstream& one)
     {
         return std::max(one.lateness, book.lateness());
     }
 
-    [[nodiscard]] static double predict(const upstream_book& book,
+    [[nodiscard]] static double predict(const upstream_registry& book,
                                         const known_upstream& one,
                                         const engine_profile& engine,
                                         const engine_load& load,
@@ -302,8 +303,8 @@
         {
             const auto& limits = request.limits;
             const auto usual =
-                predicted - read_ms(*service.engine, request.prompt) +
-                read_ms(*service.engine, service.engine->usual_prompt);
+                predicted - prefill_ms(*service.engine, request.prompt) +
+                prefill_ms(*service.engine, service.engine->usual_prompt);
             return predicted <= limits.first_event_ms &&
                    usual <= limits.usual_first_event_ms &&
                    load.running + load.waiting <= limits.inside &&
@@ -339,7 +340,7 @@
                     one.fault_share * weights.fault_ms;
         if (one.record.hall != hall)
             cost += weights.other_hall_ms;
-        if (upstream_book::side_silent(one, now))
+        if (upstream_registry::side_silent(one, now))
             cost += weights.silent_ms;
         return cost;
     }
--- a/src/coursejunction/route/waiting_line.hpp
+++ b/src/coursejunction/route/placement_queue.hpp
@@ -5,8 +5,8 @@
  * be in time goes first, the one with the least time left before others; who
  * is late already takes what they leave.
  */
-#ifndef COURSEJUNCTION_ROUTE_WAITING_LINE_HPP
-#define COURSEJUNCTION_ROUTE_WAITING_LINE_HPP
+#ifndef COURSEJUNCTION_ROUTE_PLACEMENT_QUEUE_HPP
+#define COURSEJUNCTION_ROUTE_PLACEMENT_QUEUE_HPP
 
 #include <compare>
 #include <cstddef>
@@ -31,7 +31,7 @@
 };
 
 /*! @brief Waiting requests in the order in which they are looked at. */
-class waiting_line
+class placement_queue
 {
 public:
     void push(const waiting_request& one) { line.insert(one); }
--- a/src/coursejunction/route/refusal_memory.cpp
+++ b/src/coursejunction/route/recent_refusals.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/route/refusal_memory.hpp"
+#include "coursejunction/route/recent_refusals.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -10,18 +10,18 @@
 {
 
 /*! @brief Tells whether a refused caller may come back now. */
-bool expected(const refused_try& one, time_point now)
+bool expected(const refusal_record& one, time_point now)
 {
-    if (now - one.refused <= refusal_memory::at_once)
+    if (now - one.refused <= recent_refusals::at_once)
         return true;
-    return now >= one.due - refusal_memory::too_soon &&
-           now <= one.due + refusal_memory::patience;
+    return now >= one.due - recent_refusals::too_soon &&
+           now <= one.due + recent_refusals::patience;
 }
 
 /*! @brief Returns how far a request is from being a refused one's next try;
  * nothing when it is none. */
 std::optional<std::chrono::microseconds>
-distance(const refused_try& one, const std::optional<time_point>& ends,
+distance(const refusal_record& one, const std::optional<time_point>& ends,
          time_point now)
 {
     if (one.ends.has_value() != ends.has_value() || !expected(one, now))
@@ -29,14 +29,14 @@
     if (!ends)
         return std::chrono::abs(now - one.due);
     const std::chrono::microseconds apart = std::chrono::abs(*ends - *one.ends);
-    if (apart > refusal_memory::same_deadline)
+    if (apart > recent_refusals::same_deadline)
         return std::nullopt;
     return apart;
 }
 
 } // namespace
 
-void refusal_memory::refused(const refused_try& one)
+void recent_refusals::refused(const refusal_record& one)
 {
     if (one.what.empty())
         return;
@@ -45,15 +45,15 @@
         news.push_back(one);
 }
 
-void refusal_memory::told(const refused_try& one)
+void recent_refusals::told(const refusal_record& one)
 {
     if (!one.what.empty() && known.size() < most)
         known.emplace(one.what, one);
 }
 
 std::optional<time_point>
-refusal_memory::recognise(request_fingerprint what,
-                          std::optional<time_point> ends, time_point now)
+recent_refusals::recognise(request_fingerprint what,
+                           std::optional<time_point> ends, time_point now)
 {
     if (what.empty())
         return std::nullopt;
@@ -75,16 +75,16 @@
     return first;
 }
 
-std::vector<refused_try> refusal_memory::take_news(std::size_t count)
+std::vector<refusal_record> recent_refusals::take_news(std::size_t count)
 {
     const auto to = news.begin() +
                     static_cast<std::ptrdiff_t>(std::min(count, news.size()));
-    std::vector<refused_try> taken(news.begin(), to);
+    std::vector<refusal_record> taken(news.begin(), to);
     news.erase(news.begin(), to);
     return taken;
 }
 
-void refusal_memory::expire(time_point now)
+void recent_refusals::expire(time_point now)
 {
     std::erase_if(known, [now](const auto& one)
                   { return now > one.second.due + patience; });
--- a/src/coursejunction/route/refusal_memory.hpp
+++ b/src/coursejunction/route/recent_refusals.hpp
@@ -5,8 +5,8 @@
  * what arrives are callers that were refused a moment ago, under a new id and
  * mostly at another entry of their hall. Nothing in a request says so.
  */
-#ifndef COURSEJUNCTION_ROUTE_REFUSAL_MEMORY_HPP
-#define COURSEJUNCTION_ROUTE_REFUSAL_MEMORY_HPP
+#ifndef COURSEJUNCTION_ROUTE_RECENT_REFUSALS_HPP
+#define COURSEJUNCTION_ROUTE_RECENT_REFUSALS_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -24,7 +24,7 @@
 using request_fingerprint = strong<struct fingerprint_tag, std::uint64_t>;
 
 /*! @brief A request that was refused. */
-struct refused_try
+struct refusal_record
 {
     request_fingerprint what;
     time_point first{};             /*!< First try of its caller. */
@@ -34,7 +34,7 @@
 };
 
 /*! @brief Requests that this entry, or one of its hall, refused lately. */
-class refusal_memory
+class recent_refusals
 {
 public:
     /*! @brief Refusals remembered at most, some 1.5 MB. */
@@ -61,10 +61,10 @@
 
     /*! @brief Remembers a refusal of this entry, which others are to be told.
      */
-    void refused(const refused_try& one);
+    void refused(const refusal_record& one);
 
     /*! @brief Remembers a refusal that another entry tells of. */
-    void told(const refused_try& one);
+    void told(const refusal_record& one);
 
     /*! @brief Finds the refusal that a request comes back from, and forgets it:
      * a refused caller returns once. Callers that ask for the same are told
@@ -77,7 +77,7 @@
     /*! @brief Returns the oldest refusals that the other entries have not been
      * told, and takes them for told.
      * @param count At most so many. */
-    [[nodiscard]] std::vector<refused_try> take_news(std::size_t count);
+    [[nodiscard]] std::vector<refusal_record> take_news(std::size_t count);
 
     /*! @brief Tells whether the other entries have not been told of some. */
     [[nodiscard]] bool has_news() const { return !news.empty(); }
@@ -88,8 +88,8 @@
     [[nodiscard]] std::size_t size() const { return known.size(); }
 
 private:
-    std::multimap<request_fingerprint, refused_try> known;
-    std::vector<refused_try> news;
+    std::multimap<request_fingerprint, refusal_record> known;
+    std::vector<refusal_record> news;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/departed_terms.hpp
+++ b/src/coursejunction/route/retained_terms.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Terms of upstreams whose records are gone; pure.
  */
-#ifndef COURSEJUNCTION_ROUTE_DEPARTED_TERMS_HPP
-#define COURSEJUNCTION_ROUTE_DEPARTED_TERMS_HPP
+#ifndef COURSEJUNCTION_ROUTE_RETAINED_TERMS_HPP
+#define COURSEJUNCTION_ROUTE_RETAINED_TERMS_HPP
 
 #include <map>
 
@@ -15,7 +15,7 @@
 /*! @brief Keeps terms for a while. A record that lapses in an outage of the
  * store comes back under its id, and the upstream may still rest or be at its
  * limit. */
-class departed_terms
+class retained_terms
 {
 public:
     /*! @brief Keeps what binds an upstream that is about to be forgotten. */
--- a/src/coursejunction/route/first_try.hpp
+++ b/src/coursejunction/route/retry_detector.hpp
@@ -5,8 +5,8 @@
  * their deadline. Their target counts from the first try, so an entry that
  * takes them for new gives places away that new callers would use in time.
  */
-#ifndef COURSEJUNCTION_ROUTE_FIRST_TRY_HPP
-#define COURSEJUNCTION_ROUTE_FIRST_TRY_HPP
+#ifndef COURSEJUNCTION_ROUTE_RETRY_DETECTOR_HPP
+#define COURSEJUNCTION_ROUTE_RETRY_DETECTOR_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -19,13 +19,13 @@
 
 #include "coursejunction/core/types.hpp"
 #include "coursejunction/route/deadline_floor.hpp"
-#include "coursejunction/route/refusal_memory.hpp"
+#include "coursejunction/route/recent_refusals.hpp"
 
 namespace coursejunction
 {
 
 /*! @brief What tells that a caller comes back. */
-enum class return_evidence : std::uint8_t
+enum class retry_evidence : std::uint8_t
 {
     none,    /*!< Nothing: it counts as new. */
     refusal, /*!< The refusal that it comes back from. */
@@ -33,43 +33,43 @@
 };
 
 /*! @brief Returns the name of an evidence for logs and metrics. */
-[[nodiscard]] constexpr std::string_view evidence_name(return_evidence what)
+[[nodiscard]] constexpr std::string_view evidence_name(retry_evidence what)
 {
     switch (what)
     {
-    case return_evidence::none:
+    case retry_evidence::none:
         return "none";
-    case return_evidence::refusal:
+    case retry_evidence::refusal:
         return "refusal";
-    case return_evidence::deadline:
+    case retry_evidence::deadline:
         return "deadline";
     }
     return "unknown";
 }
 
 /*! @brief What is known of a caller's earlier tries. */
-struct caller_past
+struct caller_history
 {
-    return_evidence known_by{return_evidence::none};
+    retry_evidence known_by{retry_evidence::none};
     milliseconds waited{0}; /*!< Since its first try, at least. */
 };
 
 /*! @brief Knows callers again: by the refusal that they come back from, and
  * where none is known by the deadlines of their route. */
-class first_try
+class retry_detector
 {
 public:
     /*! @brief Notes a request's arrival.
      * @param deadline What its caller will wait from now on. */
-    caller_past arrived(const std::string& route, request_fingerprint what,
-                        const std::optional<milliseconds>& deadline,
-                        time_point now)
+    caller_history arrived(const std::string& route, request_fingerprint what,
+                           const std::optional<milliseconds>& deadline,
+                           time_point now)
     {
         std::optional<time_point> ends;
         if (deadline)
             ends = now + *deadline;
         if (const auto first = refusals.recognise(what, ends, now))
-            return {return_evidence::refusal,
+            return {retry_evidence::refusal,
                     std::chrono::duration_cast<milliseconds>(now - *first)};
         if (!deadline)
             return {};
@@ -77,18 +77,18 @@
         const auto waited = floors[route].note(*deadline, calm, now);
         if (waited == milliseconds(0))
             return {};
-        return {return_evidence::deadline, waited};
+        return {retry_evidence::deadline, waited};
     }
 
     /*! @brief Remembers a refusal of this entry. */
-    void refused(const refused_try& one, time_point now)
+    void refused(const refusal_record& one, time_point now)
     {
         last_refusal = now;
         refusals.refused(one);
     }
 
     /*! @brief Takes in a refusal of another entry. */
-    void told(const refused_try& one, time_point now)
+    void told(const refusal_record& one, time_point now)
     {
         last_refusal = now;
         refusals.told(one);
@@ -99,7 +99,7 @@
 
     /*! @brief Returns refusals that the other entries have not been told, and
      * takes them for told. */
-    [[nodiscard]] std::vector<refused_try> take_news(std::size_t count)
+    [[nodiscard]] std::vector<refusal_record> take_news(std::size_t count)
     {
         return refusals.take_news(count);
     }
@@ -124,7 +124,7 @@
     static constexpr milliseconds calm_time{5000};
 
     std::map<std::string, deadline_floor> floors;
-    refusal_memory refusals;
+    recent_refusals refusals;
     time_point last_refusal{};
 };
 
--- a/src/coursejunction/route/send_rate.hpp
+++ b/src/coursejunction/route/smoothed_rate.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief How many requests were sent lately; pure.
  */
-#ifndef COURSEJUNCTION_ROUTE_SEND_RATE_HPP
-#define COURSEJUNCTION_ROUTE_SEND_RATE_HPP
+#ifndef COURSEJUNCTION_ROUTE_SMOOTHED_RATE_HPP
+#define COURSEJUNCTION_ROUTE_SMOOTHED_RATE_HPP
 
 #include <algorithm>
 #include <cmath>
@@ -13,17 +13,17 @@
 {
 
 /*! @brief A smoothed rate of sends. */
-class send_rate
+class smoothed_rate
 {
 public:
     /*! @brief Time over which it is smoothed; bursts of the installations rise
      * within a second. */
     static constexpr milliseconds span{500};
 
-    send_rate() = default;
+    smoothed_rate() = default;
 
     /*! @param over Time over which it is smoothed instead. */
-    explicit send_rate(milliseconds over) : smoothing(over) {}
+    explicit smoothed_rate(milliseconds over) : smoothing(over) {}
 
     void sent(time_point now)
     {
--- a/src/coursejunction/route/upstream_choice.hpp
+++ b/src/coursejunction/route/upstream_choice.hpp
@@ -28,7 +28,7 @@
 };
 
 /*! @brief Why nothing was placed. */
-struct no_placement
+struct placement_failure
 {
     std::size_t usable{0}; /*!< Upstreams that could take it at all. */
     double least_ms{0};    /*!< The soonest first event, when usable. */
--- a/src/coursejunction/route/upstream_book.hpp
+++ b/src/coursejunction/route/upstream_registry.hpp
@@ -2,8 +2,8 @@
  * @brief What an entry believes of every upstream, from the store's records,
  * from the sides' heartbeats and from its own attempts; pure.
  */
-#ifndef COURSEJUNCTION_ROUTE_UPSTREAM_BOOK_HPP
-#define COURSEJUNCTION_ROUTE_UPSTREAM_BOOK_HPP
+#ifndef COURSEJUNCTION_ROUTE_UPSTREAM_REGISTRY_HPP
+#define COURSEJUNCTION_ROUTE_UPSTREAM_REGISTRY_HPP
 
 #include <algorithm>
 #include <cstddef>
@@ -17,18 +17,18 @@
 
 #include "coursejunction/core/types.hpp"
 #include "coursejunction/fleet/installation.hpp"
-#include "coursejunction/route/departed_terms.hpp"
 #include "coursejunction/route/engine_estimate.hpp"
 #include "coursejunction/route/engine_shares.hpp"
 #include "coursejunction/route/known_upstream.hpp"
-#include "coursejunction/route/send_rate.hpp"
+#include "coursejunction/route/retained_terms.hpp"
+#include "coursejunction/route/smoothed_rate.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
 namespace coursejunction
 {
 
 /*! @brief Upstreams by id. */
-class upstream_book
+class upstream_registry
 {
 public:
     /*! @brief Status older than this no longer tells the load; ten reports. */
@@ -41,7 +41,7 @@
     /*! @brief Takes or replaces a record; one of an earlier life than is known
      * changes nothing.
      * @return The life that ended, if one did. */
-    std::optional<ended_life> record(upstream_record one)
+    std::optional<ended_incarnation> record(upstream_record one)
     {
         const auto [place, added] = book.try_emplace(one.id);
         auto& known = place->second;
@@ -91,11 +91,11 @@
      * upstream, changes nothing.
      * @param now When the side told it.
      * @return The lives that ended. */
-    std::vector<ended_life> status(const std::string& host,
-                                   const message::upstream_status& told,
-                                   time_point now)
+    std::vector<ended_incarnation> status(const std::string& host,
+                                          const message::upstream_status& told,
+                                          time_point now)
     {
-        std::vector<ended_life> all;
+        std::vector<ended_incarnation> all;
         const incarnation life(told.life);
         for (auto& [id, one] : book)
         {
@@ -172,7 +172,7 @@
 
     /*! @brief Takes what an upstream says of itself in an answer.
      * @return Whether the terms on which it takes requests changed. */
-    bool heard(const instance_id& id, const heard_notice& notice,
+    bool heard(const instance_id& id, const received_notice& notice,
                time_point now)
     {
         const auto found = book.find(id);
@@ -184,7 +184,8 @@
      * @param from Address of that entry.
      * @return Whether the terms on which it takes requests changed. */
     bool told(const instance_id& id, const incarnation& life,
-              const told_terms& told, const std::string& from, time_point now)
+              const reported_terms& told, const std::string& from,
+              time_point now)
     {
         const auto found = book.find(id);
         if (found == book.end() || life != found->second.life)
@@ -275,7 +276,7 @@
      * @param own This entry's stretch of all of them.
      * @param usable Tells whether an upstream is one of them. */
     template <typename Usable>
-    void divide(const line_stretch& own, Usable usable)
+    void divide(const demand_interval& own, Usable usable)
     {
         std::vector<known_upstream*> engines;
         for (auto& [id, one] : book)
@@ -292,7 +293,7 @@
         places.reserve(engines.size());
         for (const auto* one : engines)
             places.push_back(static_cast<double>(one->record.slots));
-        const auto parts = engine_parts(own, places);
+        const auto parts = engine_fractions(own, places);
         for (std::size_t at = 0; at < engines.size(); ++at)
             engines[at]->share = parts[at];
     }
@@ -403,15 +404,15 @@
      * and no answer comes any more; what was sent since may have reached
      * either.
      * @return The life that ended, if one did. */
-    static std::optional<ended_life> begin_life(known_upstream& one,
-                                                const incarnation& told)
+    static std::optional<ended_incarnation> begin_life(known_upstream& one,
+                                                       const incarnation& told)
     {
         if (told.empty() || told == one.life)
             return std::nullopt;
         const auto before = std::exchange(one.life, told);
         if (before.empty())
             return std::nullopt;
-        ended_life made{one.record.address, {}, one.record.id, before};
+        ended_incarnation made{one.record.address, {}, one.record.id, before};
         for (const auto& [number, attempt] : one.attempts)
         {
             if (one.status && attempt.sent + status_travel < one.status_at)
@@ -450,10 +451,10 @@
     static constexpr milliseconds avoid_silent{8000};
 
     std::map<instance_id, known_upstream> book;
-    departed_terms departed;
+    retained_terms departed;
     double sharers{1};
     double all_lateness{1};
-    send_rate engine_sends; /*!< Of this entry, to all engines. */
+    smoothed_rate engine_sends; /*!< Of this entry, to all engines. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/upstream_terms.hpp
+++ b/src/coursejunction/route/upstream_terms.hpp
@@ -21,7 +21,7 @@
 {
 
 /*! @brief An answer of an upstream, as far as it speaks of its terms. */
-struct heard_notice
+struct received_notice
 {
     upstream_notice notice;
     time_point sent{}; /*!< When the request was sent. */
@@ -30,7 +30,7 @@
 };
 
 /*! @brief What one entry's answers told, for the others. */
-struct told_terms
+struct reported_terms
 {
     bool leaving{false};
     std::optional<double> per_second; /*!< Nothing: no limit is named. */
@@ -47,7 +47,7 @@
 
     /*! @brief Takes an answer of the upstream.
      * @return Whether the terms changed. */
-    bool heard(const heard_notice& one, time_point now)
+    bool heard(const received_notice& one, time_point now)
     {
         const bool leaves = one.notice.leaving && leave(own_source, now);
         if (leaves)
@@ -59,7 +59,8 @@
     /*! @brief Takes what another entry's answers told; what is older than the
      * newest word that is known changes nothing.
      * @return Whether the terms changed. */
-    bool told(const told_terms& one, const std::string& from, time_point now)
+    bool told(const reported_terms& one, const std::string& from,
+              time_point now)
     {
         const bool leaves = one.leaving && leave(from, now);
         return told_limit(one, from, now) || leaves;
@@ -99,11 +100,11 @@
     [[nodiscard]] time_point rest_ends() const { return rests_until; }
 
     /*! @brief Returns what to tell other entries, while it is news. */
-    [[nodiscard]] std::optional<told_terms> news(time_point now) const
+    [[nodiscard]] std::optional<reported_terms> news(time_point now) const
     {
         if (told_at == time_point{} || now - told_at > telling_time)
             return std::nullopt;
-        told_terms made;
+        reported_terms made;
         made.leaving = leaves;
         if (bound)
             made.per_second = bound->per_second();
@@ -152,7 +153,7 @@
         return begins;
     }
 
-    bool heard_limit(const heard_notice& one, time_point now)
+    bool heard_limit(const received_notice& one, time_point now)
     {
         if (const auto& per_second = one.notice.requests_per_second)
             return named(*per_second, now);
@@ -167,7 +168,7 @@
         return true;
     }
 
-    bool told_limit(const told_terms& one, const std::string& from,
+    bool told_limit(const reported_terms& one, const std::string& from,
                     time_point now)
     {
         if (one.at <= observed_at)
--- a/tests/core/suspension.cpp
+++ b/tests/core/suspension.cpp
@@ -6,7 +6,7 @@
 
 #include "coursejunction/fleet/peer_directory.hpp"
 #include "coursejunction/net/event_loop.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 #include "coursejunction/run/retry_window.hpp"
 
 using namespace coursejunction;
@@ -93,7 +93,7 @@
     }
     SECTION("reports of upstreams from before it no longer tell the load")
     {
-        upstream_book book;
+        upstream_registry book;
         upstream_record record;
         record.id = instance_id("a");
         record.address = "10.0.0.2:80";
@@ -105,12 +105,13 @@
         told.side = 1;
         told.sequence = 1;
         book.status("10.0.0.2", told, clocks.now);
-        CHECK(upstream_book::version(*book.find(record.id), "m", clocks.now) ==
-              2);
+        CHECK(upstream_registry::version(*book.find(record.id), "m",
+                                         clocks.now) == 2);
         clocks.suspend(3000ms);
-        CHECK(upstream_book::side_silent(*book.find(record.id), clocks.now));
-        CHECK(upstream_book::version(*book.find(record.id), "m", clocks.now) ==
-              1);
+        CHECK(
+            upstream_registry::side_silent(*book.find(record.id), clocks.now));
+        CHECK(upstream_registry::version(*book.find(record.id), "m",
+                                         clocks.now) == 1);
     }
     SECTION("retries from before it are out of the window")
     {
--- a/tests/daemon/state_dump.cpp
+++ b/tests/daemon/state_dump.cpp
@@ -17,7 +17,7 @@
 
     GIVEN("an entry with one upstream")
     {
-        cj::upstream_book book;
+        cj::upstream_registry book;
         cj::upstream_record record;
         record.id = cj::instance_id("i-1");
         record.service = cj::service_name("s");
@@ -46,7 +46,7 @@
         }
         WHEN("its answer named a limit, and that it leaves")
         {
-            cj::heard_notice notice;
+            cj::received_notice notice;
             notice.notice.leaving = true;
             notice.notice.requests_per_second = 2;
             book.heard(record.id, notice, now - 3s);
--- a/tests/proxy/entry_on_loopback.hpp
+++ b/tests/proxy/entry_on_loopback.hpp
@@ -192,7 +192,7 @@
         return caller.drain();
     }
 
-    cj::upstream_book book;
+    cj::upstream_registry book;
     cj::metrics counters;
     loopback::running_loop running;
     std::unique_ptr<cj::stream_client> client;
--- a/tests/proxy/refusal_news.cpp
+++ b/tests/proxy/refusal_news.cpp
@@ -11,7 +11,7 @@
 {
     const cj::time_point here{100s};
     const cj::time_point there{5000s};
-    cj::refused_try one;
+    cj::refusal_record one;
     one.what = cj::request_fingerprint(7);
     one.first = here - 300ms;
     one.ends = here + 5600ms;
--- a/tests/route/admission.cpp
+++ b/tests/route/admission.cpp
@@ -100,7 +100,7 @@
         {
             CHECK(tight.limits(engine(), 400ms, 0ms, start)
                       .usual_first_event_ms >=
-                  cj::last_place_ms(engine()) - 0.001);
+                  cj::last_slot_ms(engine()) - 0.001);
         }
     }
 }
--- a/tests/route/engine_shares.cpp
+++ b/tests/route/engine_shares.cpp
@@ -30,8 +30,8 @@
 
     THEN("a lone entry has every engine")
     {
-        const auto own = cj::stretch_of("a", {demand("n", "a", 0.5)});
-        CHECK(cj::engine_parts(own, places) == std::vector<double>(6, 1.0));
+        const auto own = cj::demand_interval_of("a", {demand("n", "a", 0.5)});
+        CHECK(cj::engine_fractions(own, places) == std::vector<double>(6, 1.0));
     }
     GIVEN("two entries, one with twice the callers")
     {
@@ -39,9 +39,11 @@
                                                  demand("n", "a", 10)};
         THEN("each has whole engines")
         {
-            CHECK(cj::engine_parts(cj::stretch_of("a", both), places) ==
+            CHECK(cj::engine_fractions(cj::demand_interval_of("a", both),
+                                       places) ==
                   std::vector<double>{1, 1, 0, 0, 0, 0});
-            CHECK(cj::engine_parts(cj::stretch_of("b", both), places) ==
+            CHECK(cj::engine_fractions(cj::demand_interval_of("b", both),
+                                       places) ==
                   std::vector<double>{0, 0, 1, 1, 1, 1});
         }
     }
@@ -52,39 +54,40 @@
                                                  demand("n", "b", 30)};
         THEN("it has those of its hall, and one of the other")
         {
-            CHECK(cj::engine_parts(cj::stretch_of("a", both), places) ==
+            CHECK(cj::engine_fractions(cj::demand_interval_of("a", both),
+                                       places) ==
                   std::vector<double>{0, 0, 0, 1, 1, 1});
         }
     }
     THEN("an entry that is not among them has nothing")
     {
-        const auto own = cj::stretch_of("c", {demand("n", "a", 1)});
-        CHECK(sum(cj::engine_parts(own, places)) == 0);
+        const auto own = cj::demand_interval_of("c", {demand("n", "a", 1)});
+        CHECK(sum(cj::engine_fractions(own, places)) == 0);
     }
     THEN("no engine at all is divided into nothing")
     {
-        CHECK(cj::engine_parts({0, 1}, {}).empty());
+        CHECK(cj::engine_fractions({0, 1}, {}).empty());
     }
-    rc::prop("each engine is given away once",
-             [&]
-             {
-                 const auto count = *rc::gen::inRange<std::size_t>(1, 40);
-                 const auto engines = *rc::gen::inRange<std::size_t>(1, 60);
-                 std::vector<cj::entry_demand> all;
-                 for (std::size_t at = 0; at < count; ++at)
-                     all.push_back(demand(std::to_string(at % 3),
-                                          std::to_string(at),
-                                          *rc::gen::inRange(1, 100)));
-                 std::vector<double> given(engines, 0.0);
-                 for (const auto& one : all)
-                 {
-                     const auto parts =
-                         cj::engine_parts(cj::stretch_of(one.entry, all),
-                                          std::vector<double>(engines, 8));
-                     for (std::size_t at = 0; at < engines; ++at)
-                         given[at] += parts[at];
-                 }
-                 for (const auto one : given)
-                     RC_ASSERT(std::abs(one - 1) < 1e-6);
-             });
+    rc::prop(
+        "each engine is given away once",
+        [&]
+        {
+            const auto count = *rc::gen::inRange<std::size_t>(1, 40);
+            const auto engines = *rc::gen::inRange<std::size_t>(1, 60);
+            std::vector<cj::entry_demand> all;
+            for (std::size_t at = 0; at < count; ++at)
+                all.push_back(demand(std::to_string(at % 3), std::to_string(at),
+                                     *rc::gen::inRange(1, 100)));
+            std::vector<double> given(engines, 0.0);
+            for (const auto& one : all)
+            {
+                const auto parts =
+                    cj::engine_fractions(cj::demand_interval_of(one.entry, all),
+                                         std::vector<double>(engines, 8));
+                for (std::size_t at = 0; at < engines; ++at)
+                    given[at] += parts[at];
+            }
+            for (const auto one : given)
+                RC_ASSERT(std::abs(one - 1) < 1e-6);
+        });
 }
--- a/tests/route/limit_replay.hpp
+++ b/tests/route/limit_replay.hpp
@@ -19,7 +19,7 @@
 #include <vector>
 
 #include "coursejunction/proxy/terms_news.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 
 namespace limit_replay
 {
@@ -90,7 +90,7 @@
         book.record(record);
     }
 
-    void heard(const cj::heard_notice& notice, cj::time_point now)
+    void heard(const cj::received_notice& notice, cj::time_point now)
     {
         book.heard(upstream(), notice, now);
     }
@@ -130,7 +130,7 @@
 
 private:
     std::string own;
-    cj::upstream_book book;
+    cj::upstream_registry book;
     std::uint64_t number{0};
 };
 
@@ -144,7 +144,7 @@
     {
     }
 
-    void heard(const cj::heard_notice& notice, cj::time_point now)
+    void heard(const cj::received_notice& notice, cj::time_point now)
     {
         terms.heard(notice, now);
         take(notice.notice.requests_per_second);
@@ -425,7 +425,7 @@
         auto& one = entries[at];
         if (!runs(one))
             return;
-        cj::heard_notice heard{{}, moment(sent), true};
+        cj::received_notice heard{{}, moment(sent), true};
         if (limited)
         {
             heard.notice.requests_per_second = played.per_second;
--- a/tests/route/load_engine.hpp
+++ b/tests/route/load_engine.hpp
@@ -67,7 +67,7 @@
     bool returned{false};
     // The try in progress.
     double arrived_ms{0};
-    cj::arrival_standing standing;
+    cj::arrival_state standing;
     cj::request_fingerprint fingerprint;
     double deadline_ms{6000}; /*!< From its caller's first try. */
     std::size_t engine{0};
--- a/tests/route/load_replay.hpp
+++ b/tests/route/load_replay.hpp
@@ -19,7 +19,7 @@
 #include <vector>
 
 #include "coursejunction/route/dispatcher.hpp"
-#include "coursejunction/route/waiting_line.hpp"
+#include "coursejunction/route/placement_queue.hpp"
 #include "route/load_engine.hpp"
 
 namespace load_replay
@@ -149,9 +149,9 @@
 /*! @brief One entry with its own view of the engines. */
 struct entry
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     std::unique_ptr<cj::dispatcher> decisions;
-    cj::waiting_line line;
+    cj::placement_queue line;
     std::map<std::uint64_t, job_ptr> waiting;
 };
 
@@ -362,7 +362,7 @@
             one->standing.late,
             at(one->first_ms + static_cast<double>(kind.target.count())),
             one->number};
-        if (std::holds_alternative<cj::wait_for_place>(what))
+        if (std::holds_alternative<cj::wait_for_slot>(what))
         {
             here.line.push(spot);
             here.waiting[one->number] = one;
@@ -405,7 +405,7 @@
 
     void send_away(const job& one, cj::milliseconds come_back, double now)
     {
-        cj::refused_try sent;
+        cj::refusal_record sent;
         sent.what = one.fingerprint;
         sent.first = at(one.arrived_ms) - one.standing.past.waited;
         if (played.deadlines)
@@ -524,9 +524,9 @@
                                               sum.refused - rates[to].refused,
                                               0},
                                              at(now));
-            entries[to].book.divide(cj::stretch_of(name_of(to), demands),
-                                    [](const cj::known_upstream&)
-                                    { return true; });
+            entries[to].book.divide(
+                cj::demand_interval_of(name_of(to), demands),
+                [](const cj::known_upstream&) { return true; });
         }
     }
 
--- a/tests/route/placement.cpp
+++ b/tests/route/placement.cpp
@@ -61,11 +61,11 @@
 
 SCENARIO("a request goes where its first event is met", "[route]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     const cj::time_point now{100s};
     const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
-    cj::no_placement why;
+    cj::placement_failure why;
     book.record(record("near", "north", "10.0.0.1:80"));
     book.record(record("far", "south", "10.0.0.2:80"));
     book.status("10.0.0.1", status(1), now);
@@ -171,16 +171,16 @@
 
 SCENARIO("every way to an upstream keeps to the terms that it named", "[route]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     const cj::time_point now{100s};
     const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
     const cj::instance_id near("near");
-    cj::no_placement why;
+    cj::placement_failure why;
     book.record(record("near", "north", "10.0.0.1:80"));
     book.status("10.0.0.1", status(1), now);
 
-    cj::heard_notice told;
+    cj::received_notice told;
     const int kind = GENERATE(0, 1, 2);
     if (kind == 0)
         told.notice.leaving = true;
@@ -213,12 +213,12 @@
 
 SCENARIO("it is known when upstreams that rest take requests again", "[route]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     const cj::time_point now{100s};
     const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
-    cj::no_placement why;
-    cj::heard_notice rests;
+    cj::placement_failure why;
+    cj::received_notice rests;
     for (const std::string id : {"1", "2"})
     {
         book.record(record(id, "north", "10.0.0." + id + ":80"));
@@ -257,7 +257,7 @@
 
 SCENARIO("records that went while the store was away may come back", "[route]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     const cj::time_point now{100s};
     const cj::instance_id id("near");
     book.record(record("near", "north", "10.0.0.1:80"));
@@ -291,7 +291,7 @@
 
 SCENARIO("what others send unseen is counted", "[route]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     const cj::time_point now{100s};
     const cj::instance_id id("near");
     const auto service = llm();
@@ -311,7 +311,7 @@
         book.entries(5);
         THEN("two of the others are taken to send as often as this one")
         {
-            const auto own = 1 / cj::to_seconds(cj::send_rate::span);
+            const auto own = 1 / cj::to_seconds(cj::smoothed_rate::span);
             CHECK(book.others_rate(now + 20ms) == Approx(2 * own));
         }
         CHECK(load().running == Approx(3));
@@ -352,7 +352,7 @@
     constexpr std::size_t upstream_count = 25;
     const auto service = llm();
     cj::time_point now{100s};
-    std::vector<cj::upstream_book> books(entry_count);
+    std::vector<cj::upstream_registry> books(entry_count);
     std::vector<cj::placer> placers;
     for (std::size_t at = 0; at < entry_count; ++at)
         placers.emplace_back(cj::placement_weights{}, cj::hall_id("north"),
@@ -377,7 +377,7 @@
     std::size_t chosen = 0;
     const auto send = [&](std::size_t entry)
     {
-        cj::no_placement why;
+        cj::placement_failure why;
         auto& book = books[entry];
         const auto at =
             placers[entry].choose(book, service, wanted(), now, why);
@@ -413,14 +413,14 @@
 
 SCENARIO("first events that come late correct the prediction", "[route]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     const cj::time_point now{100s};
     const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
     book.record(record("near", "north", "10.0.0.1:80"));
     book.record(record("far", "south", "10.0.0.2:80"));
     book.status("10.0.0.1", status(1), now);
     book.status("10.0.0.2", status(1), now);
-    cj::no_placement why;
+    cj::placement_failure why;
     const auto before =
         places.choose(book, llm(), wanted(), now, why)->predicted_ms;
 
@@ -450,11 +450,11 @@
 
 SCENARIO("an upstream whose side is silent is used last", "[route]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     cj::time_point now{100s};
     const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
-    cj::no_placement why;
+    cj::placement_failure why;
     book.record(record("still", "north", "10.0.0.1:80"));
     book.record(record("far", "south", "10.0.0.2:80"));
     book.status("10.0.0.1", status(1), now);
--- a/tests/route/waiting_line.cpp
+++ b/tests/route/placement_queue.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/route/waiting_line.hpp"
+#include "coursejunction/route/placement_queue.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -9,7 +9,7 @@
 
 SCENARIO("who is looked at first when a place comes free", "[route]")
 {
-    cj::waiting_line line;
+    cj::placement_queue line;
     const cj::time_point now{100s};
     const cj::waiting_request late{true, now - 2s, 1};
     const cj::waiting_request loose{false, now + 400ms, 2};
--- a/tests/route/refusal_memory.cpp
+++ b/tests/route/recent_refusals.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/route/refusal_memory.hpp"
+#include "coursejunction/route/recent_refusals.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -8,9 +8,9 @@
 namespace
 {
 
-cj::refused_try refused_at(cj::time_point now)
+cj::refusal_record refused_at(cj::time_point now)
 {
-    cj::refused_try made;
+    cj::refusal_record made;
     made.what = cj::request_fingerprint(7);
     made.first = now;
     made.ends = now + 5600ms;
@@ -23,7 +23,7 @@
 
 SCENARIO("a refused caller is known when it comes back", "[route]")
 {
-    cj::refusal_memory memory;
+    cj::recent_refusals memory;
     const cj::time_point now{100s};
     const auto one = refused_at(now);
     const auto back = now + 260ms;
@@ -119,13 +119,13 @@
     }
     GIVEN("more is refused than can be remembered")
     {
-        for (std::size_t at = 0; at < cj::refusal_memory::most + 10; ++at)
+        for (std::size_t at = 0; at < cj::recent_refusals::most + 10; ++at)
             memory.refused(one);
         THEN("memory and news stay bounded")
         {
-            CHECK(memory.size() == cj::refusal_memory::most);
-            CHECK(memory.take_news(cj::refusal_memory::most).size() ==
-                  cj::refusal_memory::most_news);
+            CHECK(memory.size() == cj::recent_refusals::most);
+            CHECK(memory.take_news(cj::recent_refusals::most).size() ==
+                  cj::recent_refusals::most_news);
         }
     }
 }
--- a/tests/route/first_try.cpp
+++ b/tests/route/retry_detector.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/route/first_try.hpp"
+#include "coursejunction/route/retry_detector.hpp"
 
 #include <algorithm>
 
@@ -14,9 +14,9 @@
 namespace
 {
 
-cj::refused_try refusal(cj::time_point now)
+cj::refusal_record refusal(cj::time_point now)
 {
-    cj::refused_try made;
+    cj::refusal_record made;
     made.what = cj::request_fingerprint(7);
     made.first = now - 300ms;
     made.ends = now + 5600ms;
@@ -61,7 +61,7 @@
 
 SCENARIO("how long ago a caller first tried", "[route]")
 {
-    cj::first_try tries;
+    cj::retry_detector tries;
     const cj::time_point now{100s};
 
     GIVEN("another entry of the hall sent a caller away")
@@ -71,18 +71,18 @@
         THEN("it has waited since its first try")
         {
             const auto past = tries.arrived("a", one.what, 5350ms, now + 250ms);
-            CHECK(past.known_by == cj::return_evidence::refusal);
+            CHECK(past.known_by == cj::retry_evidence::refusal);
             CHECK(past.waited == 550ms);
         }
         THEN("one that asks for the same with a deadline of its own is new")
         {
             const auto past = tries.arrived("a", one.what, 5900ms, now + 250ms);
-            CHECK(past.known_by == cj::return_evidence::none);
+            CHECK(past.known_by == cj::retry_evidence::none);
         }
         THEN("one that asks for the same without a deadline is new")
         {
             CHECK(tries.arrived("a", one.what, std::nullopt, now + 250ms)
-                      .known_by == cj::return_evidence::none);
+                      .known_by == cj::retry_evidence::none);
         }
     }
     GIVEN("callers of a route bring 6 s, and entries refuse some")
@@ -93,26 +93,26 @@
         THEN("a shorter deadline tells of a try that nobody here heard of")
         {
             const auto past = tries.arrived("a", {}, 5000ms, now + 1s);
-            CHECK(past.known_by == cj::return_evidence::deadline);
+            CHECK(past.known_by == cj::retry_evidence::deadline);
             CHECK(past.waited == 1000ms);
         }
         THEN("another route's deadline has nothing to do with it")
         {
             CHECK(tries.arrived("b", {}, 1000ms, now).known_by ==
-                  cj::return_evidence::none);
+                  cj::retry_evidence::none);
         }
         THEN("a route that is gone is forgotten")
         {
             tries.keep([](const std::string& name) { return name != "a"; });
             CHECK(tries.arrived("a", {}, 5000ms, now).known_by ==
-                  cj::return_evidence::none);
+                  cj::retry_evidence::none);
         }
         WHEN("nobody has been refused for long")
         {
             THEN("a shorter deadline is a new caller's")
             {
                 CHECK(tries.arrived("a", {}, 5000ms, now + 10s).known_by ==
-                      cj::return_evidence::none);
+                      cj::retry_evidence::none);
             }
         }
     }
--- a/tests/route/send_rate.cpp
+++ b/tests/route/smoothed_rate.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/route/send_rate.hpp"
+#include "coursejunction/route/smoothed_rate.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -7,7 +7,7 @@
 
 SCENARIO("the rate of sends is smoothed", "[route]")
 {
-    cj::send_rate rate;
+    cj::smoothed_rate rate;
     cj::time_point now{100s};
     CHECK(rate.per_second(now) == Approx(0));
     GIVEN("a send each 25 ms")
--- a/tests/route/upstream_book.cpp
+++ b/tests/route/upstream_registry.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -43,7 +43,7 @@
 SCENARIO("an upstream starts again under its id", "[route]")
 {
     const cj::time_point start{100s};
-    cj::upstream_book book;
+    cj::upstream_registry book;
     book.record(record(1000));
     book.status(host, status(1000, 1), start);
     book.begin(id, 1, 500, start + 10ms);
@@ -66,8 +66,9 @@
         THEN("the weights of the earlier life are gone, whatever its record "
              "tells once the side is silent")
         {
-            CHECK(cj::upstream_book::version(known, "m", start + 700ms) == 0);
-            CHECK(cj::upstream_book::version(known, "m", start + 9s) == 0);
+            CHECK(cj::upstream_registry::version(known, "m", start + 700ms) ==
+                  0);
+            CHECK(cj::upstream_registry::version(known, "m", start + 9s) == 0);
         }
         THEN("late news of the earlier life change nothing")
         {
@@ -117,7 +118,7 @@
     }
     GIVEN("lives are not told")
     {
-        cj::upstream_book silent;
+        cj::upstream_registry silent;
         silent.record(record(0));
         silent.status(host, status(0, 1), start);
         silent.begin(id, 1, 500, start);
@@ -133,7 +134,7 @@
 SCENARIO("statuses come by two ways", "[route]")
 {
     const cj::time_point start{100s};
-    cj::upstream_book book;
+    cj::upstream_registry book;
     book.record(record(0));
     book.status(host, status(0, 4, 0), start);
 
--- a/tests/route/upstream_terms.cpp
+++ b/tests/route/upstream_terms.cpp
@@ -16,16 +16,16 @@
     return cj::time_point{1h} + cj::from_seconds(seconds);
 }
 
-cj::heard_notice limited(double per_second, cj::time_point sent)
+cj::received_notice limited(double per_second, cj::time_point sent)
 {
-    cj::heard_notice made;
+    cj::received_notice made;
     made.notice.requests_per_second = per_second;
     made.sent = sent;
     made.succeeded = true;
     return made;
 }
 
-cj::heard_notice silent(cj::time_point sent, bool succeeded = true)
+cj::received_notice silent(cj::time_point sent, bool succeeded = true)
 {
     return {{}, sent, succeeded};
 }
@@ -163,7 +163,7 @@
 SCENARIO("a record that comes back brings no freedom from a limit or a rest",
          "[route]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     cj::upstream_record record;
     record.id = cj::instance_id("u");
     record.life = cj::incarnation(7);
@@ -208,7 +208,7 @@
 
 SCENARIO("terms of upstreams are told in a heartbeat", "[route][wire]")
 {
-    cj::upstream_book book;
+    cj::upstream_registry book;
     constexpr int upstreams = 30;
     for (int at = 0; at < upstreams; ++at)
     {
@@ -239,7 +239,7 @@
     SECTION("what is told of an earlier life changes nothing")
     {
         const cj::instance_id one("u1");
-        const cj::told_terms news{false, std::nullopt, moment(0.4)};
+        const cj::reported_terms news{false, std::nullopt, moment(0.4)};
         CHECK_FALSE(book.told(one, cj::incarnation(6), news, "x", now));
         CHECK(book.told(one, cj::incarnation(7), news, "x", now));
     }
