--- a/bench/load_sweep.cpp
+++ b/bench/load_sweep.cpp
@@ -50,34 +50,34 @@
     return made;
 }
 
-void play(load_replay::pattern played, const fleet& size, double load,
+void play(load_replay::load_pattern played, const fleet& size, double load,
           std::uint64_t seed)
 {
     played.entries = size.entries;
     played.engines = size.engines;
     played.seed = seed;
-    if (!played.parts.empty())
+    if (!played.entry_weights.empty())
         load_replay::make_uneven(played);
     const bool slow =
-        played.engine.slots == load_replay::slow_engine_figures().slots;
+        played.engine.slots == load_replay::slow_engine_profile().slots;
     const double rate = (slow ? ended_per_slow_engine : ended_per_engine) *
                         static_cast<double>(size.engines) * load;
     played.rate = [rate](double) { return rate; };
-    const auto result = load_replay::player(played).play();
+    const auto result = load_replay::simulator(played).run();
     double worst = 1;
     double best = 0;
     for (const auto& [entry, one] : result.entries)
     {
-        worst = std::min(worst, one.in_time_part());
-        best = std::max(best, one.in_time_part());
+        worst = std::min(worst, one.in_time_fraction());
+        best = std::max(best, one.in_time_fraction());
     }
     std::cout << size.entries << ',' << size.engines << ',' << load << ','
-              << seed << ',' << result.all.in_time_part() << ','
-              << result.all.late / result.all.asked << ','
-              << result.all.refused / result.all.asked << ',' << worst << ','
+              << seed << ',' << result.all.in_time_fraction() << ','
+              << result.all.late / result.all.requests << ','
+              << result.all.refused / result.all.requests << ',' << worst << ','
               << best;
     for (const auto& [kind, one] : result.kinds)
-        std::cout << ',' << one.in_time_part();
+        std::cout << ',' << one.in_time_fraction();
     std::cout << '\n';
 }
 
@@ -117,17 +117,18 @@
         }
         std::cout << "entries,engines,load,seed,in_time,late,refused,"
                      "worst_entry,best_entry,long,middle,short\n";
-        load_replay::pattern played;
+        load_replay::load_pattern played;
         played.halls = chosen["halls"].as<std::size_t>();
         played.seconds = chosen["seconds"].as<double>();
-        played.told = chosen.count("untold") == 0;
+        played.shares_rates = chosen.count("untold") == 0;
         played.weights.other_hall_ms = chosen["far"].as<double>();
-        played.weights.share_ms = chosen["share"].as<double>();
-        played.options.admission.own_share_part = chosen["own"].as<double>();
+        played.weights.unowned_ms = chosen["share"].as<double>();
+        played.options.admission.own_share_threshold =
+            chosen["own"].as<double>();
         if (chosen.count("slow") > 0)
             load_replay::use_slow_engines(played);
         if (chosen.count("uneven") > 0)
-            played.parts = {1};
+            played.entry_weights = {1};
         for (const auto& size : fleets(chosen["fleets"].as<std::string>()))
             for (const auto load : chosen["loads"].as<std::vector<double>>())
                 for (std::uint64_t seed = 1;
--- a/src/coursejunction/daemon/internal/live_upstreams.cpp
+++ b/src/coursejunction/daemon/internal/live_upstreams.cpp
@@ -37,12 +37,12 @@
     state.kind = one.kind;
     state.weights = one.serving;
     state.slots = one.slots;
-    state.reported = one.running;
-    state.own_at_report = state.own;
+    state.reported_requests = one.running;
+    state.own_at_report = state.own_requests;
     state.open = one.phase != "unreachable" &&
                  (one.kind == "plain" || !one.serving.empty());
     state.leaving = one.leaving;
-    state.heard = now;
+    state.reported_at = now;
     state.cached = {one.cached_prefixes.begin(), one.cached_prefixes.end()};
 }
 
@@ -56,8 +56,8 @@
 void live_upstreams::left(const instance_id& from)
 {
     auto* state = table.find(from);
-    if (state != nullptr && state->own > 0)
-        --state->own;
+    if (state != nullptr && state->own_requests > 0)
+        --state->own_requests;
 }
 
 void live_upstreams::failed(const instance_id& at, refusal why, time_point now)
@@ -65,7 +65,7 @@
     if (why == refusal::busy)
         note_full(at);
     else if (is_fault_of_upstream(why))
-        table.failed(at, now);
+        table.record_failure(at, now);
 }
 
 /*! @brief The side had no room although it seemed so here: other entries
@@ -75,8 +75,8 @@
     auto* state = table.find(upstream);
     if (state == nullptr)
         return;
-    state->reported = std::max(state->reported, state->slots);
-    state->own_at_report = state->own;
+    state->reported_requests = std::max(state->reported_requests, state->slots);
+    state->own_at_report = state->own_requests;
 }
 
 std::optional<instance_id> live_upstreams::choose(const route_request& route,
@@ -113,7 +113,7 @@
                              {"leaving", one.leaving},
                              {"slots", one.slots},
                              {"load", one.load()},
-                             {"own", one.own},
+                             {"own", one.own_requests},
                              {"failures", one.failures},
                              {"service_s", one.service_s}});
     return upstreams;
--- a/src/coursejunction/daemon/internal/live_upstreams.hpp
+++ b/src/coursejunction/daemon/internal/live_upstreams.hpp
@@ -32,7 +32,7 @@
     void peer_lost(const instance_id& peer);
 
     /*! @brief Counts a request that goes to an upstream. */
-    void entered(const instance_id& to) { ++table[to].own; }
+    void entered(const instance_id& to) { ++table[to].own_requests; }
 
     /*! @brief Counts a request that has left an upstream. */
     void left(const instance_id& from);
@@ -40,7 +40,7 @@
     /*! @brief Notes that an attempt was answered. */
     void succeeded(const instance_id& at, std::chrono::microseconds took)
     {
-        table.succeeded(at, took);
+        table.record_success(at, took);
     }
 
     /*! @brief Notes that an attempt gave no answer. */
@@ -54,7 +54,7 @@
     /*! @brief Tells whether anybody serves the model, with room or not. */
     [[nodiscard]] bool served(const route_request& route, time_point now) const
     {
-        return table.served(route, now);
+        return table.is_served(route, now);
     }
 
     /*! @brief Tells whether a side has ever reported the model. */
--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -241,7 +241,7 @@
     /*! @brief Dispatches the request that is due first and has an upstream. */
     bool pump_one(fair_queue& queue)
     {
-        for (const auto& organisation : queue.order())
+        for (const auto& organisation : queue.service_order())
         {
             const auto* front = queue.front(organisation);
             const auto found = live.find(front->number);
@@ -260,7 +260,7 @@
             if (!to)
                 continue;
             queue.pop(organisation);
-            queue.dispatched(organisation, now());
+            queue.record_dispatch(organisation, now());
             dispatch(one, *to);
             return true;
         }
@@ -380,7 +380,7 @@
             std::chrono::duration_cast<std::chrono::microseconds>(took));
         host.crashes().answered(one->content, now());
         times.learn(key_of(one->route), to_seconds(took));
-        queue_of(one->route).served(now());
+        queue_of(one->route).record_completion(now());
         leave_upstream(one);
         live.erase(one->stream);
         answers.answered(*one, head);
@@ -480,7 +480,7 @@
     {
         for (auto& [key, queue] : queues)
         {
-            for (const auto& late : queue.expire(times[key], now()))
+            for (const auto& late : queue.remove_late(times[key], now()))
                 expired(late.number, queue);
         }
         if (now() - deadlines_checked > deadline_interval)
--- a/src/coursejunction/daemon/state_dump.cpp
+++ b/src/coursejunction/daemon/state_dump.cpp
@@ -84,8 +84,8 @@
     std::string what;
     if (terms.leaving())
         what += " leaves,";
-    if (terms.rest_ends() > now)
-        what += " rests for " + ms_of(terms.rest_ends() - now) + " ms,";
+    if (terms.backoff_until() > now)
+        what += " rests for " + ms_of(terms.backoff_until() - now) + " ms,";
     if (const auto& limit = terms.limit())
         what += " takes " + std::to_string(limit->per_second()) +
                 " requests a second (" +
--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -58,7 +58,7 @@
 [[nodiscard]] inline waiting_request place_in_line(const exchange& one)
 {
     return {one.standing.late,
-            one.arrived - one.standing.past.waited + one.route->target,
+            one.arrived - one.standing.history.waited + one.route->target,
             one.number};
 }
 
--- a/src/coursejunction/proxy/exchange_log.hpp
+++ b/src/coursejunction/proxy/exchange_log.hpp
@@ -59,12 +59,14 @@
         {{"request", one.asked.id.value()},
          {"content", one.content.hex()},
          {"route", one.route->name},
-         {"reason", why.opens           ? "all upstreams rest or are limited"
+         {"reason", why.next_send_at    ? "all upstreams rest or are limited"
                     : why.usable == 0   ? "no usable upstream"
                     : one.standing.late ? "came back late, no place is free"
                                         : "target would be missed"},
-         {"waited_before_ms", std::to_string(one.standing.past.waited.count())},
-         {"known_by", std::string(evidence_name(one.standing.past.known_by))},
+         {"waited_before_ms",
+          std::to_string(one.standing.history.waited.count())},
+         {"known_by",
+          std::string(evidence_name(one.standing.history.known_by))},
          {"usable", std::to_string(why.usable)},
          {"least_ms", whole(why.least_ms)},
          {"target_ms", std::to_string(one.route->target.count())},
@@ -85,22 +87,23 @@
 /*! @brief An attempt goes out, with what the choice was made from. */
 inline void sent(const exchange& one, milliseconds left)
 {
-    log::decision(
-        "request_sent",
-        {{"request", one.asked.id.value()},
-         {"content", one.content.hex()},
-         {"upstream", one.at.upstream.value()},
-         {"hall", one.at.hall.value()},
-         {"attempt", std::to_string(one.tried.size())},
-         {"predicted_ms", whole(one.at.predicted_ms)},
-         {"inside", whole(one.at.load.running)},
-         {"unread_tokens", whole(one.at.load.unread_tokens)},
-         {"load_age_ms", whole(one.at.load.age_ms)},
-         {"expected", whole(one.at.load.expected)},
-         {"version", std::to_string(one.at.version)},
-         {"left_ms", std::to_string(left.count())},
-         {"waited_before_ms", std::to_string(one.standing.past.waited.count())},
-         {"known_by", std::string(evidence_name(one.standing.past.known_by))}});
+    log::decision("request_sent",
+                  {{"request", one.asked.id.value()},
+                   {"content", one.content.hex()},
+                   {"upstream", one.at.upstream.value()},
+                   {"hall", one.at.hall.value()},
+                   {"attempt", std::to_string(one.tried.size())},
+                   {"predicted_ms", whole(one.at.predicted_ms)},
+                   {"inside", whole(one.at.load.running)},
+                   {"unread_tokens", whole(one.at.load.unread_tokens)},
+                   {"load_age_ms", whole(one.at.load.age_ms)},
+                   {"expected", whole(one.at.load.expected)},
+                   {"version", std::to_string(one.at.version)},
+                   {"left_ms", std::to_string(left.count())},
+                   {"waited_before_ms",
+                    std::to_string(one.standing.history.waited.count())},
+                   {"known_by", std::string(evidence_name(
+                                    one.standing.history.known_by))}});
 }
 
 /*! @brief The first event of an attempt came; of a stream that goes on, the
@@ -128,8 +131,9 @@
                 {"upstream", one.at.upstream.value()},
                 {"status", std::to_string(one.head.status)},
                 {"leaving", notice.leaving ? "true" : "false"},
-                {"rest_ms",
-                 notice.rest ? std::to_string(notice.rest->count()) : "none"},
+                {"rest_ms", notice.retry_after
+                                ? std::to_string(notice.retry_after->count())
+                                : "none"},
                 {"requests_per_second",
                  notice.requests_per_second
                      ? std::to_string(*notice.requests_per_second)
@@ -146,7 +150,7 @@
         {{"upstream", one.record.id.value()},
          {"told_by", one.terms.told_by()},
          {"leaving", one.leaving() ? "true" : "false"},
-         {"rest_ms", ms_between(now, std::max(now, one.terms.rest_ends()))},
+         {"rest_ms", ms_between(now, std::max(now, one.terms.backoff_until()))},
          {"requests_per_second",
           limit ? std::to_string(limit->per_second()) : "unlimited"}});
 }
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -82,14 +82,14 @@
     /*! @brief Tells what callers ask of the engines at all other entries. */
     void elsewhere(const request_rates& told, time_point now)
     {
-        decisions.elsewhere(told, now);
+        decisions.set_other_entries_rates(told, now);
     }
 
     /*! @brief Returns callers sent away that other entries were not told of,
      * and takes them for told. */
     [[nodiscard]] std::vector<refusal_record> news_of_refusals(std::size_t most)
     {
-        return decisions.news_of_refusals(most);
+        return decisions.take_unsent_refusals(most);
     }
 
     /*! @brief Sets what is called while other entries were not told of some. It
@@ -102,7 +102,7 @@
     /*! @brief Takes in that another entry sent a caller away. */
     void sent_away_elsewhere(const refusal_record& one, time_point now)
     {
-        decisions.sent_away_elsewhere(one, now);
+        decisions.record_remote_refusal(one, now);
     }
 
     /*! @brief Forgets callers that have left; called now and then. */
@@ -119,7 +119,7 @@
             !one.status || !one.status->open || !one.status->reachable)
             return false;
         const auto& told = *one.status;
-        return told.version >= floor.least(told.model, now);
+        return told.version >= floor.minimum(told.model, now);
     }
 
     /*! @brief Returns what takes in what upstreams say of themselves. */
@@ -182,9 +182,9 @@
     /*! @brief Looks at waiting requests again: an upstream may be free. */
     void tick()
     {
-        for (const auto number : waiting.numbers())
+        for (const auto number : waiting.request_numbers())
             open.with(number, [this](exchange& one) { place(one); });
-        if (tell_refusals && decisions.has_news_of_refusals())
+        if (tell_refusals && decisions.has_unsent_refusals())
             tell_refusals();
     }
 
@@ -228,13 +228,13 @@
             one.ends = std::min<time_point>(one.ends,
                                             one.arrived + *one.asked.deadline);
         budgets.of(one.service).request(one.arrived);
-        one.standing =
-            decisions.arrived(*one.route, exchange_facts::profile_of(one),
-                              one.fingerprint, one.asked.deadline, one.arrived);
-        if (one.standing.returned())
+        one.standing = decisions.record_arrival(
+            *one.route, exchange_facts::profile_of(one), one.fingerprint,
+            one.asked.deadline, one.arrived);
+        if (one.standing.is_retry())
             counters.count("requests_returned_total", 1,
                            {{"known_by", std::string(evidence_name(
-                                             one.standing.past.known_by))}});
+                                             one.standing.history.known_by))}});
         return 0;
     }
 
@@ -274,7 +274,7 @@
         if (const auto* to = std::get_if<send_to>(&what))
             return send(one, *to);
         if (const auto* waits = std::get_if<wait_for_slot>(&what))
-            return queue(one, waits->why);
+            return queue(one, waits->reason);
         if (one.runs > 0)
             return give_up(one, "no other upstream takes it");
         refuse(one, std::get<refuse_request>(what));
@@ -361,17 +361,17 @@
         placement_request wanted;
         wanted.service = one.service;
         wanted.model = one.asked.model;
-        wanted.prompt = one.asked.prompt_tokens;
+        wanted.prompt_tokens = one.asked.prompt_tokens;
         wanted.target = one.route->target;
-        wanted.standing = one.standing;
-        wanted.since = one.runs > 0 ? one.failed_at : one.arrived;
-        wanted.ends = one.ends;
-        wanted.must = one.streaming;
+        wanted.arrival = one.standing;
+        wanted.waiting_since = one.runs > 0 ? one.failed_at : one.arrived;
+        wanted.deadline = one.ends;
+        wanted.bypasses_limits = one.streaming;
         wanted.excluded = one.tried;
-        wanted.apart = with_suspects(one, now);
-        wanted.again = one.answered_failure;
+        wanted.avoided = with_suspects(one, now);
+        wanted.may_retry_excluded = one.answered_failure;
         if (!one.asked.model.empty())
-            wanted.least_version = floor.least(one.asked.model, now);
+            wanted.min_version = floor.minimum(one.asked.model, now);
         return wanted;
     }
 
@@ -386,8 +386,8 @@
 
     void refuse(exchange& one, const refuse_request& how)
     {
-        exchange_log::refused(one, how.why, how.come_back);
-        send_refusal(one, how.come_back);
+        exchange_log::refused(one, how.reason, how.retry_after);
+        send_refusal(one, how.retry_after);
     }
 
     /*! @brief The final answer of a request that has not run. */
@@ -405,20 +405,20 @@
     {
         const auto now = event_loop::now();
         refusal_record made;
-        made.what = one.fingerprint;
-        made.first = one.arrived - one.standing.past.waited;
+        made.fingerprint = one.fingerprint;
+        made.first_arrival = one.arrived - one.standing.history.waited;
         if (one.asked.deadline)
-            made.ends = one.arrived + *one.asked.deadline;
-        made.refused = now;
-        made.due = now + come_back;
-        decisions.sent_away(made, now);
+            made.deadline = one.arrived + *one.asked.deadline;
+        made.refused_at = now;
+        made.retry_at = now + come_back;
+        decisions.record_refusal(made, now);
     }
 
     // --- One attempt -----------------------------------------------------
 
     void send(exchange& one, const send_to& to)
     {
-        const auto& at = to.at;
+        const auto& at = to.choice;
         const auto now = event_loop::now();
         leave_queue(one);
         one.at = at;
@@ -448,7 +448,8 @@
         call.body = one.original.body;
         // What may run once goes out on a connection that cannot be half dead.
         call.repeatable = one.route->repeatable() && !ends_soon(one, now);
-        book.begin(at.upstream, one.attempt, one.asked.prompt_tokens, now);
+        book.begin_attempt(at.upstream, one.attempt, one.asked.prompt_tokens,
+                           now);
         counters.count("attempts_total");
         exchange_log::sent(one, left);
         one.call = client.start(std::move(call), callbacks(one.number));
@@ -461,7 +462,7 @@
      * arrive, and begin, too late. */
     [[nodiscard]] bool ends_soon(const exchange& one, time_point now) const
     {
-        const auto ends = floor.ends(one.asked.model, one.at.version);
+        const auto ends = floor.superseded_at(one.asked.model, one.at.version);
         return ends && *ends - now < options.old_weights_notice;
     }
 
@@ -484,7 +485,7 @@
             return;
         one.silence = loop.after(
             one.progressed
-                ? std::chrono::microseconds(options.dispatch.stream_silence)
+                ? std::chrono::microseconds(options.dispatch.max_stream_pause)
                 : first_event_limit(one),
             [this, number = one.number]
             {
@@ -509,7 +510,7 @@
             milliseconds(static_cast<std::int64_t>(one.at.predicted_ms *
                                                    options.first_factor)) +
             options.first_slack;
-        const auto ends = floor.ends(one.asked.model, one.at.version);
+        const auto ends = floor.superseded_at(one.asked.model, one.at.version);
         if (ends)
             limit = std::min(limit, *ends + options.old_weights_grace -
                                         event_loop::now());
@@ -548,11 +549,12 @@
     void first_event(exchange& one)
     {
         one.progressed = true;
-        book.began(one.at.upstream, one.attempt);
+        book.mark_first_event(one.at.upstream, one.attempt);
         const auto now = event_loop::now();
         const auto took = to_seconds(now - one.sent);
         constexpr double ms = 1000;
-        book.seen(one.at.upstream, one.at.uncorrected_ms, took * ms);
+        book.record_first_event_time(one.at.upstream, one.at.uncorrected_ms,
+                                     took * ms);
         counters.observe("first_event_seconds", took);
         exchange_log::first_event(one, now);
     }
@@ -650,10 +652,10 @@
         one.silence.stop();
         one.in_flight = false;
         one.answered_failure = reach == attempt_reach::answered;
-        book.end(one.at.upstream, one.attempt,
-                 one.answered_failure ? attempt_result::answered_failure
-                                      : attempt_result::failed,
-                 now);
+        book.end_attempt(one.at.upstream, one.attempt,
+                         one.answered_failure ? attempt_result::answered_failure
+                                              : attempt_result::failed,
+                         now);
         counters.count("attempts_failed_total", 1,
                        {{"may_have_run", may_have_run ? "true" : "false"}});
         const bool again = may_have_run ? exchange_facts::may_repeat(one)
@@ -673,7 +675,7 @@
     /*! @brief Returns when a caller may come back that no overload refused. */
     [[nodiscard]] milliseconds least_wait() const
     {
-        return options.dispatch.admission.least_retry_after;
+        return options.dispatch.admission.min_retry_after;
     }
 
     /*! @brief No attempt is left: the final answer, at once. */
@@ -743,7 +745,7 @@
         if (std::exchange(one.in_flight, false))
             note_lost(one, attempt_loss::withdrawn);
         client.cancel(one.call);
-        book.withdraw(one.at.upstream, one.attempt);
+        book.cancel_attempt(one.at.upstream, one.attempt);
     }
 
     // --- End -------------------------------------------------------------
@@ -752,9 +754,10 @@
     {
         if (good)
             crashes.answered(one.content);
-        book.end(one.at.upstream, one.attempt,
-                 good ? attempt_result::good : attempt_result::answered_failure,
-                 event_loop::now());
+        book.end_attempt(one.at.upstream, one.attempt,
+                         good ? attempt_result::succeeded
+                              : attempt_result::answered_failure,
+                         event_loop::now());
         counters.count("requests_answered_total", 1,
                        {{"status", std::to_string(one.head.status)}});
         exchange_log::answered(one, how, event_loop::now());
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -307,14 +307,14 @@
     void take_record(const upstream_record& one)
     {
         exchanges.crashing().address_taken(one.id, one.address);
-        if (const auto ended = book.record(one))
+        if (const auto ended = book.apply_record(one))
             exchanges.life_ended(*ended);
     }
 
     void take_status(const std::string& host,
                      const message::upstream_status& told, time_point at)
     {
-        for (const auto& one : book.status(host, told, at))
+        for (const auto& one : book.apply_status(host, told, at))
             exchanges.life_ended(one);
     }
 
@@ -391,9 +391,9 @@
         const auto now = event_loop::now();
         const auto rates = exchanges.rates(now);
         into.versions = versions.told(now);
-        into.load.asked = static_cast<float>(rates.asked);
+        into.load.asked = static_cast<float>(rates.arrived);
         into.load.refused = static_cast<float>(rates.refused);
-        into.load.demanded = static_cast<float>(rates.demanded);
+        into.load.demanded = static_cast<float>(rates.demand);
     }
 
     /*! @brief Takes in what the other entries tell of their callers. */
@@ -401,7 +401,7 @@
     {
         const auto& self = node.settings();
         std::vector<entry_demand> demands{
-            demand_of(self.hall, self.address, exchanges.rates(now).demanded)};
+            demand_of(self.hall, self.address, exchanges.rates(now).demand)};
         request_rates others;
         for (const auto& [address, one] : node.peers().all())
         {
@@ -411,15 +411,16 @@
             const auto& told = one.last.load;
             demands.push_back(
                 demand_of(hall_id(one.last.hall), address, told.demanded));
-            others.asked += told.asked;
+            others.arrived += told.asked;
             others.refused += told.refused;
         }
         exchanges.elsewhere(others, now);
         // An entry that stops has no share: the others count without it.
-        book.share_limits(leaving ? std::string{} : self.address, demands, now);
-        book.divide(demand_interval_of(self.address, demands),
-                    [&](const known_upstream& one)
-                    { return exchanges.takes_new(one, now); });
+        book.assign_limit_shares(leaving ? std::string{} : self.address,
+                                 demands, now);
+        book.assign_engine_shares(demand_interval_of(self.address, demands),
+                                  [&](const known_upstream& one)
+                                  { return exchanges.takes_new(one, now); });
     }
 
     [[nodiscard]] static entry_demand
@@ -439,7 +440,7 @@
         const auto entries = node.peers().entries(now) + 1;
         exchanges.entries(entries);
         exchanges.outdated(node.behind_for(now) >= outdated_time);
-        book.entries(entries);
+        book.set_entry_count(entries);
         share_engines(now);
         versions.tick(!leaving, now);
         if (leaving)
--- a/src/coursejunction/proxy/notice_intake.hpp
+++ b/src/coursejunction/proxy/notice_intake.hpp
@@ -32,7 +32,7 @@
     {
         const received_notice heard{notice, one.sent,
                                     succeeded(one.head.status)};
-        if (book.heard(one.at.upstream, heard, now))
+        if (book.apply_notice(one.at.upstream, heard, now))
             log_terms(one.at.upstream, now);
         if (notice.empty())
             return;
@@ -46,8 +46,8 @@
               time_point now)
     {
         const instance_id id(news.upstream);
-        if (book.told(id, incarnation(news.life), terms_of(news, now), from,
-                      now))
+        if (book.apply_reported_terms(id, incarnation(news.life),
+                                      terms_of(news, now), from, now))
             log_terms(id, now);
     }
 
@@ -67,7 +67,7 @@
                 counters.count("upstream_notices_total", 1, {{"kind", kind}});
         };
         add(notice.leaving, "leaving");
-        add(notice.rest.has_value(), "rest");
+        add(notice.retry_after.has_value(), "rest");
         add(notice.requests_per_second.has_value(), "limit");
         add(notice.unreadable, "unreadable");
     }
--- a/src/coursejunction/proxy/refusal_news.hpp
+++ b/src/coursejunction/proxy/refusal_news.hpp
@@ -29,11 +29,11 @@
                                                      time_point now)
 {
     message::refused_caller made;
-    made.fingerprint = one.what.value();
-    made.waited_ms = span_ms(now - one.first);
-    if (one.ends)
-        made.left_ms = std::max(span_ms(*one.ends - now), 1U);
-    made.due_ms = span_ms(one.due - now);
+    made.fingerprint = one.fingerprint.value();
+    made.waited_ms = span_ms(now - one.first_arrival);
+    if (one.deadline)
+        made.left_ms = std::max(span_ms(*one.deadline - now), 1U);
+    made.due_ms = span_ms(one.retry_at - now);
     return made;
 }
 
@@ -42,12 +42,12 @@
 refusal_of(const message::refused_caller& told, time_point now)
 {
     refusal_record made;
-    made.what = request_fingerprint(told.fingerprint);
-    made.first = now - milliseconds(told.waited_ms);
+    made.fingerprint = request_fingerprint(told.fingerprint);
+    made.first_arrival = now - milliseconds(told.waited_ms);
     if (told.left_ms > 0)
-        made.ends = now + milliseconds(told.left_ms);
-    made.refused = now;
-    made.due = now + milliseconds(told.due_ms);
+        made.deadline = now + milliseconds(told.left_ms);
+    made.refused_at = now;
+    made.retry_at = now + milliseconds(told.due_ms);
     return made;
 }
 
--- a/src/coursejunction/proxy/terms_news.hpp
+++ b/src/coursejunction/proxy/terms_news.hpp
@@ -28,13 +28,13 @@
     std::vector<message::upstream_terms> told;
     for (const auto& [id, one] : book.all())
     {
-        const auto news = one.terms.news(now);
+        const auto news = one.terms.pending_report(now);
         if (!news)
             continue;
         message::upstream_terms made;
         made.upstream = id.value();
         made.life = one.life.value();
-        made.age_ms = span_ms(now - news->at);
+        made.age_ms = span_ms(now - news->received_at);
         made.leaving = news->leaving;
         if (news->per_second)
             made.per_second = static_cast<float>(*news->per_second);
@@ -58,7 +58,7 @@
     made.leaving = told.leaving;
     if (told.per_second >= 0)
         made.per_second = static_cast<double>(told.per_second);
-    made.at = now - milliseconds(told.age_ms);
+    made.received_at = now - milliseconds(told.age_ms);
     return made;
 }
 
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -60,7 +60,8 @@
         {
             const auto& [model, version] = key;
             if (first && version == fleet.newest(model))
-                floors.found(model, version, named, version_time);
+                floors.add_found_at_startup(model, version, named,
+                                            version_time);
         }
         bind();
         if (fleet.take_repeated_names())
@@ -76,9 +77,9 @@
             return;
         bind();
         for (const auto& one : told)
-            floors.named_later(one.model, one.version,
-                               fleet.named_at(one.model, one.version),
-                               version_time, now);
+            floors.postpone(one.model, one.version,
+                            fleet.named_at(one.model, one.version),
+                            version_time, now);
     }
 
     /*! @brief Returns what the store does not show, for other processes. */
@@ -106,9 +107,9 @@
     void bind()
     {
         for (const auto& [key, named] : fleet.versions())
-            floors.name(key.first, key.second, named, version_time);
+            floors.add_published(key.first, key.second, named, version_time);
         for (const auto& [model, version] : fleet.binding())
-            floors.binds(model, version);
+            floors.enforce(model, version);
         judge_found();
     }
 
@@ -119,9 +120,9 @@
         for (const auto& [key, named] : fleet.versions())
         {
             const auto& [model, version] = key;
-            if (floors.found_only(model, version) &&
+            if (floors.publish_time_unknown(model, version) &&
                 served_by_most(model, version))
-                floors.served_by_most(model, version);
+                floors.mark_widely_served(model, version);
         }
     }
 
@@ -161,7 +162,7 @@
         for (const auto& [named, known] : fleet.versions())
         {
             const auto& [model, version] = named;
-            const auto binding = floors.least_known(model, now);
+            const auto binding = floors.known_minimum(model, now);
             keeper.know({model, std::max(version, binding), binding},
                         fleet.vouched(model));
         }
@@ -223,7 +224,7 @@
     {
         const auto named = fleet.named_in_store(model);
         const auto newest = fleet.newest(model);
-        const bool binds = floors.least(model, now) >= newest;
+        const bool binds = floors.minimum(model, now) >= newest;
         const bool unserved =
             newest > 1 && binds && serving(model, newest).newest == 0;
         auto& one = alarms[model];
--- a/src/coursejunction/route/dispatcher.hpp
+++ b/src/coursejunction/route/dispatcher.hpp
@@ -34,10 +34,10 @@
     /*! @brief Part of the target for which a request may wait for a place: of
      * 400 ms one interval of load reports, by which a place that comes free is
      * known. Longer waits serve nobody more. */
-    double wait_part{0.125};
+    double wait_fraction{0.125};
     /*! @brief A stream that goes on waits for as long as its caller bears the
      * pause; the longest pause that counts as in time is 400 ms. */
-    milliseconds stream_silence{900};
+    milliseconds max_stream_pause{900};
     /*! @brief When no upstream is usable at all: times without any lasted 1.3
      * to 6 s, and callers of 6 s wait for 2 s at most. */
     milliseconds no_upstream_retry_after{2000};
@@ -47,21 +47,21 @@
 /*! @brief A request goes to an upstream. */
 struct send_to
 {
-    upstream_choice at;
+    upstream_choice choice;
     urgency rank{usual_urgency}; /*!< Among those that wait there. */
 };
 
 /*! @brief A request waits for a place. */
 struct wait_for_slot
 {
-    placement_failure why;
+    placement_failure reason;
 };
 
 /*! @brief A request is refused; it has not run. */
 struct refuse_request
 {
-    placement_failure why;
-    milliseconds come_back{0};
+    placement_failure reason;
+    milliseconds retry_after{0};
 };
 
 /*! @brief What becomes of a request now. */
@@ -84,52 +84,58 @@
         std::set<std::string_view> names;
         for (const auto& one : rules.routes)
             names.insert(one.name);
-        tries.keep([&](const std::string& name)
-                   { return names.count(name) > 0; });
+        tries.retain_routes([&](const std::string& name)
+                            { return names.count(name) > 0; });
     }
 
     /*! @brief Notes a request's arrival.
      * @param what Zero when it has nothing by which it is known again.
      * @param deadline What its caller will wait from now on. */
-    arrival_state arrived(const route_rule& route,
-                          const service_profile& service,
-                          request_fingerprint what,
-                          std::optional<milliseconds> deadline, time_point now)
+    arrival_state record_arrival(const route_rule& route,
+                                 const service_profile& service,
+                                 request_fingerprint what,
+                                 std::optional<milliseconds> deadline,
+                                 time_point now)
     {
         arrival_state made;
-        made.past = tries.arrived(route.name, what, deadline, now);
+        made.history = tries.record_arrival(route.name, what, deadline, now);
         auto& gate = gate_of(service);
-        if (!made.returned())
-            gate.asked(route.target, now);
+        if (!made.is_retry())
+            gate.record_arrival(route.target, now);
         if (service.engine)
             engines.insert(service.name);
-        made.late = service.engine &&
-                    gate.late(*service.engine, route.target, made.past.waited);
+        made.late =
+            service.engine && gate.misses_target(*service.engine, route.target,
+                                                 made.history.waited);
         return made;
     }
 
     /*! @brief Notes that a caller was sent away and may come back, here or at
      * another entry. */
-    void sent_away(const refusal_record& one, time_point now)
+    void record_refusal(const refusal_record& one, time_point now)
     {
-        tries.refused(one, now);
+        tries.record_refusal(one, now);
     }
 
     /*! @brief Takes in that another entry sent a caller away. */
-    void sent_away_elsewhere(const refusal_record& one, time_point now)
+    void record_remote_refusal(const refusal_record& one, time_point now)
     {
-        tries.told(one, now);
+        tries.record_remote_refusal(one, now);
     }
 
     /*! @brief Returns callers sent away that other entries were not told of,
      * and takes them for told. */
-    [[nodiscard]] std::vector<refusal_record> news_of_refusals(std::size_t most)
+    [[nodiscard]] std::vector<refusal_record>
+    take_unsent_refusals(std::size_t most)
     {
-        return tries.take_news(most);
+        return tries.take_unsent(most);
     }
 
     /*! @brief Tells whether other entries were not told of some. */
-    [[nodiscard]] bool has_news_of_refusals() const { return tries.has_news(); }
+    [[nodiscard]] bool has_unsent_refusals() const
+    {
+        return tries.has_unsent();
+    }
 
     /*! @brief Forgets what is over; called now and then. */
     void expire(time_point now) { tries.expire(now); }
@@ -141,21 +147,21 @@
         for (const auto& name : engines)
         {
             const auto one = gates.at(name).rates(now);
-            sum.asked += one.asked;
+            sum.arrived += one.arrived;
             sum.refused += one.refused;
-            sum.demanded += one.demanded;
+            sum.demand += one.demand;
         }
         return sum;
     }
 
     /*! @brief Takes what the other entries' callers ask of all engines. */
-    void elsewhere(const request_rates& told, time_point now)
+    void set_other_entries_rates(const request_rates& told, time_point now)
     {
         constexpr double least_rate = 0.1;
         if (told.refused > least_rate)
-            tries.refusals_elsewhere(now);
+            tries.note_other_entries_refusals(now);
         for (const auto& name : engines)
-            gates.at(name).elsewhere(told);
+            gates.at(name).set_other_entries_rates(told);
     }
 
     /*! @brief Decides; a request that waits is asked for again. */
@@ -165,18 +171,19 @@
         auto& gate = gate_of(service);
         if (service.engine)
             wanted.limits = gate.limits(*service.engine, wanted.target,
-                                        wanted.standing.past.waited, now);
+                                        wanted.arrival.history.waited, now);
         placement_failure why;
         auto found = places.choose(book, service, wanted, now, why);
         if (found)
             return send_to{std::move(*found), rank_of(service, wanted, now)};
-        const auto waits_until = wanted.since + longest_wait(wanted);
-        const bool in_vain = why.opens && *why.opens > waits_until;
+        const auto waits_until = wanted.waiting_since + longest_wait(wanted);
+        const bool in_vain =
+            why.next_send_at && *why.next_send_at > waits_until;
         if (now < waits_until && !in_vain)
             return wait_for_slot{why};
-        if (!wanted.standing.returned())
-            gate.refused(now);
-        return refuse_request{why, come_back_after(gate, why, wanted, now)};
+        if (!wanted.arrival.is_retry())
+            gate.record_refusal(now);
+        return refuse_request{why, retry_after(gate, why, wanted, now)};
     }
 
 private:
@@ -188,11 +195,11 @@
     [[nodiscard]] std::chrono::microseconds
     longest_wait(const placement_request& wanted) const
     {
-        if (wanted.must)
-            return options.stream_silence;
+        if (wanted.bypasses_limits)
+            return options.max_stream_pause;
         constexpr double microseconds = 1000;
         return std::chrono::microseconds(static_cast<std::int64_t>(
-            static_cast<double>(wanted.target.count()) * options.wait_part *
+            static_cast<double>(wanted.target.count()) * options.wait_fraction *
             microseconds));
     }
 
@@ -200,27 +207,27 @@
                                          const placement_request& wanted,
                                          time_point now)
     {
-        if (wanted.must)
+        if (wanted.bypasses_limits)
             return stream_urgency;
         if (!service.engine)
             return usual_urgency;
-        if (wanted.standing.late)
+        if (wanted.arrival.late)
             return late_urgency;
         const auto gone = std::chrono::duration_cast<milliseconds>(
-            now - wanted.since + wanted.standing.past.waited);
+            now - wanted.waiting_since + wanted.arrival.history.waited);
         return urgency_of(wanted.target - gone);
     }
 
-    [[nodiscard]] milliseconds come_back_after(const admission& gate,
-                                               const placement_failure& why,
-                                               const placement_request& wanted,
-                                               time_point now) const
+    [[nodiscard]] milliseconds retry_after(const admission& gate,
+                                           const placement_failure& why,
+                                           const placement_request& wanted,
+                                           time_point now) const
     {
         if (why.usable == 0)
             return none_usable_until(why, now);
         const auto left =
-            std::chrono::duration_cast<milliseconds>(wanted.ends - now);
-        return gate.come_back_after(left, now);
+            std::chrono::duration_cast<milliseconds>(wanted.deadline - now);
+        return gate.retry_after(left, now);
     }
 
     /*! @brief Returns the wait of a caller that no upstream could serve. Where
@@ -228,10 +235,11 @@
     [[nodiscard]] milliseconds none_usable_until(const placement_failure& why,
                                                  time_point now) const
     {
-        if (!why.opens || *why.opens == time_point::max())
+        if (!why.next_send_at || *why.next_send_at == time_point::max())
             return options.no_upstream_retry_after;
-        return std::max(std::chrono::ceil<milliseconds>(*why.opens - now),
-                        options.admission.least_retry_after);
+        return std::max(
+            std::chrono::ceil<milliseconds>(*why.next_send_at - now),
+            options.admission.min_retry_after);
     }
 
     const upstream_registry& book;
--- a/src/coursejunction/route/fair_queue.hpp
+++ b/src/coursejunction/route/fair_queue.hpp
@@ -49,13 +49,13 @@
     explicit fair_queue(size_type most) : limit(most) {}
 
     /*! @brief Sets the weight of an organisation; 1 unless set. */
-    void weigh(const organisation_id& organisation, double weight)
+    void set_weight(const organisation_id& organisation, double weight)
     {
         flows[organisation].weight = weight;
     }
 
     /*! @brief Notes that a request ended, for the rate of service. */
-    void served(time_point now)
+    void record_completion(time_point now)
     {
         if (completions.size() == rate_window)
             completions.pop_front();
@@ -96,7 +96,7 @@
 
     /*! @brief Returns organisations with waiting requests in the order in
      * which they are due. */
-    [[nodiscard]] std::vector<organisation_id> order() const
+    [[nodiscard]] std::vector<organisation_id> service_order() const
     {
         std::vector<std::pair<double, organisation_id>> due;
         for (const auto& [id, flow] : flows)
@@ -135,7 +135,7 @@
 
     /*! @brief Notes that a request of an organisation left the queue for an
      * upstream, for the organisation's own rate. */
-    void dispatched(const organisation_id& organisation, time_point now)
+    void record_dispatch(const organisation_id& organisation, time_point now)
     {
         auto& flow = flows[organisation];
         if (flow.dispatches.size() == flow_window)
@@ -156,7 +156,7 @@
      * that are late already, and those behind so many others that they clearly
      * will be. They are told at once, not when their time is over. */
     [[nodiscard]] std::vector<queued_request>
-    expire(std::chrono::microseconds service, time_point now)
+    remove_late(std::chrono::microseconds service, time_point now)
     {
         std::vector<queued_request> late;
         for (auto& [id, flow] : flows)
@@ -196,7 +196,7 @@
     }
 
     /*! @brief Returns how many organisations are remembered. */
-    [[nodiscard]] size_type organisations() const noexcept
+    [[nodiscard]] size_type organisation_count() const noexcept
     {
         return flows.size();
     }
--- a/src/coursejunction/route/known_upstream.hpp
+++ b/src/coursejunction/route/known_upstream.hpp
@@ -22,15 +22,15 @@
 /*! @brief One attempt of this entry that is in progress. */
 struct open_attempt
 {
-    time_point sent{};
-    double prompt{0};
-    bool began{false}; /*!< Its first event came. */
+    time_point sent_at{};
+    double prompt_tokens{0};
+    bool first_event_seen{false}; /*!< Its first event came. */
 };
 
 /*! @brief What an attempt says of its upstream. */
 enum class attempt_result : std::uint8_t
 {
-    good,
+    succeeded,
     answered_failure, /*!< A whole answer that tells of its own failure. */
     failed            /*!< No whole answer. */
 };
--- a/src/coursejunction/route/placement.hpp
+++ b/src/coursejunction/route/placement.hpp
@@ -33,29 +33,29 @@
     double spread_ms{60};
     /*! @brief Upstreams whose predictions differ by this much are e times as
      * likely to be chosen by other entries; about half of `spread_ms`. */
-    double alike_ms{40};
+    double softmax_scale_ms{40};
     /*! @brief What a share of failed attempts costs. */
-    double fault_ms{600};
+    double failure_ms{600};
     /*! @brief What it costs that an upstream's side is silent: its instance may
      * stand still, and a request that waits there is lost. Half a target. */
     double silent_ms{200};
     /*! @brief What an engine costs that is no part of this entry's share: where
      * an entry has sent most of what is inside, it knows best what is. */
-    double share_ms{150};
+    double unowned_ms{150};
     /*! @brief Requests a plain upstream may have waiting beyond its slots. */
-    double plain_queue{4};
+    double max_plain_queue{4};
 };
 
 /*! @brief How a request stands to its target when it arrives. */
 struct arrival_state
 {
-    caller_history past;
+    caller_history history;
     bool late{false}; /*!< It can't be in time any more. */
 
     /*! @brief Tells whether its caller tried before. */
-    [[nodiscard]] bool returned() const
+    [[nodiscard]] bool is_retry() const
     {
-        return past.known_by != retry_evidence::none;
+        return history.known_by != retry_evidence::none;
     }
 };
 
@@ -63,20 +63,21 @@
 struct placement_request
 {
     service_name service;
-    std::string model;              /*!< Empty for plain requests. */
-    std::uint64_t least_version{0}; /*!< Older weights may not be used. */
-    double prompt{0};
+    std::string model;            /*!< Empty for plain requests. */
+    std::uint64_t min_version{0}; /*!< Older weights may not be used. */
+    double prompt_tokens{0};
     milliseconds target{0};
-    arrival_state standing;
-    time_point since{}; /*!< Arrival, or the end of the last attempt. */
-    time_point ends{};  /*!< Its deadline. */
+    arrival_state arrival;
+    time_point waiting_since{}; /*!< Arrival, or the end of the last attempt. */
+    time_point deadline{};      /*!< Its deadline. */
     admission_limits limits;
-    bool must{false}; /*!< A stream that goes on: late is better than never. */
+    bool bypasses_limits{
+        false}; /*!< A stream that goes on: late is better than never. */
     std::vector<instance_id> excluded;
-    std::vector<instance_id> apart; /*!< Used only where no other one fits. */
+    std::vector<instance_id> avoided; /*!< Used only where no other one fits. */
     /*! @brief The last attempt was answered with the upstream's own failure:
      * where nothing else is usable, an excluded one may take it again. */
-    bool again{false};
+    bool may_retry_excluded{false};
 };
 
 /*! @brief Chooses among the upstreams of a book. */
@@ -94,13 +95,14 @@
            const placement_request& request, time_point now,
            placement_failure& why) const
     {
-        if (!request.apart.empty())
+        if (!request.avoided.empty())
         {
             auto others = request;
-            others.apart.clear();
-            others.again = false;
-            others.excluded.insert(others.excluded.end(), request.apart.begin(),
-                                   request.apart.end());
+            others.avoided.clear();
+            others.may_retry_excluded = false;
+            others.excluded.insert(others.excluded.end(),
+                                   request.avoided.begin(),
+                                   request.avoided.end());
             if (auto found = choose(book, service, others, now, why))
                 return found;
         }
@@ -108,14 +110,14 @@
         double least_cost = 0;
         why = {};
         auto all = candidates(book, service, request, now);
-        if (all.empty() && request.again)
+        if (all.empty() && request.may_retry_excluded)
         {
             auto same = request;
             same.excluded.clear();
             all = candidates(book, service, same, now);
         }
         if (all.empty())
-            why.opens = all_closed_until(book, request, now);
+            why.next_send_at = all_closed_until(book, request, now);
         const auto rates = others_rates(book, service, all, now);
         for (std::size_t at = 0; at < all.size(); ++at)
         {
@@ -137,16 +139,16 @@
             if (best && cost >= least_cost)
                 continue;
             least_cost = cost;
-            best = upstream_choice{
-                one.record.id,
-                one.record.hall,
-                one.record.address,
-                predicted,
-                predicted / correction(book, one),
-                request.model.empty()
-                    ? 0
-                    : upstream_registry::version(one, request.model, now),
-                load};
+            best = upstream_choice{one.record.id,
+                                   one.record.hall,
+                                   one.record.address,
+                                   predicted,
+                                   predicted / correction(book, one),
+                                   request.model.empty()
+                                       ? 0
+                                       : upstream_registry::served_version(
+                                             one, request.model, now),
+                                   load};
         }
         return best;
     }
@@ -165,7 +167,7 @@
             if (one.record.service != request.service || one.leaving() ||
                 excluded(one, request))
                 continue;
-            const auto opens = one.terms.opens();
+            const auto opens = one.terms.next_send_at();
             if (opens <= now)
                 return std::nullopt;
             soonest = std::min(soonest.value_or(opens), opens);
@@ -185,7 +187,7 @@
                                      time_point now)
     {
         if (one.record.service != request.service || one.leaving() ||
-            now < one.avoid_until || now < one.terms.opens())
+            now < one.avoid_until || now < one.terms.next_send_at())
             return false;
         if (excluded(one, request))
             return false;
@@ -196,8 +198,8 @@
         if (told && (!one.status->open || !one.status->reachable))
             return false;
         const auto version =
-            upstream_registry::version(one, request.model, now);
-        return version > 0 && version >= request.least_version;
+            upstream_registry::served_version(one, request.model, now);
+        return version > 0 && version >= request.min_version;
     }
 
     /*! @brief An upstream that may be used, as its last status tells. */
@@ -252,11 +254,11 @@
             // Others keep away from what this entry holds a share of.
             if (all[at].upstream->terms.limit())
                 continue;
-            rates[at] =
-                std::exp((soonest - all[at].predicted_ms) / weights.alike_ms);
+            rates[at] = std::exp((soonest - all[at].predicted_ms) /
+                                 weights.softmax_scale_ms);
             sum += rates[at];
         }
-        const auto total = book.others_rate(now);
+        const auto total = book.other_entries_rate(now);
         const auto equal = total / static_cast<double>(all.size());
         for (auto& one : rates)
             one = sum > 0 ? std::max(0.0, one / sum * total - equal) : 0.0;
@@ -276,7 +278,7 @@
                                         const engine_load& load,
                                         const placement_request& request)
     {
-        return first_event_ms(engine, load, request.prompt) *
+        return first_event_ms(engine, load, request.prompt_tokens) *
                correction(book, one);
     }
 
@@ -297,24 +299,24 @@
                             const placement_request& request,
                             const engine_load& load, double predicted) const
     {
-        if (request.must)
+        if (request.bypasses_limits)
             return true;
         if (service.engine)
         {
             const auto& limits = request.limits;
             const auto usual =
-                predicted - prefill_ms(*service.engine, request.prompt) +
+                predicted - prefill_ms(*service.engine, request.prompt_tokens) +
                 prefill_ms(*service.engine, service.engine->usual_prompt);
             return predicted <= limits.first_event_ms &&
-                   usual <= limits.usual_first_event_ms &&
-                   load.running + load.waiting <= limits.inside &&
+                   usual <= limits.typical_first_event_ms &&
+                   load.running + load.waiting <= limits.max_in_flight &&
                    (!limits.own_share_only || within_share(one, service) ||
                     load.running + load.waiting + 1 <=
                         static_cast<double>(service.engine->slots) *
-                            limits.others_part);
+                            limits.unowned_fraction);
         }
         return static_cast<double>(one.attempts.size()) <
-               static_cast<double>(one.record.slots) + weights.plain_queue;
+               static_cast<double>(one.record.slots) + weights.max_plain_queue;
     }
 
     /*! @brief Tells whether this entry has a place of its own left there; one
@@ -336,8 +338,8 @@
                                 static_cast<std::uint64_t>(range)) /
             range;
         auto cost = rank * weights.spread_ms +
-                    (1 - one.share) * weights.share_ms +
-                    one.fault_share * weights.fault_ms;
+                    (1 - one.share) * weights.unowned_ms +
+                    one.fault_share * weights.failure_ms;
         if (one.record.hall != hall)
             cost += weights.other_hall_ms;
         if (upstream_registry::side_silent(one, now))
--- a/src/coursejunction/route/placement_queue.hpp
+++ b/src/coursejunction/route/placement_queue.hpp
@@ -22,8 +22,8 @@
 /*! @brief One waiting request. */
 struct waiting_request
 {
-    bool late{false};    /*!< Its target is lost. */
-    time_point target{}; /*!< When it should have its first event. */
+    bool late{false};         /*!< Its target is lost. */
+    time_point target_time{}; /*!< When it should have its first event. */
     std::uint64_t number{0};
 
     friend auto operator<=>(const waiting_request&,
@@ -42,7 +42,7 @@
 
     /*! @brief Returns the numbers of all, first come those that are to be
      * looked at first. */
-    [[nodiscard]] std::vector<std::uint64_t> numbers() const
+    [[nodiscard]] std::vector<std::uint64_t> request_numbers() const
     {
         std::vector<std::uint64_t> all;
         all.reserve(line.size());
--- a/src/coursejunction/route/recent_refusals.cpp
+++ b/src/coursejunction/route/recent_refusals.cpp
@@ -12,57 +12,58 @@
 /*! @brief Tells whether a refused caller may come back now. */
 bool expected(const refusal_record& one, time_point now)
 {
-    if (now - one.refused <= recent_refusals::at_once)
+    if (now - one.refused_at <= recent_refusals::immediate_retry_window)
         return true;
-    return now >= one.due - recent_refusals::too_soon &&
-           now <= one.due + recent_refusals::patience;
+    return now >= one.retry_at - recent_refusals::early_retry_tolerance &&
+           now <= one.retry_at + recent_refusals::retry_expiry;
 }
 
 /*! @brief Returns how far a request is from being a refused one's next try;
  * nothing when it is none. */
 std::optional<std::chrono::microseconds>
-distance(const refusal_record& one, const std::optional<time_point>& ends,
+distance(const refusal_record& one, const std::optional<time_point>& deadline,
          time_point now)
 {
-    if (one.ends.has_value() != ends.has_value() || !expected(one, now))
+    if (one.deadline.has_value() != deadline.has_value() || !expected(one, now))
         return std::nullopt;
-    if (!ends)
-        return std::chrono::abs(now - one.due);
-    const std::chrono::microseconds apart = std::chrono::abs(*ends - *one.ends);
-    if (apart > recent_refusals::same_deadline)
+    if (!deadline)
+        return std::chrono::abs(now - one.retry_at);
+    const std::chrono::microseconds apart =
+        std::chrono::abs(*deadline - *one.deadline);
+    if (apart > recent_refusals::deadline_tolerance)
         return std::nullopt;
     return apart;
 }
 
 } // namespace
 
-void recent_refusals::refused(const refusal_record& one)
+void recent_refusals::record(const refusal_record& one)
 {
-    if (one.what.empty())
+    if (one.fingerprint.empty())
         return;
-    told(one);
-    if (news.size() < most_news)
-        news.push_back(one);
+    record_remote(one);
+    if (unsent.size() < max_unsent)
+        unsent.push_back(one);
 }
 
-void recent_refusals::told(const refusal_record& one)
+void recent_refusals::record_remote(const refusal_record& one)
 {
-    if (!one.what.empty() && known.size() < most)
-        known.emplace(one.what, one);
+    if (!one.fingerprint.empty() && known.size() < max_remembered)
+        known.emplace(one.fingerprint, one);
 }
 
 std::optional<time_point>
-recent_refusals::recognise(request_fingerprint what,
-                           std::optional<time_point> ends, time_point now)
+recent_refusals::match_retry(request_fingerprint fingerprint,
+                             std::optional<time_point> deadline, time_point now)
 {
-    if (what.empty())
+    if (fingerprint.empty())
         return std::nullopt;
     auto nearest = known.end();
     std::chrono::microseconds least{0};
-    const auto [from, to] = known.equal_range(what);
+    const auto [from, to] = known.equal_range(fingerprint);
     for (auto at = from; at != to; ++at)
     {
-        const auto apart = distance(at->second, ends, now);
+        const auto apart = distance(at->second, deadline, now);
         if (!apart || (nearest != known.end() && *apart >= least))
             continue;
         nearest = at;
@@ -70,24 +71,24 @@
     }
     if (nearest == known.end())
         return std::nullopt;
-    const auto first = nearest->second.first;
+    const auto first = nearest->second.first_arrival;
     known.erase(nearest);
     return first;
 }
 
-std::vector<refusal_record> recent_refusals::take_news(std::size_t count)
+std::vector<refusal_record> recent_refusals::take_unsent(std::size_t count)
 {
-    const auto to = news.begin() +
-                    static_cast<std::ptrdiff_t>(std::min(count, news.size()));
-    std::vector<refusal_record> taken(news.begin(), to);
-    news.erase(news.begin(), to);
+    const auto to = unsent.begin() +
+                    static_cast<std::ptrdiff_t>(std::min(count, unsent.size()));
+    std::vector<refusal_record> taken(unsent.begin(), to);
+    unsent.erase(unsent.begin(), to);
     return taken;
 }
 
 void recent_refusals::expire(time_point now)
 {
     std::erase_if(known, [now](const auto& one)
-                  { return now > one.second.due + patience; });
+                  { return now > one.second.retry_at + retry_expiry; });
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/route/request_limit.hpp
+++ b/src/coursejunction/route/request_limit.hpp
@@ -32,12 +32,12 @@
     double per_second{0};
     /*! @brief Place among those that stand in, from 0; nothing above it may
      * send at all. */
-    std::size_t stand_in{never};
+    std::size_t standby_rank{not_standby};
 
-    static constexpr std::size_t never =
+    static constexpr std::size_t not_standby =
         std::numeric_limits<std::size_t>::max();
 
-    [[nodiscard]] bool holds() const { return per_second > 0; }
+    [[nodiscard]] bool holds_share() const { return per_second > 0; }
 };
 
 /*! @brief Returns an entry's share of a limit. Each entry works the same
@@ -94,7 +94,7 @@
     }
 
     /*! @brief Takes the newest word of the upstream. */
-    void name(double per_second, time_point at)
+    void update(double per_second, time_point at)
     {
         rate = per_second;
         named_at = std::max(named_at, at);
@@ -102,31 +102,31 @@
 
     /*! @brief Takes this entry's share. One that begins to hold a share has
      * nothing saved up: its predecessor may just have sent. */
-    void share(const limit_share& next, time_point now)
+    void set_share(const limit_share& next, time_point now)
     {
-        const bool begins = next.holds() && !own.holds();
+        const bool begins = next.holds_share() && !own.holds_share();
         own = next;
         if (begins)
             due = now + interval();
     }
 
     /*! @brief Notes a request that is sent there. */
-    void sent(time_point now)
+    void record_send(time_point now)
     {
         sent_at = now;
-        if (own.holds())
+        if (own.holds_share())
             due = std::max(due, now - interval()) + interval();
     }
 
     /*! @brief Returns from when on this entry may send a request there. */
-    [[nodiscard]] time_point opens() const
+    [[nodiscard]] time_point next_send_at() const
     {
-        if (own.holds())
+        if (own.holds_share())
             return due;
-        if (own.stand_in == limit_share::never)
+        if (own.standby_rank == limit_share::not_standby)
             return time_point::max();
         return std::max(named_at, sent_at) +
-               silence() * static_cast<std::int64_t>(own.stand_in);
+               silence() * static_cast<std::int64_t>(own.standby_rank);
     }
 
     /*! @brief Returns requests a second of all entries together. */
--- a/src/coursejunction/route/retained_terms.hpp
+++ b/src/coursejunction/route/retained_terms.hpp
@@ -21,7 +21,7 @@
     /*! @brief Keeps what binds an upstream that is about to be forgotten. */
     void keep(const known_upstream& one, time_point now)
     {
-        if (one.terms.bind(now))
+        if (one.terms.restrict_sends(now))
             kept[one.record.id] = {one.life, one.terms, now + keeping_time};
     }
 
--- a/src/coursejunction/route/retry_detector.hpp
+++ b/src/coursejunction/route/retry_detector.hpp
@@ -61,58 +61,59 @@
 public:
     /*! @brief Notes a request's arrival.
      * @param deadline What its caller will wait from now on. */
-    caller_history arrived(const std::string& route, request_fingerprint what,
-                           const std::optional<milliseconds>& deadline,
-                           time_point now)
+    caller_history record_arrival(const std::string& route,
+                                  request_fingerprint what,
+                                  const std::optional<milliseconds>& deadline,
+                                  time_point now)
     {
         std::optional<time_point> ends;
         if (deadline)
             ends = now + *deadline;
-        if (const auto first = refusals.recognise(what, ends, now))
+        if (const auto first = refusals.match_retry(what, ends, now))
             return {retry_evidence::refusal,
                     std::chrono::duration_cast<milliseconds>(now - *first)};
         if (!deadline)
             return {};
         const bool calm = now - last_refusal >= calm_time;
-        const auto waited = floors[route].note(*deadline, calm, now);
+        const auto waited = floors[route].observe(*deadline, calm, now);
         if (waited == milliseconds(0))
             return {};
         return {retry_evidence::deadline, waited};
     }
 
     /*! @brief Remembers a refusal of this entry. */
-    void refused(const refusal_record& one, time_point now)
+    void record_refusal(const refusal_record& one, time_point now)
     {
         last_refusal = now;
-        refusals.refused(one);
+        refusals.record(one);
     }
 
     /*! @brief Takes in a refusal of another entry. */
-    void told(const refusal_record& one, time_point now)
+    void record_remote_refusal(const refusal_record& one, time_point now)
     {
         last_refusal = now;
-        refusals.told(one);
+        refusals.record_remote(one);
     }
 
     /*! @brief Notes that entries refuse callers, whoever they are. */
-    void refusals_elsewhere(time_point now) { last_refusal = now; }
+    void note_other_entries_refusals(time_point now) { last_refusal = now; }
 
     /*! @brief Returns refusals that the other entries have not been told, and
      * takes them for told. */
-    [[nodiscard]] std::vector<refusal_record> take_news(std::size_t count)
+    [[nodiscard]] std::vector<refusal_record> take_unsent(std::size_t count)
     {
-        return refusals.take_news(count);
+        return refusals.take_unsent(count);
     }
 
     /*! @brief Tells whether some have not been told. */
-    [[nodiscard]] bool has_news() const { return refusals.has_news(); }
+    [[nodiscard]] bool has_unsent() const { return refusals.has_unsent(); }
 
     /*! @brief Forgets callers that have left. */
     void expire(time_point now) { refusals.expire(now); }
 
     /*! @brief Forgets routes for which a predicate of their name is false. */
     template <typename Predicate>
-    void keep(Predicate wanted)
+    void retain_routes(Predicate wanted)
     {
         std::erase_if(floors,
                       [&](const auto& one) { return !wanted(one.first); });
--- a/src/coursejunction/route/smoothed_rate.hpp
+++ b/src/coursejunction/route/smoothed_rate.hpp
@@ -18,14 +18,14 @@
 public:
     /*! @brief Time over which it is smoothed; bursts of the installations rise
      * within a second. */
-    static constexpr milliseconds span{500};
+    static constexpr milliseconds default_window{500};
 
     smoothed_rate() = default;
 
     /*! @param over Time over which it is smoothed instead. */
     explicit smoothed_rate(milliseconds over) : smoothing(over) {}
 
-    void sent(time_point now)
+    void record(time_point now)
     {
         if (began == time_point{})
             began = now;
@@ -40,7 +40,7 @@
 
     /*! @brief Returns the rate since the first send, where that is not as long
      * ago as the rate is smoothed over: a smoothed rate begins at zero. */
-    [[nodiscard]] double per_second_so_far(time_point now) const
+    [[nodiscard]] double per_second_since_start(time_point now) const
     {
         constexpr double least_part = 0.1;
         const auto known =
@@ -55,7 +55,7 @@
                std::exp(-to_seconds(now - sent_at) / to_seconds(smoothing));
     }
 
-    milliseconds smoothing{span};
+    milliseconds smoothing{default_window};
     time_point began{};
     double recent{0}; /*!< Sends, each weighed by its age. */
     time_point sent_at{};
--- a/src/coursejunction/route/upstream_choice.hpp
+++ b/src/coursejunction/route/upstream_choice.hpp
@@ -34,7 +34,7 @@
     double least_ms{0};    /*!< The soonest first event, when usable. */
     /*! @brief The soonest moment at which one takes a request of this entry,
      * where all that could take it rest or are at their limits. */
-    std::optional<time_point> opens;
+    std::optional<time_point> next_send_at;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/upstream_notice.hpp
+++ b/src/coursejunction/route/upstream_notice.hpp
@@ -16,7 +16,7 @@
 {
     bool leaving{false}; /*!< It ends soon and wants no new work. */
     /*! @brief It wants no request of the receiver for so long. */
-    std::optional<milliseconds> rest;
+    std::optional<milliseconds> retry_after;
     /*! @brief Requests a second that it takes from all entries together, for
      * as long as its answers say so. */
     std::optional<double> requests_per_second;
@@ -25,7 +25,7 @@
 
     [[nodiscard]] bool empty() const
     {
-        return !leaving && !rest && !requests_per_second && !unreadable;
+        return !leaving && !retry_after && !requests_per_second && !unreadable;
     }
 };
 
--- a/src/coursejunction/route/upstream_registry.hpp
+++ b/src/coursejunction/route/upstream_registry.hpp
@@ -41,7 +41,7 @@
     /*! @brief Takes or replaces a record; one of an earlier life than is known
      * changes nothing.
      * @return The life that ended, if one did. */
-    std::optional<ended_incarnation> record(upstream_record one)
+    std::optional<ended_incarnation> apply_record(upstream_record one)
     {
         const auto [place, added] = book.try_emplace(one.id);
         auto& known = place->second;
@@ -91,9 +91,9 @@
      * upstream, changes nothing.
      * @param now When the side told it.
      * @return The lives that ended. */
-    std::vector<ended_incarnation> status(const std::string& host,
-                                          const message::upstream_status& told,
-                                          time_point now)
+    std::vector<ended_incarnation>
+    apply_status(const std::string& host, const message::upstream_status& told,
+                 time_point now)
     {
         std::vector<ended_incarnation> all;
         const incarnation life(told.life);
@@ -123,32 +123,32 @@
     }
 
     /*! @brief Notes an attempt that is about to be sent. */
-    void begin(const instance_id& id, std::uint64_t attempt, double prompt,
-               time_point now)
+    void begin_attempt(const instance_id& id, std::uint64_t attempt,
+                       double prompt, time_point now)
     {
         auto& one = book[id];
         one.attempts[attempt] = open_attempt{now, prompt, false};
-        one.terms.sent(now);
+        one.terms.record_send(now);
         if (prompt > 0)
-            engine_sends.sent(now);
+            engine_sends.record(now);
     }
 
     /*! @brief The first event of an attempt came. */
-    void began(const instance_id& id, std::uint64_t attempt)
+    void mark_first_event(const instance_id& id, std::uint64_t attempt)
     {
         const auto found = book.find(id);
         if (found == book.end())
             return;
         const auto one = found->second.attempts.find(attempt);
         if (one != found->second.attempts.end())
-            one->second.began = true;
+            one->second.first_event_seen = true;
     }
 
     /*! @brief An attempt ended. An upstream that answered lives: it is used
      * less, not avoided: a service may have only one left that fails now and
      * then. */
-    void end(const instance_id& id, std::uint64_t attempt,
-             attempt_result result, time_point now)
+    void end_attempt(const instance_id& id, std::uint64_t attempt,
+                     attempt_result result, time_point now)
     {
         const auto found = book.find(id);
         if (found == book.end())
@@ -158,11 +158,11 @@
         // Of an earlier life: it says nothing of this one.
         if (open == one.attempts.end())
             return;
-        if (open->second.sent < one.status_at)
+        if (open->second.sent_at < one.status_at)
             ++one.ended_since_status;
         one.attempts.erase(open);
         constexpr double smoothing = 0.15;
-        const bool good = result == attempt_result::good;
+        const bool good = result == attempt_result::succeeded;
         one.fault_share += ((good ? 0.0 : 1.0) - one.fault_share) * smoothing;
         if (result == attempt_result::failed)
             avoid(one, now);
@@ -172,46 +172,48 @@
 
     /*! @brief Takes what an upstream says of itself in an answer.
      * @return Whether the terms on which it takes requests changed. */
-    bool heard(const instance_id& id, const received_notice& notice,
-               time_point now)
+    bool apply_notice(const instance_id& id, const received_notice& notice,
+                      time_point now)
     {
         const auto found = book.find(id);
-        return found != book.end() && found->second.terms.heard(notice, now);
+        return found != book.end() &&
+               found->second.terms.apply_notice(notice, now);
     }
 
     /*! @brief Takes what another entry was told in an answer of a life of an
      * upstream.
      * @param from Address of that entry.
      * @return Whether the terms on which it takes requests changed. */
-    bool told(const instance_id& id, const incarnation& life,
-              const reported_terms& told, const std::string& from,
-              time_point now)
+    bool apply_reported_terms(const instance_id& id, const incarnation& life,
+                              const reported_terms& told,
+                              const std::string& from, time_point now)
     {
         const auto found = book.find(id);
         if (found == book.end() || life != found->second.life)
             return false;
-        return found->second.terms.told(told, from, now);
+        return found->second.terms.apply_report(told, from, now);
     }
 
     /*! @brief Divides the limits that upstreams name between the entries.
      * @param own Address of this entry.
      * @param entries Those that take callers. */
-    void share_limits(const std::string& own,
-                      const std::vector<entry_demand>& entries, time_point now)
+    void assign_limit_shares(const std::string& own,
+                             const std::vector<entry_demand>& entries,
+                             time_point now)
     {
         for (auto& [id, one] : book)
         {
             if (!one.terms.limit())
                 continue;
-            one.terms.share(share_of_limit(id, one.record.hall,
-                                           one.terms.limit()->per_second(), own,
-                                           entries),
-                            now);
+            one.terms.set_share(share_of_limit(id, one.record.hall,
+                                               one.terms.limit()->per_second(),
+                                               own, entries),
+                                now);
         }
     }
 
     /*! @brief An attempt was taken back: it says nothing of the upstream. */
-    void withdraw(const instance_id& id, std::uint64_t attempt)
+    void cancel_attempt(const instance_id& id, std::uint64_t attempt)
     {
         const auto found = book.find(id);
         if (found == book.end())
@@ -221,7 +223,8 @@
     }
 
     /*! @brief Compares what was predicted with what was seen. */
-    void seen(const instance_id& id, double predicted_ms, double seen_ms)
+    void record_first_event_time(const instance_id& id, double predicted_ms,
+                                 double seen_ms)
     {
         const auto found = book.find(id);
         if (found == book.end() || predicted_ms <= 0)
@@ -263,8 +266,9 @@
     }
 
     /*! @brief Returns the weights of a model that an upstream serves. */
-    [[nodiscard]] static std::uint64_t
-    version(const known_upstream& one, const std::string& model, time_point now)
+    [[nodiscard]] static std::uint64_t served_version(const known_upstream& one,
+                                                      const std::string& model,
+                                                      time_point now)
     {
         if (one.status && now - one.status_at <= status_validity)
             return one.status->model == model ? one.status->version : 0;
@@ -276,7 +280,7 @@
      * @param own This entry's stretch of all of them.
      * @param usable Tells whether an upstream is one of them. */
     template <typename Usable>
-    void divide(const demand_interval& own, Usable usable)
+    void assign_engine_shares(const demand_interval& own, Usable usable)
     {
         std::vector<known_upstream*> engines;
         for (auto& [id, one] : book)
@@ -299,7 +303,7 @@
     }
 
     /*! @brief Sets how many entries share the upstreams, this one included. */
-    void entries(std::size_t count)
+    void set_entry_count(std::size_t count)
     {
         sharers =
             1 + share_of_others *
@@ -308,7 +312,7 @@
 
     /*! @brief Returns how many requests a second other entries are expected to
      * send to engines that this one considers: as many as this one each. */
-    [[nodiscard]] double others_rate(time_point now) const
+    [[nodiscard]] double other_entries_rate(time_point now) const
     {
         return engine_sends.per_second(now) * (sharers - 1);
     }
@@ -334,12 +338,12 @@
         for (const auto& [number, attempt] : one.attempts)
         {
             const bool unseen =
-                !fresh || attempt.sent + status_travel > one.status_at;
+                !fresh || attempt.sent_at + status_travel > one.status_at;
             new_attempts += unseen ? 1 : 0;
-            if (attempt.began)
+            if (attempt.first_event_seen)
                 continue;
             own_unread += 1;
-            (unseen ? new_unread : seen_unread) += attempt.prompt;
+            (unseen ? new_unread : seen_unread) += attempt.prompt_tokens;
         }
         // What this entry sent stands for what all did.
         made.running = new_attempts * together;
@@ -415,7 +419,7 @@
         ended_incarnation made{one.record.address, {}, one.record.id, before};
         for (const auto& [number, attempt] : one.attempts)
         {
-            if (one.status && attempt.sent + status_travel < one.status_at)
+            if (one.status && attempt.sent_at + status_travel < one.status_at)
                 made.attempts.push_back(number);
         }
         for (const auto number : made.attempts)
--- a/src/coursejunction/route/upstream_table.hpp
+++ b/src/coursejunction/route/upstream_table.hpp
@@ -30,13 +30,13 @@
     std::string kind;
     std::string weights;
     std::size_t slots{0};
-    std::size_t reported{0}; /*!< Requests running there, lagging. */
-    std::size_t own{0};      /*!< Requests of this entry there now. */
+    std::size_t reported_requests{0}; /*!< Requests running there, lagging. */
+    std::size_t own_requests{0};      /*!< Requests of this entry there now. */
     std::size_t own_at_report{0};
     double service_s{0}; /*!< Smoothed time of one request; 0 when unknown. */
     bool open{false};
     bool leaving{false};
-    time_point heard{};
+    time_point reported_at{};
     time_point avoid_until{};
     unsigned failures{0};
     std::unordered_set<std::uint64_t> cached;
@@ -44,9 +44,10 @@
     /*! @brief Returns the requests believed to run there now. */
     [[nodiscard]] std::size_t load() const
     {
-        const auto others =
-            reported > own_at_report ? reported - own_at_report : 0;
-        return others + own;
+        const auto others = reported_requests > own_at_report
+                                ? reported_requests - own_at_report
+                                : 0;
+        return others + own_requests;
     }
 };
 
@@ -234,8 +235,8 @@
 
     /*! @brief Tells whether anybody serves the model, with room or not, even
      * if it is avoided for a short while. */
-    [[nodiscard]] bool served(const route_request& request,
-                              time_point now) const
+    [[nodiscard]] bool is_served(const route_request& request,
+                                 time_point now) const
     {
         return std::any_of(states.begin(), states.end(),
                            [&](const auto& one)
@@ -254,7 +255,7 @@
 
     /*! @brief An attempt failed: the upstream is avoided for a time that
      * doubles with each failure in a row. */
-    void failed(const instance_id& id, time_point now)
+    void record_failure(const instance_id& id, time_point now)
     {
         auto* one = find(id);
         if (one == nullptr)
@@ -267,7 +268,7 @@
 
     /*! @brief An attempt succeeded.
      * @param took How long the request ran. */
-    void succeeded(const instance_id& id, std::chrono::microseconds took)
+    void record_success(const instance_id& id, std::chrono::microseconds took)
     {
         auto* one = find(id);
         if (one == nullptr)
@@ -290,7 +291,7 @@
         return one.open && !one.leaving && one.model == request.model &&
                one.kind == request.kind &&
                (request.weights.empty() || one.weights == request.weights) &&
-               now - one.heard <= report_validity;
+               now - one.reported_at <= report_validity;
     }
 
     std::map<instance_id, upstream_state> states;
--- a/src/coursejunction/route/upstream_terms.hpp
+++ b/src/coursejunction/route/upstream_terms.hpp
@@ -24,7 +24,7 @@
 struct received_notice
 {
     upstream_notice notice;
-    time_point sent{}; /*!< When the request was sent. */
+    time_point sent_at{}; /*!< When the request was sent. */
     bool succeeded{
         false}; /*!< Only such an answer shows that a limit is over. */
 };
@@ -34,7 +34,7 @@
 {
     bool leaving{false};
     std::optional<double> per_second; /*!< Nothing: no limit is named. */
-    time_point at{};                  /*!< When the answer came. */
+    time_point received_at{};         /*!< When the answer came. */
 };
 
 /*! @brief Terms of one life of an upstream. */
@@ -43,72 +43,75 @@
 public:
     /*! @brief How long an entry repeats what an answer told it: several
      * heartbeats, some of which may be lost. */
-    static constexpr milliseconds telling_time{1000};
+    static constexpr milliseconds report_period{1000};
 
     /*! @brief Takes an answer of the upstream.
      * @return Whether the terms changed. */
-    bool heard(const received_notice& one, time_point now)
+    bool apply_notice(const received_notice& one, time_point now)
     {
         const bool leaves = one.notice.leaving && leave(own_source, now);
         if (leaves)
             told_at = now;
-        const bool rests = one.notice.rest && rest(*one.notice.rest, now);
+        const bool rests =
+            one.notice.retry_after && rest(*one.notice.retry_after, now);
         return heard_limit(one, now) || leaves || rests;
     }
 
     /*! @brief Takes what another entry's answers told; what is older than the
      * newest word that is known changes nothing.
      * @return Whether the terms changed. */
-    bool told(const reported_terms& one, const std::string& from,
-              time_point now)
+    bool apply_report(const reported_terms& one, const std::string& from,
+                      time_point now)
     {
         const bool leaves = one.leaving && leave(from, now);
         return told_limit(one, from, now) || leaves;
     }
 
     /*! @brief Notes a request that is sent there. */
-    void sent(time_point now)
+    void record_send(time_point now)
     {
         if (bound)
-            bound->sent(now);
+            bound->record_send(now);
     }
 
     /*! @brief Takes this entry's share of the limit, where there is one. */
-    void share(const limit_share& own, time_point now)
+    void set_share(const limit_share& own, time_point now)
     {
         if (bound)
-            bound->share(own, now);
+            bound->set_share(own, now);
     }
 
     /*! @brief Tells whether it said that it leaves: it wants no new work. */
     [[nodiscard]] bool leaving() const { return leaves; }
 
     /*! @brief Tells whether any of them keeps requests away. */
-    [[nodiscard]] bool bind(time_point now) const
+    [[nodiscard]] bool restrict_sends(time_point now) const
     {
         return leaves || bound || now < rests_until;
     }
 
     /*! @brief Returns from when on a request may be sent there; a moment in the
      * past when it may be now. */
-    [[nodiscard]] time_point opens() const
+    [[nodiscard]] time_point next_send_at() const
     {
-        return std::max(rests_until, bound ? bound->opens() : time_point{});
+        return std::max(rests_until,
+                        bound ? bound->next_send_at() : time_point{});
     }
 
     /*! @brief Returns until when it wants nothing from this entry. */
-    [[nodiscard]] time_point rest_ends() const { return rests_until; }
+    [[nodiscard]] time_point backoff_until() const { return rests_until; }
 
     /*! @brief Returns what to tell other entries, while it is news. */
-    [[nodiscard]] std::optional<reported_terms> news(time_point now) const
+    [[nodiscard]] std::optional<reported_terms>
+    pending_report(time_point now) const
     {
-        if (told_at == time_point{} || now - told_at > telling_time)
+        if (told_at == time_point{} || now - told_at > report_period)
             return std::nullopt;
         reported_terms made;
         made.leaving = leaves;
         if (bound)
             made.per_second = bound->per_second();
-        made.at = observed_at;
+        made.received_at = observed_at;
         return made;
     }
 
@@ -160,7 +163,7 @@
         // An answer to a request from before the limit was known may have been
         // on its way when the upstream named it.
         if (!bound || !one.succeeded || one.notice.unreadable ||
-            one.sent <= bound->known_since())
+            one.sent_at <= bound->known_since())
             return false;
         bound.reset();
         observed_at = told_at = known_since = now;
@@ -171,11 +174,11 @@
     bool told_limit(const reported_terms& one, const std::string& from,
                     time_point now)
     {
-        if (one.at <= observed_at)
+        if (one.received_at <= observed_at)
             return false;
-        observed_at = one.at;
+        observed_at = one.received_at;
         if (one.per_second)
-            return take_limit(*one.per_second, one.at, from, now);
+            return take_limit(*one.per_second, one.received_at, from, now);
         if (!bound)
             return false;
         bound.reset();
@@ -189,7 +192,7 @@
         const bool changed = take_limit(per_second, now, own_source, now);
         observed_at = now;
         // Only a holder's answers are news while the limit stays as it is.
-        if (changed || bound->own_share().holds())
+        if (changed || bound->own_share().holds_share())
             told_at = now;
         return changed;
     }
@@ -200,7 +203,7 @@
         const bool changed = !bound || bound->per_second() != per_second;
         if (!bound)
             bound.emplace(per_second, at, now);
-        bound->name(per_second, at);
+        bound->update(per_second, at);
         if (!changed)
             return false;
         known_since = now;
--- a/src/coursejunction/route/version_floor.hpp
+++ b/src/coursejunction/route/version_floor.hpp
@@ -24,8 +24,8 @@
     /*! @brief Notes a version that is to be served.
      * @param known When the first process learnt of it.
      * @param allowed How long older weights may still begin requests. */
-    void name(const std::string& model, std::uint64_t version, time_point known,
-              milliseconds allowed)
+    void add_published(const std::string& model, std::uint64_t version,
+                       time_point known, milliseconds allowed)
     {
         auto& list = targets[model];
         const auto found = std::find_if(list.begin(), list.end(),
@@ -40,21 +40,21 @@
      * than that one begins nothing here any more. Without this, an entry that
      * starts between two versions 2 s apart uses the oldest weights for 2 s
      * longer than the others. */
-    void found(const std::string& model, std::uint64_t version,
-               time_point known, milliseconds allowed)
+    void add_found_at_startup(const std::string& model, std::uint64_t version,
+                              time_point known, milliseconds allowed)
     {
         if (targets.count(model) == 0 && version > 2)
             targets[model].push_back(
                 {version - 1, time_point{}, time_point::max()});
-        name(model, version, known, allowed);
+        add_published(model, version, known, allowed);
         unsure[model] = version;
     }
 
     /*! @brief Notes that a version was named later than was believed; one that
      * binds already goes on to.
      * @param known When it was. */
-    void named_later(const std::string& model, std::uint64_t version,
-                     time_point known, milliseconds allowed, time_point now)
+    void postpone(const std::string& model, std::uint64_t version,
+                  time_point known, milliseconds allowed, time_point now)
     {
         for (auto& one : targets[model])
         {
@@ -67,7 +67,7 @@
     }
 
     /*! @brief Notes a version that is known to bind, whenever it was named. */
-    void binds(const std::string& model, std::uint64_t version)
+    void enforce(const std::string& model, std::uint64_t version)
     {
         auto& list = targets[model];
         const auto found = std::find_if(list.begin(), list.end(),
@@ -81,8 +81,8 @@
 
     /*! @brief Tells whether the time of a version is only that of its finding
      * at the start of this process. */
-    [[nodiscard]] bool found_only(const std::string& model,
-                                  std::uint64_t version) const
+    [[nodiscard]] bool publish_time_unknown(const std::string& model,
+                                            std::uint64_t version) const
     {
         const auto found = unsure.find(model);
         return found != unsure.end() && found->second == version;
@@ -92,9 +92,9 @@
      * long ago, and binds now. Where all processes end together nobody else
      * knows when it was named, and an upstream that was left on older weights
      * would be used again for as long as after a naming. */
-    void served_by_most(const std::string& model, std::uint64_t version)
+    void mark_widely_served(const std::string& model, std::uint64_t version)
     {
-        if (!found_only(model, version))
+        if (!publish_time_unknown(model, version))
             return;
         unsure.erase(model);
         for (auto& one : targets[model])
@@ -103,8 +103,8 @@
     }
 
     /*! @brief Returns the least version that may begin a request. */
-    [[nodiscard]] std::uint64_t least(const std::string& model,
-                                      time_point now) const
+    [[nodiscard]] std::uint64_t minimum(const std::string& model,
+                                        time_point now) const
     {
         return highest(model,
                        [&](const target& one) { return now >= one.binds_at; });
@@ -113,8 +113,8 @@
     /*! @brief Returns the least version that may begin a request by what is
      * known of the times of naming: what this process only infers from its
      * own start is left out, so that others may go by it. */
-    [[nodiscard]] std::uint64_t least_known(const std::string& model,
-                                            time_point now) const
+    [[nodiscard]] std::uint64_t known_minimum(const std::string& model,
+                                              time_point now) const
     {
         return highest(model, [&](const target& one)
                        { return now >= one.known_to_bind_at; });
@@ -122,8 +122,8 @@
 
     /*! @brief Returns when a version becomes too old to begin a request;
      * nothing while no newer one is named. */
-    [[nodiscard]] std::optional<time_point> ends(const std::string& model,
-                                                 std::uint64_t version) const
+    [[nodiscard]] std::optional<time_point>
+    superseded_at(const std::string& model, std::uint64_t version) const
     {
         std::optional<time_point> first;
         const auto found = targets.find(model);
--- a/tests/core/suspension.cpp
+++ b/tests/core/suspension.cpp
@@ -98,20 +98,20 @@
         record.id = instance_id("a");
         record.address = "10.0.0.2:80";
         record.weights["m"] = 1;
-        book.record(record);
+        book.apply_record(record);
         message::upstream_status told;
         told.model = "m";
         told.version = 2;
         told.side = 1;
         told.sequence = 1;
-        book.status("10.0.0.2", told, clocks.now);
-        CHECK(upstream_registry::version(*book.find(record.id), "m",
-                                         clocks.now) == 2);
+        book.apply_status("10.0.0.2", told, clocks.now);
+        CHECK(upstream_registry::served_version(*book.find(record.id), "m",
+                                                clocks.now) == 2);
         clocks.suspend(3000ms);
         CHECK(
             upstream_registry::side_silent(*book.find(record.id), clocks.now));
-        CHECK(upstream_registry::version(*book.find(record.id), "m",
-                                         clocks.now) == 1);
+        CHECK(upstream_registry::served_version(*book.find(record.id), "m",
+                                                clocks.now) == 1);
     }
     SECTION("retries from before it are out of the window")
     {
--- a/tests/daemon/state_dump.cpp
+++ b/tests/daemon/state_dump.cpp
@@ -22,7 +22,7 @@
         record.id = cj::instance_id("i-1");
         record.service = cj::service_name("s");
         record.address = "10.0.0.5:80";
-        book.record(record);
+        book.apply_record(record);
         const auto dump = [&] {
             return json::parse(
                 cj::entry_dump(mirror, peers, book, {3, 1}, now));
@@ -49,7 +49,7 @@
             cj::received_notice notice;
             notice.notice.leaving = true;
             notice.notice.requests_per_second = 2;
-            book.heard(record.id, notice, now - 3s);
+            book.apply_notice(record.id, notice, now - 3s);
             THEN("one line tells it, since when and by whose word")
             {
                 REQUIRE(dump().at("terms").size() == 1);
@@ -67,9 +67,9 @@
             cj::message::upstream_status status;
             status.sequence = 1;
             status.running = 4;
-            book.status("10.0.0.5", status, now - 250ms);
-            book.begin(record.id, 1, 0, now);
-            book.end(record.id, 1, cj::attempt_result::failed, now);
+            book.apply_status("10.0.0.5", status, now - 250ms);
+            book.begin_attempt(record.id, 1, 0, now);
+            book.end_attempt(record.id, 1, cj::attempt_result::failed, now);
             THEN("how old that is and why it is avoided are told")
             {
                 const auto told = dump().at("upstreams")[0];
--- a/tests/platform/request_codec.cpp
+++ b/tests/platform/request_codec.cpp
@@ -131,11 +131,11 @@
     SECTION("for how long it rests, where it turned the request away")
     {
         head.headers.push_back("Retry-After", "0.75");
-        CHECK_FALSE(request_codec::facts(head).notice.rest.has_value());
+        CHECK_FALSE(request_codec::facts(head).notice.retry_after.has_value());
         for (const int status : {429, 503})
         {
             head.status = status;
-            CHECK(request_codec::facts(head).notice.rest == 750ms);
+            CHECK(request_codec::facts(head).notice.retry_after == 750ms);
         }
     }
     SECTION("something that can't be read")
@@ -146,12 +146,12 @@
         const auto notice = request_codec::facts(head).notice;
         CHECK(notice.unreadable);
         CHECK_FALSE(notice.requests_per_second.has_value());
-        CHECK_FALSE(notice.rest.has_value());
+        CHECK_FALSE(notice.retry_after.has_value());
     }
     SECTION("a rest beyond all measure")
     {
         head.status = 503;
         head.headers.push_back("Retry-After", "1e300");
-        CHECK(request_codec::facts(head).notice.rest == 24h);
+        CHECK(request_codec::facts(head).notice.retry_after == 24h);
     }
 }
--- a/tests/proxy/entry_on_loopback.hpp
+++ b/tests/proxy/entry_on_loopback.hpp
@@ -56,7 +56,7 @@
         made.not_run = head.headers.contains("Not-Run");
         made.notice.leaving = head.headers.contains("Leaving");
         if (const auto rest = number(head, "Rest"))
-            made.notice.rest = cj::milliseconds(*rest);
+            made.notice.retry_after = cj::milliseconds(*rest);
         if (const auto limit = number(head, "Limit"))
             made.notice.requests_per_second = *limit;
         return made;
@@ -164,7 +164,7 @@
         // Ids in order of preference: the first in this entry's hall.
         one.hall = cj::hall_id(id == "a" ? "h" : "other");
         one.slots = 4;
-        running.on_loop([&] { book.record(one); });
+        running.on_loop([&] { book.apply_record(one); });
     }
 
     /*! @brief An upstream's record goes. */
--- a/tests/proxy/exchange_service.cpp
+++ b/tests/proxy/exchange_service.cpp
@@ -69,8 +69,8 @@
                 {
                     // Four slots, and what may wait beyond them.
                     for (std::uint64_t at = 0; at < 9; ++at)
-                        entry.book.begin(cj::instance_id("a"), at, 0,
-                                         cj::event_loop::now());
+                        entry.book.begin_attempt(cj::instance_id("a"), at, 0,
+                                                 cj::event_loop::now());
                 });
             const auto answer = entry.ask();
             CHECK(answer.starts_with("HTTP/1.1 503"));
@@ -304,7 +304,7 @@
             {
                 auto record = entry.book.find(cj::instance_id(id))->record;
                 record.weights["m"] = version;
-                entry.book.record(record);
+                entry.book.apply_record(record);
             });
     };
     serve("a", one.address, 2);
@@ -312,9 +312,10 @@
     const auto name = [&](cj::milliseconds allowed)
     {
         entry.running.on_loop(
-            [&] {
-                entry.service->floors().name("m", 3, cj::event_loop::now(),
-                                             allowed);
+            [&]
+            {
+                entry.service->floors().add_published(
+                    "m", 3, cj::event_loop::now(), allowed);
             });
     };
 
--- a/tests/proxy/refusal_news.cpp
+++ b/tests/proxy/refusal_news.cpp
@@ -12,30 +12,30 @@
     const cj::time_point here{100s};
     const cj::time_point there{5000s};
     cj::refusal_record one;
-    one.what = cj::request_fingerprint(7);
-    one.first = here - 300ms;
-    one.ends = here + 5600ms;
-    one.refused = here;
-    one.due = here + 200ms;
+    one.fingerprint = cj::request_fingerprint(7);
+    one.first_arrival = here - 300ms;
+    one.deadline = here + 5600ms;
+    one.refused_at = here;
+    one.retry_at = here + 200ms;
     const auto told = cj::told_of(one, here);
 
     THEN("another process reads them by its own clock")
     {
         const auto read = cj::refusal_of(told, there);
-        CHECK(read.what == one.what);
-        CHECK(read.first == there - 300ms);
-        CHECK(read.ends == there + 5600ms);
-        CHECK(read.refused == there);
-        CHECK(read.due == there + 200ms);
+        CHECK(read.fingerprint == one.fingerprint);
+        CHECK(read.first_arrival == there - 300ms);
+        CHECK(read.deadline == there + 5600ms);
+        CHECK(read.refused_at == there);
+        CHECK(read.retry_at == there + 200ms);
     }
     THEN("a caller without a deadline has none there either")
     {
-        one.ends.reset();
-        CHECK_FALSE(cj::refusal_of(cj::told_of(one, here), there).ends);
+        one.deadline.reset();
+        CHECK_FALSE(cj::refusal_of(cj::told_of(one, here), there).deadline);
     }
     THEN("times that lie behind are no spans")
     {
-        one.due = here - 1s;
+        one.retry_at = here - 1s;
         CHECK(cj::told_of(one, here).due_ms == 0);
     }
     THEN("a heartbeat of an entry carries them")
--- a/tests/route/admission.cpp
+++ b/tests/route/admission.cpp
@@ -25,9 +25,9 @@
     for (int number = 0; number < 50; ++number)
     {
         const auto now = from + number * 20ms;
-        gate.asked(400ms, now);
-        gate.asked(300ms, now);
-        gate.refused(now);
+        gate.record_arrival(400ms, now);
+        gate.record_arrival(300ms, now);
+        gate.record_refusal(now);
     }
 }
 
@@ -37,8 +37,8 @@
 {
     cj::admission gate;
     const cj::time_point start{100s};
-    gate.asked(300ms, start);
-    gate.asked(400ms, start);
+    gate.record_arrival(300ms, start);
+    gate.record_arrival(400ms, start);
 
     GIVEN("no overload")
     {
@@ -46,7 +46,7 @@
         {
             const auto limits = gate.limits(engine(), 400ms, 0ms, start);
             CHECK(limits.first_event_ms == Approx(460));
-            CHECK(limits.usual_first_event_ms == Approx(460));
+            CHECK(limits.typical_first_event_ms == Approx(460));
         }
         THEN("one that comes back quickly has what is left of its target")
         {
@@ -57,7 +57,7 @@
         {
             const auto limits = gate.limits(engine(), 400ms, 900ms, start);
             CHECK(limits.first_event_ms > 1e9);
-            CHECK(limits.inside < 16);
+            CHECK(limits.max_in_flight < 16);
         }
     }
     GIVEN("half of the new requests are refused")
@@ -66,10 +66,12 @@
         const auto now = start + 1s;
         THEN("the tightest target counts for all kinds")
         {
-            CHECK(gate.limits(engine(), 400ms, 0ms, now).usual_first_event_ms ==
-                  Approx(300));
-            CHECK(gate.limits(engine(), 300ms, 0ms, now).usual_first_event_ms ==
-                  Approx(300));
+            CHECK(
+                gate.limits(engine(), 400ms, 0ms, now).typical_first_event_ms ==
+                Approx(300));
+            CHECK(
+                gate.limits(engine(), 300ms, 0ms, now).typical_first_event_ms ==
+                Approx(300));
         }
         THEN("a long prompt may still use its own target")
         {
@@ -78,28 +80,29 @@
         }
         THEN("a target that hardly anybody has doesn't count")
         {
-            gate.asked(50ms, now);
-            CHECK(gate.limits(engine(), 400ms, 0ms, now).usual_first_event_ms ==
-                  Approx(300));
+            gate.record_arrival(50ms, now);
+            CHECK(
+                gate.limits(engine(), 400ms, 0ms, now).typical_first_event_ms ==
+                Approx(300));
         }
         THEN("calm returns with the last refusals")
         {
-            CHECK(gate.pressure(now + 5s) < 0.01);
+            CHECK(gate.refusal_ratio(now + 5s) < 0.01);
         }
     }
     GIVEN("a target shorter than a free place takes")
     {
         cj::admission tight;
-        tight.asked(20ms, start);
+        tight.record_arrival(20ms, start);
         for (int number = 0; number < 20; ++number)
         {
-            tight.asked(20ms, start);
-            tight.refused(start);
+            tight.record_arrival(20ms, start);
+            tight.record_refusal(start);
         }
         THEN("no place stays empty for it")
         {
             CHECK(tight.limits(engine(), 400ms, 0ms, start)
-                      .usual_first_event_ms >=
+                      .typical_first_event_ms >=
                   cj::last_slot_ms(engine()) - 0.001);
         }
     }
@@ -112,11 +115,11 @@
 
     GIVEN("a lone refusal")
     {
-        gate.asked(400ms, start);
-        gate.refused(start);
+        gate.record_arrival(400ms, start);
+        gate.record_refusal(start);
         THEN("a place is found soon")
         {
-            CHECK(gate.come_back_after(6s, start) == 200ms);
+            CHECK(gate.retry_after(6s, start) == 200ms);
         }
     }
     GIVEN("an overload")
@@ -125,12 +128,12 @@
         const auto now = start + 980ms;
         THEN("the later the better, up to what callers heed")
         {
-            CHECK(gate.come_back_after(6s, now) == 2s);
-            CHECK(gate.come_back_after(1500ms, now) == 500ms);
+            CHECK(gate.retry_after(6s, now) == 2s);
+            CHECK(gate.retry_after(1500ms, now) == 500ms);
         }
         THEN("soon again when nobody was refused for a while")
         {
-            CHECK(gate.come_back_after(6s, now + 5s) < 250ms);
+            CHECK(gate.retry_after(6s, now + 5s) < 250ms);
         }
     }
 }
--- a/tests/route/deadline_floor.cpp
+++ b/tests/route/deadline_floor.cpp
@@ -15,8 +15,8 @@
 {
     std::mt19937 random(1);
     std::uniform_int_distribution<int> any(least, most);
-    for (std::size_t at = 0; at < cj::deadline_floor::most; ++at)
-        (void)floor.note(cj::milliseconds(any(random)), true, now);
+    for (std::size_t at = 0; at < cj::deadline_floor::max_samples; ++at)
+        (void)floor.observe(cj::milliseconds(any(random)), true, now);
 }
 
 } // namespace
@@ -37,38 +37,38 @@
             int taken = 0;
             constexpr int callers = 2000;
             for (int at = 0; at < callers; ++at)
-                taken +=
-                    floor.note(cj::milliseconds(any(random)), false, now) > 0ms
-                        ? 1
-                        : 0;
+                taken += floor.observe(cj::milliseconds(any(random)), false,
+                                       now) > 0ms
+                             ? 1
+                             : 0;
             CHECK(taken < callers / 50);
         }
         THEN("what is left of a deadline is shorter")
         {
-            const auto waited = floor.note(4000ms, false, now);
+            const auto waited = floor.observe(4000ms, false, now);
             CHECK(waited >= 1100ms);
             CHECK(waited < 1200ms);
         }
         THEN("returns do not teach what new callers bring")
         {
             for (int at = 0; at < 200; ++at)
-                (void)floor.note(3000ms, false, now);
-            CHECK(floor.note(3000ms, false, now) > 2000ms);
+                (void)floor.observe(3000ms, false, now);
+            CHECK(floor.observe(3000ms, false, now) > 2000ms);
         }
         WHEN("callers begin with less and nobody is refused")
         {
             THEN("they are new")
             {
-                CHECK(floor.note(3000ms, true, now) == 0ms);
+                CHECK(floor.observe(3000ms, true, now) == 0ms);
             }
         }
         WHEN("they begin with less while others are refused without end")
         {
             for (int at = 0; at < 200; ++at)
-                (void)floor.note(3000ms, false, now + 31s);
+                (void)floor.observe(3000ms, false, now + 31s);
             THEN("they are new after a while")
             {
-                CHECK(floor.note(3000ms, false, now + 32s) == 0ms);
+                CHECK(floor.observe(3000ms, false, now + 32s) == 0ms);
             }
         }
     }
@@ -77,25 +77,26 @@
         teach(floor, 6000, 6000, now);
         THEN("a few ms less tell nothing")
         {
-            CHECK(floor.note(5960ms, false, now) == 0ms);
-            CHECK(floor.note(5700ms, false, now) == 300ms);
+            CHECK(floor.observe(5960ms, false, now) == 0ms);
+            CHECK(floor.observe(5700ms, false, now) == 300ms);
         }
     }
     GIVEN("few callers came so far")
     {
-        (void)floor.note(6000ms, true, now);
+        (void)floor.observe(6000ms, true, now);
         THEN("nothing is known")
         {
-            CHECK(floor.note(1000ms, false, now) == 0ms);
+            CHECK(floor.observe(1000ms, false, now) == 0ms);
         }
     }
     GIVEN("one caller told a year")
     {
         teach(floor, 6000, 6000, now);
-        (void)floor.note(cj::milliseconds(std::chrono::hours(24)), true, now);
+        (void)floor.observe(cj::milliseconds(std::chrono::hours(24)), true,
+                            now);
         THEN("the others are as new as before")
         {
-            CHECK(floor.note(6000ms, false, now) == 0ms);
+            CHECK(floor.observe(6000ms, false, now) == 0ms);
         }
     }
 }
--- a/tests/route/fair_queue.cpp
+++ b/tests/route/fair_queue.cpp
@@ -19,7 +19,7 @@
 
 std::string take(cj::fair_queue& queue)
 {
-    return queue.pop(queue.order().front()).organisation.value();
+    return queue.pop(queue.service_order().front()).organisation.value();
 }
 
 } // namespace
@@ -44,7 +44,7 @@
     }
     GIVEN("weights")
     {
-        queue.weigh(cj::organisation_id("large"), 3);
+        queue.set_weight(cj::organisation_id("large"), 3);
         for (int at = 0; at < 40; ++at)
         {
             REQUIRE(queue.offer(request(++number, "large"), 0s, now).accepted);
@@ -68,7 +68,7 @@
     cj::fair_queue queue(1000);
     // Ten requests a second end.
     for (int at = 0; at < 64; ++at)
-        queue.served(now - 6400ms + at * 100ms);
+        queue.record_completion(now - 6400ms + at * 100ms);
     GIVEN("a deadline before the expected wait is over")
     {
         for (std::uint64_t at = 0; at < 20; ++at)
@@ -88,8 +88,8 @@
         auto one = request(1, "a");
         one.deadline = now + 1s;
         REQUIRE(queue.offer(one, 200ms, now).accepted);
-        CHECK(queue.expire(200ms, now + 700ms).empty());
-        CHECK(queue.expire(200ms, now + 900ms).size() == 1);
+        CHECK(queue.remove_late(200ms, now + 700ms).empty());
+        CHECK(queue.remove_late(200ms, now + 900ms).size() == 1);
         CHECK(queue.empty());
     }
     GIVEN("a full queue")
@@ -111,7 +111,7 @@
         if (!queue.empty())
             take(queue);
     }
-    CHECK(queue.organisations() <= 1100);
+    CHECK(queue.organisation_count() <= 1100);
 }
 
 TEST_CASE("no request is lost or doubled in the queue", "[route]")
--- a/tests/route/limit_replay.hpp
+++ b/tests/route/limit_replay.hpp
@@ -87,29 +87,30 @@
         cj::upstream_record record;
         record.id = upstream();
         record.hall = cj::hall_id("hall-0");
-        book.record(record);
+        book.apply_record(record);
     }
 
     void heard(const cj::received_notice& notice, cj::time_point now)
     {
-        book.heard(upstream(), notice, now);
+        book.apply_notice(upstream(), notice, now);
     }
 
     void told(const cj::message::upstream_terms& news, const std::string& from,
               cj::time_point now)
     {
-        book.told(upstream(), {}, cj::terms_of(news, now), from, now);
+        book.apply_reported_terms(upstream(), {}, cj::terms_of(news, now), from,
+                                  now);
     }
 
     void share(const std::vector<cj::entry_demand>& entries, cj::time_point now)
     {
-        book.share_limits(own, entries, now);
+        book.assign_limit_shares(own, entries, now);
     }
 
     void sent(cj::time_point now)
     {
-        book.begin(upstream(), ++number, 0, now);
-        book.withdraw(upstream(), number);
+        book.begin_attempt(upstream(), ++number, 0, now);
+        book.cancel_attempt(upstream(), number);
     }
 
     [[nodiscard]] bool limited() const
@@ -119,7 +120,7 @@
 
     [[nodiscard]] bool open(cj::time_point now) const
     {
-        return now >= book.find(upstream())->terms.opens();
+        return now >= book.find(upstream())->terms.next_send_at();
     }
 
     [[nodiscard]] std::vector<cj::message::upstream_terms>
--- a/tests/route/load_engine.hpp
+++ b/tests/route/load_engine.hpp
@@ -22,7 +22,7 @@
 namespace cj = coursejunction;
 
 /*! @brief The engine that is played: 16 places, 7.2 ms a step when full. */
-inline cj::engine_profile engine_figures()
+inline cj::engine_profile fast_engine_profile()
 {
     cj::engine_profile made;
     made.slots = 16;
@@ -39,7 +39,7 @@
 }
 
 /*! @brief A slower engine with fewer places: 8, 14 ms a step when full. */
-inline cj::engine_profile slow_engine_figures()
+inline cj::engine_profile slow_engine_profile()
 {
     cj::engine_profile made;
     made.slots = 8;
@@ -56,55 +56,56 @@
 }
 
 /*! @brief One request of a caller, over both of its tries. */
-struct job
+struct simulated_request
 {
     std::uint64_t number{0};
     std::size_t kind{0};
     std::size_t entry{0};
-    double first_ms{0}; /*!< Of the first try. */
+    double first_arrival_ms{0}; /*!< Of the first try. */
     double prompt{0};
-    double tokens{0};
-    bool returned{false};
+    double answer_tokens{0};
+    bool retried{false};
     // The try in progress.
     double arrived_ms{0};
-    cj::arrival_state standing;
+    cj::arrival_state arrival;
     cj::request_fingerprint fingerprint;
     double deadline_ms{6000}; /*!< From its caller's first try. */
     std::size_t engine{0};
-    int rank{5};
-    double unread{0};
-    double left{0};
-    bool began{false};
+    int urgency{5};
+    double unread_tokens{0};
+    double unwritten_tokens{0};
+    bool first_event_sent{false};
 };
 
-using job_ptr = std::shared_ptr<job>;
+using request_ptr = std::shared_ptr<simulated_request>;
 
 /*! @brief One engine: passes that read a chunk and write a stride. */
-class engine
+class simulated_engine
 {
 public:
-    engine(cj::engine_profile set,
-           std::function<void(const job_ptr&, double)> first,
-           std::function<void(const job_ptr&, double)> done)
-        : figures(std::move(set)), on_first(std::move(first)),
-          on_done(std::move(done))
+    simulated_engine(
+        cj::engine_profile configured,
+        std::function<void(const request_ptr&, double)> first_event,
+        std::function<void(const request_ptr&, double)> done)
+        : profile(std::move(configured)),
+          on_first_event(std::move(first_event)), on_done(std::move(done))
     {
     }
 
-    void take(const job_ptr& one) { waiting.push_back(one); }
+    void enqueue(const request_ptr& one) { waiting.push_back(one); }
 
-    void play(double now)
+    void advance(double now)
     {
         if (now < busy_until)
             return;
         finish_pass(now);
-        let_in();
-        if (inside.empty())
+        admit_waiting();
+        if (admitted.empty())
             return;
         busy_until = now + begin_pass();
     }
 
-    [[nodiscard]] std::size_t running() const { return inside.size(); }
+    [[nodiscard]] std::size_t running() const { return admitted.size(); }
     [[nodiscard]] std::size_t queued() const { return waiting.size(); }
 
 private:
@@ -113,30 +114,31 @@
         if (!in_pass)
             return;
         in_pass = false;
-        for (auto& one : inside)
+        for (auto& one : admitted)
         {
-            if (one->unread > 0)
+            if (one->unread_tokens > 0)
                 continue;
-            if (one->left < one->tokens && !one->began)
+            if (one->unwritten_tokens < one->answer_tokens &&
+                !one->first_event_sent)
             {
-                one->began = true;
-                on_first(one, now);
+                one->first_event_sent = true;
+                on_first_event(one, now);
             }
-            if (one->left <= 0)
+            if (one->unwritten_tokens <= 0)
                 on_done(one, now);
         }
-        std::erase_if(inside,
-                      [](const job_ptr& one) { return one->left <= 0; });
+        std::erase_if(admitted, [](const request_ptr& one)
+                      { return one->unwritten_tokens <= 0; });
     }
 
-    void let_in()
+    void admit_waiting()
     {
         std::stable_sort(waiting.begin(), waiting.end(),
-                         [](const job_ptr& a, const job_ptr& b)
-                         { return a->rank < b->rank; });
-        while (!waiting.empty() && inside.size() < figures.slots)
+                         [](const request_ptr& a, const request_ptr& b)
+                         { return a->urgency < b->urgency; });
+        while (!waiting.empty() && admitted.size() < profile.slots)
         {
-            inside.push_back(waiting.front());
+            admitted.push_back(waiting.front());
             waiting.erase(waiting.begin());
         }
     }
@@ -145,29 +147,30 @@
     {
         in_pass = true;
         double took = 0;
-        double budget = figures.read_chunk;
-        for (auto& one : inside)
+        double budget = profile.read_chunk;
+        for (auto& one : admitted)
         {
-            const auto part = std::min(one->unread, budget);
-            one->unread -= part;
+            const auto part = std::min(one->unread_tokens, budget);
+            one->unread_tokens -= part;
             budget -= part;
-            took += part / figures.read_per_ms;
+            took += part / profile.read_per_ms;
         }
         double writers = 0;
-        for (auto& one : inside)
-            writers += one->unread <= 0 ? 1 : 0;
+        for (auto& one : admitted)
+            writers += one->unread_tokens <= 0 ? 1 : 0;
         if (writers == 0)
             return took;
-        for (auto& one : inside)
-            one->left -= one->unread <= 0 ? figures.stride : 0;
-        return took + figures.stride * cj::step_ms(figures, writers);
+        for (auto& one : admitted)
+            one->unwritten_tokens -=
+                one->unread_tokens <= 0 ? profile.stride : 0;
+        return took + profile.stride * cj::step_ms(profile, writers);
     }
 
-    cj::engine_profile figures;
-    std::function<void(const job_ptr&, double)> on_first;
-    std::function<void(const job_ptr&, double)> on_done;
-    std::vector<job_ptr> waiting;
-    std::vector<job_ptr> inside;
+    cj::engine_profile profile;
+    std::function<void(const request_ptr&, double)> on_first_event;
+    std::function<void(const request_ptr&, double)> on_done;
+    std::vector<request_ptr> waiting;
+    std::vector<request_ptr> admitted;
     double busy_until{0};
     bool in_pass{false};
 };
--- a/tests/route/load_replay.hpp
+++ b/tests/route/load_replay.hpp
@@ -38,7 +38,7 @@
 };
 
 /*! @brief What is played. */
-struct pattern
+struct load_pattern
 {
     std::size_t halls{3};
     std::size_t entries{5};
@@ -47,83 +47,86 @@
     /*! @brief New requests a second, by the second. */
     std::function<double(double)> rate;
     /*! @brief Part of the callers that come back at once when refused. */
-    double impatient{0};
+    double impatient_fraction{0};
     /*! @brief Entries' parts of the load; alike when empty. */
-    std::vector<double> parts;
+    std::vector<double> entry_weights;
     std::vector<request_kind> kinds{
         {"long", 74, cj::milliseconds(400), 1290, 144},
         {"middle", 53, cj::milliseconds(400), 787, 144},
         {"short", 62, cj::milliseconds(300), 607, 70}};
-    cj::engine_profile engine{engine_figures()};
+    cj::engine_profile engine{fast_engine_profile()};
     cj::dispatch_options options;
     cj::placement_weights weights;
-    bool told{true}; /*!< Entries tell each other what they are asked for. */
+    bool shares_rates{
+        true}; /*!< Entries tell each other what they are asked for. */
     bool deadlines{true}; /*!< Callers tell what they will wait. */
     /*! @brief New callers wait for 6 s less up to this part of it. */
     double deadline_spread{0};
     /*! @brief Requests can be known again, and refusals are told in a hall. */
     bool fingerprints{true};
     /*! @brief Refused callers come back to another entry of their hall. */
-    bool elsewhere{false};
-    double moved{0}; /*!< Part of them that come back in another hall. */
-    double hot{0};   /*!< Part of the requests that are all alike. */
+    bool retries_elsewhere{false};
+    double moved_fraction{
+        0}; /*!< Part of them that come back in another hall. */
+    double identical_fraction{
+        0}; /*!< Part of the requests that are all alike. */
     std::uint64_t seed{1};
 };
 
 /*! @brief Sets engines of 8 places, and callers with longer targets. */
-inline void use_slow_engines(pattern& to)
+inline void use_slow_engines(load_pattern& to)
 {
-    to.engine = slow_engine_figures();
+    to.engine = slow_engine_profile();
     to.kinds = {{"long", 341, cj::milliseconds(800), 1290, 74},
                 {"middle", 250, cj::milliseconds(600), 787, 74},
                 {"short", 189, cj::milliseconds(500), 607, 70}};
 }
 
 /*! @brief Gives entries uneven parts of the load, from 0.5 to 1.5. */
-inline void make_uneven(pattern& to)
+inline void make_uneven(load_pattern& to)
 {
     constexpr std::size_t steps = 101;
     constexpr std::size_t stride = 7919;
-    to.parts.clear();
+    to.entry_weights.clear();
     for (std::size_t at = 0; at < to.entries; ++at)
-        to.parts.push_back(0.5 + static_cast<double>(at * stride % steps) /
-                                     (steps - 1));
+        to.entry_weights.push_back(
+            0.5 + static_cast<double>(at * stride % steps) / (steps - 1));
 }
 
 /*! @brief How requests ended. */
 struct tally
 {
-    double asked{0};
+    double requests{0};
     double in_time{0};
     double late{0};
     double refused{0}; /*!< Twice. */
 
-    [[nodiscard]] double in_time_part() const { return in_time / asked; }
+    [[nodiscard]] double in_time_fraction() const { return in_time / requests; }
 };
 
 /*! @brief How well callers that come back were told from new ones. */
 struct recognition
 {
-    double fresh{0};
-    double fresh_missed{0}; /*!< New, and taken for one that comes back. */
-    double returned{0};
-    double returned_missed{0}; /*!< Came back, and taken for a new one. */
+    double new_callers{0};
+    double new_mistaken{0}; /*!< New, and taken for one that comes back. */
+    double retries{0};
+    double retries_missed{0}; /*!< Came back, and taken for a new one. */
 
-    [[nodiscard]] double known_part() const
+    [[nodiscard]] double recognised_fraction() const
     {
-        return 1 - returned_missed / std::max(returned, 1.0);
+        return 1 - retries_missed / std::max(retries, 1.0);
     }
 
-    [[nodiscard]] double mistaken_part() const
+    [[nodiscard]] double mistaken_fraction() const
     {
-        return fresh_missed / std::max(fresh, 1.0);
+        return new_mistaken / std::max(new_callers, 1.0);
     }
 };
 
 /*! @brief Results by kind, by the second of the first try and by entry. */
 struct result
 {
-    recognition known;
+    recognition retry_recognition;
     tally all;
     std::map<std::string, tally> kinds;
     std::map<std::size_t, tally> seconds;
@@ -137,7 +140,7 @@
         {
             if (second < from || second >= to)
                 continue;
-            sum.asked += one.asked;
+            sum.requests += one.requests;
             sum.in_time += one.in_time;
             sum.late += one.late;
             sum.refused += one.refused;
@@ -152,27 +155,28 @@
     cj::upstream_registry book;
     std::unique_ptr<cj::dispatcher> decisions;
     cj::placement_queue line;
-    std::map<std::uint64_t, job_ptr> waiting;
+    std::map<std::uint64_t, request_ptr> waiting;
 };
 
 /*! @brief Plays one pattern. */
-class player
+class simulator
 {
 public:
-    explicit player(pattern set) : played(std::move(set)), random(played.seed)
+    explicit simulator(load_pattern set)
+        : played(std::move(set)), random(played.seed)
     {
         profile.name = cj::service_name("llm");
         profile.engine = played.engine;
         for (std::size_t at = 0; at < played.engines; ++at)
             engines.emplace_back(
                 *profile.engine,
-                [this](const job_ptr& one, double now) { first(one, now); },
-                [this](const job_ptr& one, double now) { done(one, now); });
+                [this](const request_ptr& one, double now) { first(one, now); },
+                [this](const request_ptr& one, double now) { done(one, now); });
         for (std::size_t at = 0; at < played.entries; ++at)
             entries.push_back(make_entry());
     }
 
-    result play()
+    result run()
     {
         const double end = played.seconds * 1000;
         double next = 0;
@@ -245,9 +249,9 @@
             record.hall = cj::hall_id(hall_of(other));
             record.slots = profile.engine->slots;
             record.weights["m"] = 1;
-            one.book.record(record);
+            one.book.apply_record(record);
         }
-        one.book.entries(played.entries);
+        one.book.set_entry_count(played.entries);
         return one;
     }
 
@@ -268,20 +272,21 @@
         return gaps(random);
     }
 
-    job_ptr fresh(double now)
+    request_ptr fresh(double now)
     {
         std::vector<double> weights;
         for (const auto& one : played.kinds)
             weights.push_back(one.weight);
-        auto parts = played.parts;
-        parts.resize(played.entries, parts.empty() ? 1.0 : 0.0);
-        auto one = std::make_shared<job>();
+        auto weights_by_entry = played.entry_weights;
+        weights_by_entry.resize(played.entries,
+                                weights_by_entry.empty() ? 1.0 : 0.0);
+        auto one = std::make_shared<simulated_request>();
         one->number = ++last_number;
         one->kind = std::discrete_distribution<std::size_t>(
             weights.begin(), weights.end())(random);
         one->entry = std::discrete_distribution<std::size_t>(
-            parts.begin(), parts.end())(random);
-        one->first_ms = now;
+            weights_by_entry.begin(), weights_by_entry.end())(random);
+        one->first_arrival_ms = now;
         one->deadline_ms = deadline_ms;
         if (played.deadline_spread > 0)
             one->deadline_ms *= 1 - std::uniform_real_distribution<double>(
@@ -292,29 +297,31 @@
         std::gamma_distribution<double> spread(2, 0.5);
         one->prompt =
             std::clamp(kind.prompt * spread(random), 50.0, kind.prompt * 3);
-        one->tokens =
+        one->answer_tokens =
             std::clamp(kind.answer * spread(random), 6.0, kind.answer * 3);
-        note(*one, [](tally& to) { ++to.asked; });
+        note(*one, [](tally& to) { ++to.requests; });
         return one;
     }
 
     cj::request_fingerprint fingerprint(std::uint64_t number)
     {
         const bool alike =
-            played.hot > 0 && std::bernoulli_distribution(played.hot)(random);
+            played.identical_fraction > 0 &&
+            std::bernoulli_distribution(played.identical_fraction)(random);
         return cj::request_fingerprint(alike ? 1 : number + 1);
     }
 
     template <typename Change>
-    void note(const job& one, Change change)
+    void note(const simulated_request& one, Change change)
     {
         change(made.all);
         change(made.kinds[played.kinds[one.kind].name]);
-        change(made.seconds[static_cast<std::size_t>(one.first_ms / 1000)]);
+        change(made.seconds[static_cast<std::size_t>(one.first_arrival_ms /
+                                                     1000)]);
         change(made.entries[one.entry]);
     }
 
-    void arrive(const job_ptr& one, double now)
+    void arrive(const request_ptr& one, double now)
     {
         auto& here = entries[one->entry];
         if (!here.decisions)
@@ -326,41 +333,42 @@
         std::optional<cj::milliseconds> left;
         if (played.deadlines)
             left = cj::milliseconds(static_cast<std::int64_t>(
-                one->deadline_ms - (now - one->first_ms)));
-        one->standing = here.decisions->arrived(
+                one->deadline_ms - (now - one->first_arrival_ms)));
+        one->arrival = here.decisions->record_arrival(
             route, profile, one->fingerprint, left, at(now));
         count_recognition(*one);
         place(one, now);
     }
 
-    void count_recognition(const job& one)
+    void count_recognition(const simulated_request& one)
     {
-        auto& known = made.known;
-        const bool taken = one.standing.returned();
-        ++(one.returned ? known.returned : known.fresh);
-        if (one.returned && !taken)
-            ++known.returned_missed;
-        if (!one.returned && taken)
-            ++known.fresh_missed;
+        auto& known = made.retry_recognition;
+        const bool taken = one.arrival.is_retry();
+        ++(one.retried ? known.retries : known.new_callers);
+        if (one.retried && !taken)
+            ++known.retries_missed;
+        if (!one.retried && taken)
+            ++known.new_mistaken;
     }
 
-    void place(const job_ptr& one, double now)
+    void place(const request_ptr& one, double now)
     {
         auto& here = entries[one->entry];
         const auto& kind = played.kinds[one->kind];
         cj::placement_request wanted;
         wanted.service = profile.name;
         wanted.model = "m";
-        wanted.least_version = 1;
-        wanted.prompt = one->prompt;
+        wanted.min_version = 1;
+        wanted.prompt_tokens = one->prompt;
         wanted.target = kind.target;
-        wanted.standing = one->standing;
-        wanted.since = at(one->arrived_ms);
-        wanted.ends = at(one->first_ms + one->deadline_ms);
+        wanted.arrival = one->arrival;
+        wanted.waiting_since = at(one->arrived_ms);
+        wanted.deadline = at(one->first_arrival_ms + one->deadline_ms);
         const auto what = here.decisions->decide(profile, wanted, at(now));
         const cj::waiting_request spot{
-            one->standing.late,
-            at(one->first_ms + static_cast<double>(kind.target.count())),
+            one->arrival.late,
+            at(one->first_arrival_ms +
+               static_cast<double>(kind.target.count())),
             one->number};
         if (std::holds_alternative<cj::wait_for_slot>(what))
         {
@@ -375,52 +383,56 @@
         refuse(one, std::get<cj::refuse_request>(what), now);
     }
 
-    void send(const job_ptr& one, const cj::send_to& to, double now)
+    void send(const request_ptr& one, const cj::send_to& to, double now)
     {
-        entries[one->entry].book.begin(to.at.upstream, one->number, one->prompt,
-                                       at(now));
-        one->engine = std::stoul(to.at.upstream.value().substr(7));
-        one->rank = to.rank.value();
-        one->unread = one->prompt;
-        one->left = one->tokens;
-        one->began = false;
-        predicted[one->number] = {to.at.uncorrected_ms, now};
+        entries[one->entry].book.begin_attempt(to.choice.upstream, one->number,
+                                               one->prompt, at(now));
+        one->engine = std::stoul(to.choice.upstream.value().substr(7));
+        one->urgency = to.rank.value();
+        one->unread_tokens = one->prompt;
+        one->unwritten_tokens = one->answer_tokens;
+        one->first_event_sent = false;
+        predicted[one->number] = {to.choice.uncorrected_ms, now};
         after(now + travel_ms,
-              [this, one](double) { engines[one->engine].take(one); });
+              [this, one](double) { engines[one->engine].enqueue(one); });
     }
 
-    void refuse(const job_ptr& one, const cj::refuse_request& how, double now)
+    void refuse(const request_ptr& one, const cj::refuse_request& how,
+                double now)
     {
-        if (one->returned)
+        if (one->retried)
             return note(*one, [](tally& to) { ++to.refused; });
-        one->returned = true;
-        send_away(*one, how.come_back, now);
-        std::bernoulli_distribution hurried(played.impatient);
-        const auto wait =
-            hurried(random) ? 20.0 : static_cast<double>(how.come_back.count());
+        one->retried = true;
+        send_away(*one, how.retry_after, now);
+        std::bernoulli_distribution hurried(played.impatient_fraction);
+        const auto wait = hurried(random)
+                              ? 20.0
+                              : static_cast<double>(how.retry_after.count());
         one->entry = next_entry(one->entry);
         after(now + wait + 2 * travel_ms,
               [this, one](double then) { arrive(one, then); });
     }
 
-    void send_away(const job& one, cj::milliseconds come_back, double now)
+    void send_away(const simulated_request& one, cj::milliseconds come_back,
+                   double now)
     {
         cj::refusal_record sent;
-        sent.what = one.fingerprint;
-        sent.first = at(one.arrived_ms) - one.standing.past.waited;
+        sent.fingerprint = one.fingerprint;
+        sent.first_arrival = at(one.arrived_ms) - one.arrival.history.waited;
         if (played.deadlines)
-            sent.ends = at(one.first_ms + one.deadline_ms);
-        sent.refused = at(now);
-        sent.due = at(now) + come_back;
-        entries[one.entry].decisions->sent_away(sent, at(now));
+            sent.deadline = at(one.first_arrival_ms + one.deadline_ms);
+        sent.refused_at = at(now);
+        sent.retry_at = at(now) + come_back;
+        entries[one.entry].decisions->record_refusal(sent, at(now));
     }
 
     /*! @brief Returns where a caller that was refused comes back. */
     std::size_t next_entry(std::size_t from)
     {
-        if (!played.elsewhere)
+        if (!played.retries_elsewhere)
             return from;
-        const bool moves = std::bernoulli_distribution(played.moved)(random);
+        const bool moves =
+            std::bernoulli_distribution(played.moved_fraction)(random);
         std::vector<std::size_t> others;
         for (std::size_t to = 0; to < entries.size(); ++to)
             if (to != from && (hall_of(to) == hall_of(from)) != moves)
@@ -430,22 +442,23 @@
         return others[random() % others.size()];
     }
 
-    void first(const job_ptr& one, double now)
+    void first(const request_ptr& one, double now)
     {
         auto& book = entries[one->entry].book;
-        book.began(id_of(one->engine), one->number);
+        book.mark_first_event(id_of(one->engine), one->number);
         const auto [expected, sent] = predicted[one->number];
-        book.seen(id_of(one->engine), expected, now - sent);
-        const auto took = now - one->first_ms + travel_ms;
+        book.record_first_event_time(id_of(one->engine), expected, now - sent);
+        const auto took = now - one->first_arrival_ms + travel_ms;
         const bool timely =
             took <= static_cast<double>(played.kinds[one->kind].target.count());
         note(*one, [timely](tally& to) { ++(timely ? to.in_time : to.late); });
     }
 
-    void done(const job_ptr& one, double now)
+    void done(const request_ptr& one, double now)
     {
-        entries[one->entry].book.end(id_of(one->engine), one->number,
-                                     cj::attempt_result::good, at(now));
+        entries[one->entry].book.end_attempt(id_of(one->engine), one->number,
+                                             cj::attempt_result::succeeded,
+                                             at(now));
         predicted.erase(one->number);
     }
 
@@ -458,12 +471,12 @@
             call(now);
         }
         for (auto& one : engines)
-            one.play(now);
+            one.advance(now);
         // Instances started at different moments.
         for (std::size_t at = 0; at < engines.size(); ++at)
             if (falls(now, near_report_ms, at, 7))
                 report(at, now, falls(now, far_report_ms, at, 7));
-        if (played.told && falls(now, telling_ms, 1, 3))
+        if (played.shares_rates && falls(now, telling_ms, 1, 3))
             tell_entries(now);
         for (std::size_t at = 0; at < entries.size(); ++at)
             if (falls(now, news_ms, at, 9))
@@ -494,7 +507,7 @@
         told.reachable = true;
         for (std::size_t to = 0; to < entries.size(); ++to)
             if (far || hall_of(to) == hall_of(number))
-                entries[to].book.status(host_of(number), told, at(now));
+                entries[to].book.apply_status(host_of(number), told, at(now));
     }
 
     [[nodiscard]] static std::string name_of(std::size_t entry)
@@ -514,17 +527,17 @@
                 open_entry(from);
             rates.push_back(entries[from].decisions->rates(at(now)));
             demands.push_back({cj::hall_id(hall_of(from)), name_of(from),
-                               rates.back().demanded});
-            sum.asked += rates.back().asked;
+                               rates.back().demand});
+            sum.arrived += rates.back().arrived;
             sum.refused += rates.back().refused;
         }
         for (std::size_t to = 0; to < entries.size(); ++to)
         {
-            entries[to].decisions->elsewhere({sum.asked - rates[to].asked,
-                                              sum.refused - rates[to].refused,
-                                              0},
-                                             at(now));
-            entries[to].book.divide(
+            entries[to].decisions->set_other_entries_rates(
+                {sum.arrived - rates[to].arrived,
+                 sum.refused - rates[to].refused, 0},
+                at(now));
+            entries[to].book.assign_engine_shares(
                 cj::demand_interval_of(name_of(to), demands),
                 [](const cj::known_upstream&) { return true; });
         }
@@ -537,20 +550,20 @@
             return;
         entries[from].decisions->expire(at(now));
         for (const auto& one :
-             entries[from].decisions->news_of_refusals(most_news))
+             entries[from].decisions->take_unsent_refusals(most_news))
             for (std::size_t to = 0; to < entries.size(); ++to)
                 if (to != from && hall_of(to) == hall_of(from) &&
                     entries[to].decisions)
-                    entries[to].decisions->sent_away_elsewhere(one, at(now));
+                    entries[to].decisions->record_remote_refusal(one, at(now));
     }
 
     void tick(entry& one, double now)
     {
-        for (const auto number : one.line.numbers())
+        for (const auto number : one.line.request_numbers())
         {
             const auto found = one.waiting.find(number);
             if (found != one.waiting.end())
-                place(job_ptr(found->second), now);
+                place(request_ptr(found->second), now);
         }
     }
 
@@ -559,10 +572,10 @@
         events.emplace(when, ++last_event, std::move(call));
     }
 
-    pattern played;
+    load_pattern played;
     std::mt19937_64 random;
     cj::service_profile profile;
-    std::vector<engine> engines;
+    std::vector<simulated_engine> engines;
     std::vector<entry> entries;
     std::priority_queue<event, std::vector<event>, later> events;
     std::map<std::uint64_t, std::pair<double, double>> predicted;
--- a/tests/route/placement.cpp
+++ b/tests/route/placement.cpp
@@ -50,8 +50,8 @@
     cj::placement_request one;
     one.service = cj::service_name("llm");
     one.model = "m";
-    one.least_version = 1;
-    one.prompt = 1000;
+    one.min_version = 1;
+    one.prompt_tokens = 1000;
     one.target = 400ms;
     one.limits.first_event_ms = 460;
     return one;
@@ -66,10 +66,10 @@
     const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
     cj::placement_failure why;
-    book.record(record("near", "north", "10.0.0.1:80"));
-    book.record(record("far", "south", "10.0.0.2:80"));
-    book.status("10.0.0.1", status(1), now);
-    book.status("10.0.0.2", status(1), now);
+    book.apply_record(record("near", "north", "10.0.0.1:80"));
+    book.apply_record(record("far", "south", "10.0.0.2:80"));
+    book.apply_status("10.0.0.1", status(1), now);
+    book.apply_status("10.0.0.2", status(1), now);
 
     THEN("the own hall is preferred")
     {
@@ -82,13 +82,13 @@
     {
         auto told = status(2);
         told.running = 12;
-        book.status("10.0.0.1", told, now);
+        book.apply_status("10.0.0.1", told, now);
         const auto at = places.choose(book, service, wanted(), now, why);
         REQUIRE(at);
         CHECK(at->upstream.value() == "far");
         AND_GIVEN("the far one too")
         {
-            book.status("10.0.0.2", told, now);
+            book.apply_status("10.0.0.2", told, now);
             THEN("nothing is placed, and it is told when a place is expected")
             {
                 CHECK_FALSE(places.choose(book, service, wanted(), now, why));
@@ -98,7 +98,7 @@
             THEN("a stream that must go on is placed all the same")
             {
                 auto must = wanted();
-                must.must = true;
+                must.bypasses_limits = true;
                 CHECK(places.choose(book, service, must, now, why));
             }
         }
@@ -107,34 +107,34 @@
     {
         auto told = status(2);
         told.open = false;
-        book.status("10.0.0.1", told, now);
+        book.apply_status("10.0.0.1", told, now);
         CHECK(places.choose(book, service, wanted(), now, why)
                   ->upstream.value() == "far");
     }
     GIVEN("older weights may no longer be used")
     {
         auto newer = wanted();
-        newer.least_version = 2;
+        newer.min_version = 2;
         CHECK_FALSE(places.choose(book, service, newer, now, why));
         CHECK(why.usable == 0);
         auto told = status(2);
         told.version = 2;
-        book.status("10.0.0.2", told, now);
+        book.apply_status("10.0.0.2", told, now);
         CHECK(places.choose(book, service, newer, now, why)->version == 2);
     }
     GIVEN("the near one is leaving")
     {
         auto leaving = record("near", "north", "10.0.0.1:80");
         leaving.leaving = true;
-        book.record(leaving);
+        book.apply_record(leaving);
         CHECK(places.choose(book, service, wanted(), now, why)
                   ->upstream.value() == "far");
     }
     GIVEN("the near one answered with a failure of its own")
     {
-        book.begin(cj::instance_id("near"), 1, 1000, now);
-        book.end(cj::instance_id("near"), 1,
-                 cj::attempt_result::answered_failure, now);
+        book.begin_attempt(cj::instance_id("near"), 1, 1000, now);
+        book.end_attempt(cj::instance_id("near"), 1,
+                         cj::attempt_result::answered_failure, now);
         THEN("it lives, and is used less")
         {
             CHECK(book.find(cj::instance_id("near"))->avoid_until <= now);
@@ -148,14 +148,15 @@
             auto again = wanted();
             again.excluded = {cj::instance_id("near")};
             CHECK_FALSE(places.choose(book, service, again, now, why));
-            again.again = true;
+            again.may_retry_excluded = true;
             CHECK(places.choose(book, service, again, now, why));
         }
     }
     GIVEN("an attempt at the near one failed")
     {
-        book.begin(cj::instance_id("near"), 1, 1000, now);
-        book.end(cj::instance_id("near"), 1, cj::attempt_result::failed, now);
+        book.begin_attempt(cj::instance_id("near"), 1, 1000, now);
+        book.end_attempt(cj::instance_id("near"), 1, cj::attempt_result::failed,
+                         now);
         CHECK(places.choose(book, service, wanted(), now, why)
                   ->upstream.value() == "far");
     }
@@ -177,36 +178,36 @@
     const auto service = llm();
     const cj::instance_id near("near");
     cj::placement_failure why;
-    book.record(record("near", "north", "10.0.0.1:80"));
-    book.status("10.0.0.1", status(1), now);
+    book.apply_record(record("near", "north", "10.0.0.1:80"));
+    book.apply_status("10.0.0.1", status(1), now);
 
     cj::received_notice told;
     const int kind = GENERATE(0, 1, 2);
     if (kind == 0)
         told.notice.leaving = true;
     else if (kind == 1)
-        told.notice.rest = 3s;
+        told.notice.retry_after = 3s;
     else
         told.notice.requests_per_second = 1;
-    book.heard(near, told, now);
+    book.apply_notice(near, told, now);
     // What its side goes on to tell changes nothing.
-    book.status("10.0.0.1", status(2), now + 10ms);
+    book.apply_status("10.0.0.1", status(2), now + 10ms);
     const auto later = now + 100ms;
 
     auto asked = wanted();
     SECTION("a first attempt") {}
     SECTION("a stream that goes on")
     {
-        asked.must = true;
+        asked.bypasses_limits = true;
     }
     SECTION("a second one after its own failure")
     {
-        asked.again = true;
+        asked.may_retry_excluded = true;
         asked.excluded = {near};
     }
     SECTION("where requests are kept apart")
     {
-        asked.apart = {near};
+        asked.avoided = {near};
     }
     CHECK_FALSE(places.choose(book, service, asked, later, why));
 }
@@ -221,37 +222,37 @@
     cj::received_notice rests;
     for (const std::string id : {"1", "2"})
     {
-        book.record(record(id, "north", "10.0.0." + id + ":80"));
-        book.status("10.0.0." + id, status(1), now);
-        rests.notice.rest = 1000ms * std::stoi(id);
-        book.heard(cj::instance_id(id), rests, now);
+        book.apply_record(record(id, "north", "10.0.0." + id + ":80"));
+        book.apply_status("10.0.0." + id, status(1), now);
+        rests.notice.retry_after = 1000ms * std::stoi(id);
+        book.apply_notice(cj::instance_id(id), rests, now);
     }
     CHECK_FALSE(places.choose(book, service, wanted(), now, why));
-    CHECK(why.opens == now + 1s);
+    CHECK(why.next_send_at == now + 1s);
 
     SECTION("the one that it was tried at does not count")
     {
         auto asked = wanted();
         asked.excluded = {cj::instance_id("1")};
         CHECK_FALSE(places.choose(book, service, asked, now, why));
-        CHECK(why.opens == now + 2s);
+        CHECK(why.next_send_at == now + 2s);
     }
     SECTION("one that loads weights may open at any time")
     {
-        book.record(record("3", "north", "10.0.0.3:80"));
+        book.apply_record(record("3", "north", "10.0.0.3:80"));
         auto loads = status(1);
         loads.open = false;
-        book.status("10.0.0.3", loads, now);
+        book.apply_status("10.0.0.3", loads, now);
         CHECK_FALSE(places.choose(book, service, wanted(), now, why));
-        CHECK_FALSE(why.opens);
+        CHECK_FALSE(why.next_send_at);
     }
     SECTION("one that leaves won't")
     {
         auto leaves = record("3", "north", "10.0.0.3:80");
         leaves.leaving = true;
-        book.record(leaves);
+        book.apply_record(leaves);
         CHECK_FALSE(places.choose(book, service, wanted(), now, why));
-        CHECK(why.opens == now + 1s);
+        CHECK(why.next_send_at == now + 1s);
     }
 }
 
@@ -260,7 +261,7 @@
     cj::upstream_registry book;
     const cj::time_point now{100s};
     const cj::instance_id id("near");
-    book.record(record("near", "north", "10.0.0.1:80"));
+    book.apply_record(record("near", "north", "10.0.0.1:80"));
 
     WHEN("one goes in an outage")
     {
@@ -274,7 +275,7 @@
         }
         THEN("it stays when it comes back")
         {
-            book.record(record("near", "north", "10.0.0.1:80"));
+            book.apply_record(record("near", "north", "10.0.0.1:80"));
             book.expire(now + 10s);
             CHECK(book.find(id) != nullptr);
         }
@@ -295,9 +296,9 @@
     const cj::time_point now{100s};
     const cj::instance_id id("near");
     const auto service = llm();
-    book.record(record("near", "north", "10.0.0.1:80"));
-    book.status("10.0.0.1", status(1), now);
-    book.begin(id, 1, 1000, now + 20ms);
+    book.apply_record(record("near", "north", "10.0.0.1:80"));
+    book.apply_status("10.0.0.1", status(1), now);
+    book.begin_attempt(id, 1, 1000, now + 20ms);
     const auto load = [&]
     { return book.load(*book.find(id), *service.engine, now + 20ms); };
 
@@ -308,11 +309,12 @@
     }
     GIVEN("five entries that see the same empty upstream")
     {
-        book.entries(5);
+        book.set_entry_count(5);
         THEN("two of the others are taken to send as often as this one")
         {
-            const auto own = 1 / cj::to_seconds(cj::smoothed_rate::span);
-            CHECK(book.others_rate(now + 20ms) == Approx(2 * own));
+            const auto own =
+                1 / cj::to_seconds(cj::smoothed_rate::default_window);
+            CHECK(book.other_entries_rate(now + 20ms) == Approx(2 * own));
         }
         CHECK(load().running == Approx(3));
         CHECK(load().unread_tokens == Approx(3000));
@@ -328,7 +330,7 @@
         }
         THEN("nothing was sent yet, but others are expected to have")
         {
-            book.end(id, 1, cj::attempt_result::good, now + 20ms);
+            book.end_attempt(id, 1, cj::attempt_result::succeeded, now + 20ms);
             CHECK(book.load(*book.find(id), *service.engine, now + 50ms, 40.0)
                       .running == Approx(2));
         }
@@ -336,7 +338,7 @@
         {
             auto told = status(2);
             told.running = 1;
-            book.status("10.0.0.1", told, now + 50ms);
+            book.apply_status("10.0.0.1", told, now + 50ms);
             THEN("it is counted once")
             {
                 CHECK(load().running == Approx(1));
@@ -361,15 +363,15 @@
     {
         for (auto& book : books)
         {
-            book.entries(entry_count);
+            book.set_entry_count(entry_count);
             for (std::size_t at = 0; at < upstream_count; ++at)
             {
                 const auto host = "10.1.0." + std::to_string(at + 1);
                 auto told = status(sequence);
                 told.running = at == 0 ? 0 : 2;
-                book.record(
+                book.apply_record(
                     record("up" + std::to_string(at), "north", host + ":80"));
-                book.status(host, told, now);
+                book.apply_status(host, told, now);
             }
         }
     };
@@ -384,8 +386,9 @@
         if (!at)
             return;
         chosen += at->upstream.value() == "up0" ? 1 : 0;
-        book.begin(at->upstream, ++number, 1000, now);
-        book.end(at->upstream, number, cj::attempt_result::good, now);
+        book.begin_attempt(at->upstream, ++number, 1000, now);
+        book.end_attempt(at->upstream, number, cj::attempt_result::succeeded,
+                         now);
     };
 
     // Each entry sends 30 requests a second, one after another; statuses come
@@ -416,10 +419,10 @@
     cj::upstream_registry book;
     const cj::time_point now{100s};
     const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
-    book.record(record("near", "north", "10.0.0.1:80"));
-    book.record(record("far", "south", "10.0.0.2:80"));
-    book.status("10.0.0.1", status(1), now);
-    book.status("10.0.0.2", status(1), now);
+    book.apply_record(record("near", "north", "10.0.0.1:80"));
+    book.apply_record(record("far", "south", "10.0.0.2:80"));
+    book.apply_status("10.0.0.1", status(1), now);
+    book.apply_status("10.0.0.2", status(1), now);
     cj::placement_failure why;
     const auto before =
         places.choose(book, llm(), wanted(), now, why)->predicted_ms;
@@ -427,7 +430,7 @@
     WHEN("they come three times later than predicted at one upstream")
     {
         for (int at = 0; at < 200; ++at)
-            book.seen(cj::instance_id("far"), 100, 300);
+            book.record_first_event_time(cj::instance_id("far"), 100, 300);
         THEN("all predictions rise: others send what this entry does not see")
         {
             const auto after =
@@ -438,7 +441,7 @@
     WHEN("they come sooner")
     {
         for (int at = 0; at < 200; ++at)
-            book.seen(cj::instance_id("far"), 100, 60);
+            book.record_first_event_time(cj::instance_id("far"), 100, 60);
         THEN("a prediction is not trusted to be too high")
         {
             CHECK(
@@ -455,11 +458,11 @@
     const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
     cj::placement_failure why;
-    book.record(record("still", "north", "10.0.0.1:80"));
-    book.record(record("far", "south", "10.0.0.2:80"));
-    book.status("10.0.0.1", status(1), now);
+    book.apply_record(record("still", "north", "10.0.0.1:80"));
+    book.apply_record(record("far", "south", "10.0.0.2:80"));
+    book.apply_status("10.0.0.1", status(1), now);
     now += 2s;
-    book.status("10.0.0.2", status(1), now);
+    book.apply_status("10.0.0.2", status(1), now);
 
     THEN("one of another hall is preferred")
     {
@@ -470,8 +473,8 @@
     WHEN("an attempt fails there")
     {
         const cj::instance_id still("still");
-        book.begin(still, 1, 1000, now);
-        book.end(still, 1, cj::attempt_result::failed, now);
+        book.begin_attempt(still, 1, 1000, now);
+        book.end_attempt(still, 1, cj::attempt_result::failed, now);
         THEN("it is left alone for long")
         {
             CHECK(book.find(still)->avoid_until >= now + 5s);
@@ -479,7 +482,7 @@
         THEN("but only until its side is heard again")
         {
             now += 1s;
-            book.status("10.0.0.1", status(2), now);
+            book.apply_status("10.0.0.1", status(2), now);
             CHECK(book.find(still)->avoid_until <= now + 1s);
         }
     }
--- a/tests/route/placement_queue.cpp
+++ b/tests/route/placement_queue.cpp
@@ -20,12 +20,12 @@
 
     THEN("the least time left goes first, and lost targets go last")
     {
-        CHECK(line.numbers() == std::vector<std::uint64_t>{3, 2, 1});
+        CHECK(line.request_numbers() == std::vector<std::uint64_t>{3, 2, 1});
     }
     THEN("who has a place leaves the line")
     {
         line.erase(tight);
-        CHECK(line.numbers() == std::vector<std::uint64_t>{2, 1});
+        CHECK(line.request_numbers() == std::vector<std::uint64_t>{2, 1});
         CHECK(line.size() == 2);
     }
 }
--- a/tests/route/request_limit.cpp
+++ b/tests/route/request_limit.cpp
@@ -39,10 +39,10 @@
     {
         const auto one = share(per_second, at, count);
         sum += one.per_second;
-        if (one.holds())
+        if (one.holds_share())
             CHECK(at % 2 == 0);
         else
-            stand_ins.push_back(one.stand_in);
+            stand_ins.push_back(one.standby_rank);
     }
 
     THEN("all of it is held, in the upstream's own hall")
@@ -60,8 +60,8 @@
         const auto none =
             cj::share_of_limit(cj::instance_id("u"), cj::hall_id("a"),
                                per_second, "", entries_of(count));
-        CHECK_FALSE(none.holds());
-        CHECK(none.stand_in == cj::limit_share::never);
+        CHECK_FALSE(none.holds_share());
+        CHECK(none.standby_rank == cj::limit_share::not_standby);
     }
 }
 
@@ -71,50 +71,50 @@
 
     GIVEN("no share yet: nothing")
     {
-        CHECK(limit.opens() == cj::time_point::max());
+        CHECK(limit.next_send_at() == cj::time_point::max());
     }
     GIVEN("a share")
     {
-        limit.share({2, 0}, moment(0));
+        limit.set_share({2, 0}, moment(0));
         SECTION("the first request waits: another entry may just have sent")
         {
-            CHECK(limit.opens() == moment(0.5));
+            CHECK(limit.next_send_at() == moment(0.5));
         }
         SECTION("then one after the other, with one saved up at most")
         {
-            limit.sent(moment(10));
-            CHECK(limit.opens() <= moment(10));
-            limit.sent(moment(10));
-            CHECK(limit.opens() == moment(10.5));
+            limit.record_send(moment(10));
+            CHECK(limit.next_send_at() <= moment(10));
+            limit.record_send(moment(10));
+            CHECK(limit.next_send_at() == moment(10.5));
         }
         SECTION("a share that is told again changes nothing")
         {
-            limit.sent(moment(10));
-            limit.sent(moment(10));
-            limit.share({2, 0}, moment(10.1));
-            CHECK(limit.opens() == moment(10.5));
+            limit.record_send(moment(10));
+            limit.record_send(moment(10));
+            limit.set_share({2, 0}, moment(10.1));
+            CHECK(limit.next_send_at() == moment(10.5));
         }
     }
     GIVEN("no share, but a place among those that stand in")
     {
-        limit.share({0, 2}, moment(0));
-        CHECK(limit.opens() == moment(6));
+        limit.set_share({0, 2}, moment(0));
+        CHECK(limit.next_send_at() == moment(6));
         SECTION("a holder was answered meanwhile")
         {
-            limit.name(2, moment(5));
-            CHECK(limit.opens() == moment(11));
+            limit.update(2, moment(5));
+            CHECK(limit.next_send_at() == moment(11));
         }
         SECTION("after its own request it waits again")
         {
-            limit.sent(moment(6));
-            CHECK(limit.opens() == moment(12));
+            limit.record_send(moment(6));
+            CHECK(limit.next_send_at() == moment(12));
         }
     }
     GIVEN("a limit of none at all: its end is looked for all the same")
     {
         cj::request_limit none(0, moment(0), moment(0));
-        none.share({0, 1}, moment(0));
-        CHECK(none.opens() == moment(30));
+        none.set_share({0, 1}, moment(0));
+        CHECK(none.next_send_at() == moment(30));
     }
 }
 
--- a/tests/route/smoothed_rate.cpp
+++ b/tests/route/smoothed_rate.cpp
@@ -13,7 +13,7 @@
     GIVEN("a send each 25 ms")
     {
         for (int at = 0; at < 200; ++at)
-            rate.sent(now += 25ms);
+            rate.record(now += 25ms);
         THEN("it is 40 a second")
         {
             CHECK(rate.per_second(now) == Approx(40).epsilon(0.05));
--- a/tests/route/upstream_registry.cpp
+++ b/tests/route/upstream_registry.cpp
@@ -44,17 +44,18 @@
 {
     const cj::time_point start{100s};
     cj::upstream_registry book;
-    book.record(record(1000));
-    book.status(host, status(1000, 1), start);
-    book.begin(id, 1, 500, start + 10ms);
-    book.status(host, status(1000, 2), start + 500ms);
-    book.begin(id, 2, 500, start + 550ms);
+    book.apply_record(record(1000));
+    book.apply_status(host, status(1000, 1), start);
+    book.begin_attempt(id, 1, 500, start + 10ms);
+    book.apply_status(host, status(1000, 2), start + 500ms);
+    book.begin_attempt(id, 2, 500, start + 550ms);
     const auto& known = *book.find(id);
     const auto ended_attempts = std::vector<std::uint64_t>{1};
 
     GIVEN("its side tells first")
     {
-        const auto ended = book.status(host, status(2000, 3, 0), start + 600ms);
+        const auto ended =
+            book.apply_status(host, status(2000, 3, 0), start + 600ms);
         THEN("what went to the earlier life is lost, what may have met the new "
              "one is not")
         {
@@ -66,42 +67,43 @@
         THEN("the weights of the earlier life are gone, whatever its record "
              "tells once the side is silent")
         {
-            CHECK(cj::upstream_registry::version(known, "m", start + 700ms) ==
-                  0);
-            CHECK(cj::upstream_registry::version(known, "m", start + 9s) == 0);
+            CHECK(cj::upstream_registry::served_version(known, "m",
+                                                        start + 700ms) == 0);
+            CHECK(cj::upstream_registry::served_version(known, "m",
+                                                        start + 9s) == 0);
         }
         THEN("late news of the earlier life change nothing")
         {
-            book.status(host, status(1000, 9), start + 650ms);
-            book.record(record(1000, true));
+            book.apply_status(host, status(1000, 9), start + 650ms);
+            book.apply_record(record(1000, true));
             CHECK_FALSE(known.record.leaving);
             CHECK(known.status->life == 2000);
             CHECK(known.status->version == 0);
         }
         THEN("its record, when it comes, ends nothing again")
         {
-            CHECK_FALSE(book.record(record(2000)));
+            CHECK_FALSE(book.apply_record(record(2000)));
             CHECK(known.attempts.size() == 1);
         }
     }
     GIVEN("its record tells first")
     {
-        const auto ended = book.record(record(2000));
+        const auto ended = book.apply_record(record(2000));
         REQUIRE(ended);
         CHECK(ended->attempts == ended_attempts);
         THEN("the status of the earlier life is forgotten, and does not return")
         {
             CHECK_FALSE(known.status);
-            book.status(host, status(1000, 7), start + 700ms);
+            book.apply_status(host, status(1000, 7), start + 700ms);
             CHECK_FALSE(known.status);
         }
     }
     GIVEN("it was leaving, and avoided for its failures")
     {
-        book.record(record(1000, true));
-        book.end(id, 2, cj::attempt_result::failed, start + 560ms);
+        book.apply_record(record(1000, true));
+        book.end_attempt(id, 2, cj::attempt_result::failed, start + 560ms);
         REQUIRE(known.avoid_until > start + 560ms);
-        book.record(record(2000));
+        book.apply_record(record(2000));
         THEN("the new life is neither")
         {
             CHECK_FALSE(known.record.leaving);
@@ -111,7 +113,7 @@
         THEN("an attempt of the earlier one that fails now is not held "
              "against it")
         {
-            book.end(id, 1, cj::attempt_result::failed, start + 700ms);
+            book.end_attempt(id, 1, cj::attempt_result::failed, start + 700ms);
             CHECK(known.fault_share == 0);
             CHECK(known.avoid_until <= start + 560ms);
         }
@@ -119,13 +121,13 @@
     GIVEN("lives are not told")
     {
         cj::upstream_registry silent;
-        silent.record(record(0));
-        silent.status(host, status(0, 1), start);
-        silent.begin(id, 1, 500, start);
+        silent.apply_record(record(0));
+        silent.apply_status(host, status(0, 1), start);
+        silent.begin_attempt(id, 1, 500, start);
         THEN("nothing is taken for a restart")
         {
-            CHECK_FALSE(silent.record(record(0)));
-            CHECK(silent.status(host, status(0, 2), start + 1s).empty());
+            CHECK_FALSE(silent.apply_record(record(0)));
+            CHECK(silent.apply_status(host, status(0, 2), start + 1s).empty());
             CHECK(silent.find(id)->attempts.size() == 1);
         }
     }
@@ -135,19 +137,19 @@
 {
     const cj::time_point start{100s};
     cj::upstream_registry book;
-    book.record(record(0));
-    book.status(host, status(0, 4, 0), start);
+    book.apply_record(record(0));
+    book.apply_status(host, status(0, 4, 0), start);
 
     THEN("one that was passed on late does not open what has closed")
     {
-        book.status(host, status(0, 3, 1), start + 100ms);
+        book.apply_status(host, status(0, 3, 1), start + 100ms);
         CHECK_FALSE(book.find(id)->status->open);
     }
     THEN("a side that has started anew counts from the start")
     {
         auto told = status(0, 1, 1);
         told.side = 6;
-        book.status(host, told, start + 100ms);
+        book.apply_status(host, told, start + 100ms);
         CHECK(book.find(id)->status->open);
     }
 }
--- a/tests/route/upstream_table.cpp
+++ b/tests/route/upstream_table.cpp
@@ -24,7 +24,7 @@
         one.kind = "model";
         one.slots = 10;
         one.open = true;
-        one.heard = now;
+        one.reported_at = now;
     }
     return table;
 }
@@ -51,31 +51,31 @@
 
     GIVEN("one that is fuller")
     {
-        table[a].reported = 6;
+        table[a].reported_requests = 6;
         CHECK(choose() == b);
     }
     GIVEN("reports that lag behind what was sent from here")
     {
-        table[a].own = 5;
+        table[a].own_requests = 5;
         CHECK(choose() == b);
     }
     GIVEN("one in another region")
     {
         table[a].region = cj::region_id("west");
-        table[b].reported = 2;
+        table[b].reported_requests = 2;
         CHECK(choose() == b);
-        table[b].reported = 8;
+        table[b].reported_requests = 8;
         CHECK(choose() == a);
     }
     GIVEN("one that has the prompt's prefix cached")
     {
         request.prefixes = {2, 1};
         table[a].cached = {1, 2};
-        table[a].reported = 2;
+        table[a].reported_requests = 2;
         CHECK(choose() == a);
         THEN("it is left when it is much fuller")
         {
-            table[a].reported = 9;
+            table[a].reported_requests = 9;
             CHECK(choose() == b);
         }
     }
@@ -91,15 +91,15 @@
         }
         SECTION("full")
         {
-            table[a].reported = 10;
+            table[a].reported_requests = 10;
         }
         SECTION("not heard of")
         {
-            table[a].heard = now - 6s;
+            table[a].reported_at = now - 6s;
         }
         SECTION("failed just now")
         {
-            table.failed(a, now);
+            table.record_failure(a, now);
         }
         SECTION("other model")
         {
@@ -119,10 +119,10 @@
     GIVEN("a failure in a row of failures")
     {
         for (int at = 0; at < 3; ++at)
-            table.failed(a, now);
+            table.record_failure(a, now);
         CHECK(table.find(a)->avoid_until == now + 1s);
-        table.succeeded(a, 10ms);
-        table.failed(a, now);
+        table.record_success(a, 10ms);
+        table.record_failure(a, now);
         CHECK(table.find(a)->avoid_until == now + 250ms);
     }
 }
@@ -141,8 +141,8 @@
     SECTION("least loaded")
     {
         cj::least_loaded_policy policy;
-        table[cj::instance_id("s0")].reported = 3;
-        table[cj::instance_id("s1")].reported = 3;
+        table[cj::instance_id("s0")].reported_requests = 3;
+        table[cj::instance_id("s1")].reported_requests = 3;
         CHECK(table.choose(policy, request, north, east, now) ==
               cj::instance_id("s2"));
     }
--- a/tests/route/version_floor.cpp
+++ b/tests/route/version_floor.cpp
@@ -9,65 +9,65 @@
 {
     cj::version_floor floor;
     const cj::time_point start{100s};
-    floor.name("m", 2, start, 8000ms);
-    floor.name("m", 3, start + 4s, 8000ms);
+    floor.add_published("m", 2, start, 8000ms);
+    floor.add_published("m", 3, start + 4s, 8000ms);
 
-    CHECK(floor.least("m", start + 7s) == 1);
-    CHECK(floor.least("m", start + 8s) == 2);
-    CHECK(floor.least("m", start + 12s) == 3);
-    CHECK(floor.ends("m", 1) == start + 8s);
-    CHECK(floor.ends("m", 2) == start + 12s);
-    CHECK_FALSE(floor.ends("m", 3));
+    CHECK(floor.minimum("m", start + 7s) == 1);
+    CHECK(floor.minimum("m", start + 8s) == 2);
+    CHECK(floor.minimum("m", start + 12s) == 3);
+    CHECK(floor.superseded_at("m", 1) == start + 8s);
+    CHECK(floor.superseded_at("m", 2) == start + 12s);
+    CHECK_FALSE(floor.superseded_at("m", 3));
     CHECK(floor.newest("m") == 3);
-    CHECK(floor.least("other", start) == 1);
+    CHECK(floor.minimum("other", start) == 1);
 
     WHEN("an entry starts when the third version has been named")
     {
         cj::version_floor started;
-        started.found("m", 3, start + 4s, 8000ms);
+        started.add_found_at_startup("m", 3, start + 4s, 8000ms);
         THEN("the first may be bound already, the second is as old as told")
         {
-            CHECK(started.least("m", start + 5s) == 2);
-            CHECK(started.least("m", start + 12s) == 3);
+            CHECK(started.minimum("m", start + 5s) == 2);
+            CHECK(started.minimum("m", start + 12s) == 3);
         }
         THEN("what is found again changes nothing")
         {
-            started.found("m", 4, start + 6s, 8000ms);
-            CHECK(started.least("m", start + 7s) == 2);
+            started.add_found_at_startup("m", 4, start + 6s, 8000ms);
+            CHECK(started.minimum("m", start + 7s) == 2);
         }
     }
     WHEN("an entry starts when only the second has been named")
     {
         cj::version_floor started;
-        started.found("m", 2, start, 8000ms);
+        started.add_found_at_startup("m", 2, start, 8000ms);
         THEN("the first still begins requests")
         {
-            CHECK(started.least("m", start + 5s) == 1);
+            CHECK(started.minimum("m", start + 5s) == 1);
         }
     }
     WHEN("the third turns out to be named later")
     {
-        floor.named_later("m", 3, start + 6s, 8000ms, start + 5s);
+        floor.postpone("m", 3, start + 6s, 8000ms, start + 5s);
         THEN("it binds later, and the second as before")
         {
-            CHECK(floor.least("m", start + 13s) == 2);
-            CHECK(floor.least("m", start + 14s) == 3);
+            CHECK(floor.minimum("m", start + 13s) == 2);
+            CHECK(floor.minimum("m", start + 14s) == 3);
         }
     }
     WHEN("that is told when it binds already")
     {
-        floor.named_later("m", 3, start + 6s, 8000ms, start + 12s);
+        floor.postpone("m", 3, start + 6s, 8000ms, start + 12s);
         THEN("it goes on to")
         {
-            CHECK(floor.least("m", start + 12s) == 3);
+            CHECK(floor.minimum("m", start + 12s) == 3);
         }
     }
     WHEN("a version is told again later")
     {
-        floor.name("m", 2, start + 5s, 8000ms);
+        floor.add_published("m", 2, start + 5s, 8000ms);
         THEN("its time does not start anew")
         {
-            CHECK(floor.least("m", start + 8s) == 2);
+            CHECK(floor.minimum("m", start + 8s) == 2);
         }
     }
 }
@@ -80,46 +80,46 @@
 {
     cj::version_floor floor;
     const cj::time_point started{100s};
-    floor.found("m", 3, started, 6000ms);
+    floor.add_found_at_startup("m", 3, started, 6000ms);
 
     THEN("until more is known, the version before it may be used")
     {
-        CHECK(floor.found_only("m", 3));
-        CHECK(floor.least("m", started) == 2);
+        CHECK(floor.publish_time_unknown("m", 3));
+        CHECK(floor.minimum("m", started) == 2);
     }
     WHEN("most upstreams serve it")
     {
-        floor.served_by_most("m", 3);
+        floor.mark_widely_served("m", 3);
         THEN("nothing older is used any more")
         {
-            CHECK(floor.least_known("m", started) == 1);
-            CHECK(floor.least("m", started) == 3);
-            CHECK_FALSE(floor.found_only("m", 3));
+            CHECK(floor.known_minimum("m", started) == 1);
+            CHECK(floor.minimum("m", started) == 3);
+            CHECK_FALSE(floor.publish_time_unknown("m", 3));
         }
     }
     THEN("what this process only infers is not told to others")
     {
-        CHECK(floor.least_known("m", started) == 1);
-        CHECK(floor.least_known("m", started + 6s) == 3);
+        CHECK(floor.known_minimum("m", started) == 1);
+        CHECK(floor.known_minimum("m", started + 6s) == 3);
     }
     WHEN("it is known to bind")
     {
-        floor.binds("m", 3);
+        floor.enforce("m", 3);
         THEN("nothing older is used any more")
         {
-            CHECK(floor.least("m", started) == 3);
-            CHECK(floor.least_known("m", started) == 3);
-            CHECK(*floor.ends("m", 2) <= started);
+            CHECK(floor.minimum("m", started) == 3);
+            CHECK(floor.known_minimum("m", started) == 3);
+            CHECK(*floor.superseded_at("m", 2) <= started);
         }
     }
     WHEN("a newer one is named while this process lives")
     {
-        floor.name("m", 4, started + 1s, 6000ms);
-        floor.served_by_most("m", 4);
+        floor.add_published("m", 4, started + 1s, 6000ms);
+        floor.mark_widely_served("m", 4);
         THEN("its time is known, and it binds when that is over")
         {
-            CHECK(floor.least("m", started + 6500ms) == 3);
-            CHECK(floor.least("m", started + 7s) == 4);
+            CHECK(floor.minimum("m", started + 6500ms) == 3);
+            CHECK(floor.minimum("m", started + 7s) == 4);
         }
     }
 }
