--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -10,8 +10,8 @@
 #include "coursejunction/core/request_content.hpp"
 #include "coursejunction/proxy/crash_guard.hpp"
 #include "coursejunction/proxy/exchange.hpp"
-#include "coursejunction/route/refusal_memory.hpp"
-#include "coursejunction/route/waiting_line.hpp"
+#include "coursejunction/route/placement_queue.hpp"
+#include "coursejunction/route/recent_refusals.hpp"
 
 namespace coursejunction::exchange_facts
 {
@@ -58,7 +58,7 @@
 [[nodiscard]] inline waiting_request place_in_line(const exchange& one)
 {
     return {one.standing.late,
-            one.arrived - one.standing.past.waited +
+            one.arrived - one.standing.history.waited +
                 one.route->first_event_target,
             one.number};
 }
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -114,7 +114,7 @@
     }
 
     [[nodiscard]] const fleet_view<Platform>& view() const { return fleet; }
-    [[nodiscard]] const upstream_book& upstreams() const { return book; }
+    [[nodiscard]] const upstream_registry& upstreams() const { return book; }
     [[nodiscard]] crash_guard& crashes() { return exchanges.crashing(); }
     [[nodiscard]] std::size_t open_requests() const { return exchanges.size(); }
     [[nodiscard]] std::size_t queued_requests() const
@@ -314,14 +314,14 @@
     void take_record(const upstream_record& one)
     {
         exchanges.crashing().address_taken(one.id, one.address);
-        if (const auto ended = book.record(one))
+        if (const auto ended = book.apply_record(one))
             exchanges.life_ended(*ended);
     }
 
     void take_status(const std::string& host,
                      const message::upstream_status& told, time_point at)
     {
-        for (const auto& one : book.status(host, told, at))
+        for (const auto& one : book.apply_status(host, told, at))
             exchanges.life_ended(one);
     }
 
@@ -398,9 +398,9 @@
         const auto now = event_loop::now();
         const auto rates = exchanges.rates(now);
         into.versions = versions.told(now);
-        into.load.asked = static_cast<float>(rates.asked);
+        into.load.asked = static_cast<float>(rates.arrived);
         into.load.refused = static_cast<float>(rates.refused);
-        into.load.demanded = static_cast<float>(rates.demanded);
+        into.load.demanded = static_cast<float>(rates.demand);
     }
 
     /*! @brief Takes in what the other entries tell of their callers. */
@@ -408,7 +408,7 @@
     {
         const auto& self = node.settings();
         std::vector<entry_demand> demands{
-            demand_of(self.hall, self.address, exchanges.rates(now).demanded)};
+            demand_of(self.hall, self.address, exchanges.rates(now).demand)};
         request_rates others;
         for (const auto& [address, one] : node.peers().all())
         {
@@ -418,15 +418,16 @@
             const auto& told = one.last_heartbeat.load;
             demands.push_back(demand_of(hall_id(one.last_heartbeat.hall),
                                         address, told.demanded));
-            others.asked += told.asked;
+            others.arrived += told.asked;
             others.refused += told.refused;
         }
         exchanges.elsewhere(others, now);
         // An entry that stops has no share: the others count without it.
-        book.share_limits(leaving ? std::string{} : self.address, demands, now);
-        book.divide(stretch_of(self.address, demands),
-                    [&](const known_upstream& one)
-                    { return exchanges.takes_new(one, now); });
+        book.assign_limit_shares(leaving ? std::string{} : self.address,
+                                 demands, now);
+        book.assign_engine_shares(demand_interval_of(self.address, demands),
+                                  [&](const known_upstream& one)
+                                  { return exchanges.takes_new(one, now); });
     }
 
     [[nodiscard]] static entry_demand
@@ -446,7 +447,7 @@
         const auto entries = node.peers().live_entries(now) + 1;
         exchanges.entries(entries);
         exchanges.outdated(node.mirror_lag(now) >= outdated_time);
-        book.entries(entries);
+        book.set_entry_count(entries);
         share_engines(now);
         versions.tick(!leaving, now);
         if (leaving)
@@ -486,7 +487,7 @@
     node_type& node;
     metrics& counters;
     gateway_options options;
-    upstream_book book;
+    upstream_registry book;
     fleet_view<Platform> fleet;
     exchange_service<codec> exchanges;
     quarantine_writer<typename Platform::store> keeper;
--- a/src/coursejunction/proxy/notice_intake.hpp
+++ b/src/coursejunction/proxy/notice_intake.hpp
@@ -10,7 +10,7 @@
 #include "coursejunction/proxy/exchange.hpp"
 #include "coursejunction/proxy/exchange_log.hpp"
 #include "coursejunction/proxy/terms_messages.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 
 namespace coursejunction
 {
@@ -19,7 +19,7 @@
 class notice_intake
 {
 public:
-    notice_intake(upstream_book& known, metrics& counted)
+    notice_intake(upstream_registry& known, metrics& counted)
         : book(known), counters(counted)
     {
     }
@@ -30,8 +30,9 @@
     void heard(const exchange& one, const upstream_notice& notice,
                time_point now)
     {
-        const heard_notice heard{notice, one.sent, succeeded(one.head.status)};
-        if (book.heard(one.at.upstream, heard, now))
+        const received_notice heard{notice, one.sent,
+                                    succeeded(one.head.status)};
+        if (book.apply_notice(one.at.upstream, heard, now))
             log_terms(one.at.upstream, now);
         if (notice.empty())
             return;
@@ -45,8 +46,8 @@
               time_point now)
     {
         const instance_id id(news.upstream);
-        if (book.told(id, incarnation(news.life), decode_terms(news, now), from,
-                      now))
+        if (book.apply_reported_terms(id, incarnation(news.life),
+                                      decode_terms(news, now), from, now))
             log_terms(id, now);
     }
 
@@ -66,7 +67,7 @@
                 counters.count("upstream_notices_total", 1, {{"kind", kind}});
         };
         add(notice.leaving, "leaving");
-        add(notice.rest.has_value(), "rest");
+        add(notice.retry_after.has_value(), "rest");
         add(notice.requests_per_second.has_value(), "limit");
         add(notice.unreadable, "unreadable");
     }
@@ -77,7 +78,7 @@
             exchange_log::terms_changed(*known, now);
     }
 
-    upstream_book& book;
+    upstream_registry& book;
     metrics& counters;
 };
 
--- a/src/coursejunction/proxy/refusal_messages.hpp
+++ b/src/coursejunction/proxy/refusal_messages.hpp
@@ -10,7 +10,7 @@
 #include <cstdint>
 #include <limits>
 
-#include "coursejunction/route/refusal_memory.hpp"
+#include "coursejunction/route/recent_refusals.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
 namespace coursejunction
@@ -26,28 +26,28 @@
 
 /*! @brief Returns what to tell of a refusal. */
 [[nodiscard]] inline message::refused_caller
-encode_refusal(const refused_try& one, time_point now)
+encode_refusal(const refusal_record& one, time_point now)
 {
     message::refused_caller made;
-    made.fingerprint = one.what.value();
-    made.waited_ms = wire_ms(now - one.first);
-    if (one.ends)
-        made.left_ms = std::max(wire_ms(*one.ends - now), 1U);
-    made.due_ms = wire_ms(one.due - now);
+    made.fingerprint = one.fingerprint.value();
+    made.waited_ms = wire_ms(now - one.first_arrival);
+    if (one.deadline)
+        made.left_ms = std::max(wire_ms(*one.deadline - now), 1U);
+    made.due_ms = wire_ms(one.retry_at - now);
     return made;
 }
 
 /*! @brief Reads what another entry told of a refusal. */
-[[nodiscard]] inline refused_try
+[[nodiscard]] inline refusal_record
 decode_refusal(const message::refused_caller& told, time_point now)
 {
-    refused_try made;
-    made.what = request_fingerprint(told.fingerprint);
-    made.first = now - milliseconds(told.waited_ms);
+    refusal_record made;
+    made.fingerprint = request_fingerprint(told.fingerprint);
+    made.first_arrival = now - milliseconds(told.waited_ms);
     if (told.left_ms > 0)
-        made.ends = now + milliseconds(told.left_ms);
-    made.refused = now;
-    made.due = now + milliseconds(told.due_ms);
+        made.deadline = now + milliseconds(told.left_ms);
+    made.refused_at = now;
+    made.retry_at = now + milliseconds(told.due_ms);
     return made;
 }
 
--- a/src/coursejunction/proxy/terms_messages.hpp
+++ b/src/coursejunction/proxy/terms_messages.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "coursejunction/proxy/refusal_messages.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
 namespace coursejunction
@@ -23,18 +23,18 @@
 /*! @brief Returns what to tell the other entries of terms that answers told
  * this one lately. */
 [[nodiscard]] inline std::vector<message::upstream_terms>
-recent_terms(const upstream_book& book, time_point now)
+recent_terms(const upstream_registry& book, time_point now)
 {
     std::vector<message::upstream_terms> told;
     for (const auto& [id, one] : book.all())
     {
-        const auto news = one.terms.news(now);
+        const auto news = one.terms.pending_report(now);
         if (!news)
             continue;
         message::upstream_terms made;
         made.upstream = id.value();
         made.life = one.life.value();
-        made.age_ms = wire_ms(now - news->at);
+        made.age_ms = wire_ms(now - news->received_at);
         made.leaving = news->leaving;
         if (news->per_second)
             made.per_second = static_cast<float>(*news->per_second);
@@ -51,14 +51,14 @@
 }
 
 /*! @brief Reads what another entry told. */
-[[nodiscard]] inline told_terms
+[[nodiscard]] inline reported_terms
 decode_terms(const message::upstream_terms& told, time_point now)
 {
-    told_terms made;
+    reported_terms made;
     made.leaving = told.leaving;
     if (told.per_second >= 0)
         made.per_second = static_cast<double>(told.per_second);
-    made.at = now - milliseconds(told.age_ms);
+    made.received_at = now - milliseconds(told.age_ms);
     return made;
 }
 
--- a/src/coursejunction/route/waiting_line.hpp
+++ b/src/coursejunction/route/placement_queue.hpp
@@ -5,8 +5,8 @@
  * be in time goes first, the one with the least time left before others; who
  * is late already takes what they leave.
  */
-#ifndef COURSEJUNCTION_ROUTE_WAITING_LINE_HPP
-#define COURSEJUNCTION_ROUTE_WAITING_LINE_HPP
+#ifndef COURSEJUNCTION_ROUTE_PLACEMENT_QUEUE_HPP
+#define COURSEJUNCTION_ROUTE_PLACEMENT_QUEUE_HPP
 
 #include <compare>
 #include <cstddef>
@@ -22,8 +22,8 @@
 /*! @brief One waiting request. */
 struct waiting_request
 {
-    bool late{false};    /*!< Its target is lost. */
-    time_point target{}; /*!< When it should have its first event. */
+    bool late{false};         /*!< Its target is lost. */
+    time_point target_time{}; /*!< When it should have its first event. */
     std::uint64_t number{0};
 
     friend auto operator<=>(const waiting_request&,
@@ -31,7 +31,7 @@
 };
 
 /*! @brief Waiting requests in the order in which they are looked at. */
-class waiting_line
+class placement_queue
 {
 public:
     void push(const waiting_request& one) { line.insert(one); }
@@ -42,7 +42,7 @@
 
     /*! @brief Returns the numbers of all, first come those that are to be
      * looked at first. */
-    [[nodiscard]] std::vector<std::uint64_t> numbers() const
+    [[nodiscard]] std::vector<std::uint64_t> request_numbers() const
     {
         std::vector<std::uint64_t> all;
         all.reserve(line.size());
--- a/src/coursejunction/route/upstream_choice.hpp
+++ b/src/coursejunction/route/upstream_choice.hpp
@@ -28,13 +28,13 @@
 };
 
 /*! @brief Why nothing was placed. */
-struct no_placement
+struct placement_failure
 {
     std::size_t usable{0}; /*!< Upstreams that could take it at all. */
     double least_ms{0};    /*!< The soonest first event, when usable. */
     /*! @brief The soonest moment at which one takes a request of this entry,
      * where all that could take it rest or are at their limits. */
-    std::optional<time_point> opens;
+    std::optional<time_point> next_send_at;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/upstream_book.hpp
+++ b/src/coursejunction/route/upstream_registry.hpp
@@ -2,8 +2,8 @@
  * @brief What an entry believes of every upstream, from the store's records,
  * from the sides' heartbeats and from its own attempts; pure.
  */
-#ifndef COURSEJUNCTION_ROUTE_UPSTREAM_BOOK_HPP
-#define COURSEJUNCTION_ROUTE_UPSTREAM_BOOK_HPP
+#ifndef COURSEJUNCTION_ROUTE_UPSTREAM_REGISTRY_HPP
+#define COURSEJUNCTION_ROUTE_UPSTREAM_REGISTRY_HPP
 
 #include <algorithm>
 #include <cstddef>
@@ -17,18 +17,18 @@
 
 #include "coursejunction/core/types.hpp"
 #include "coursejunction/fleet/installation.hpp"
-#include "coursejunction/route/departed_terms.hpp"
 #include "coursejunction/route/engine_estimate.hpp"
 #include "coursejunction/route/engine_shares.hpp"
 #include "coursejunction/route/known_upstream.hpp"
-#include "coursejunction/route/send_rate.hpp"
+#include "coursejunction/route/retained_terms.hpp"
+#include "coursejunction/route/smoothed_rate.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
 namespace coursejunction
 {
 
 /*! @brief Upstreams by id. */
-class upstream_book
+class upstream_registry
 {
 public:
     /*! @brief Status older than this no longer tells the load; ten reports. */
@@ -41,7 +41,7 @@
     /*! @brief Takes or replaces a record; one of an earlier life than is known
      * changes nothing.
      * @return The life that ended, if one did. */
-    std::optional<ended_life> record(upstream_record one)
+    std::optional<ended_incarnation> apply_record(upstream_record one)
     {
         const auto [place, added] = book.try_emplace(one.id);
         auto& known = place->second;
@@ -91,11 +91,11 @@
      * upstream, changes nothing.
      * @param now When the side told it.
      * @return The lives that ended. */
-    std::vector<ended_life> status(const std::string& host,
-                                   const message::upstream_status& told,
-                                   time_point now)
+    std::vector<ended_incarnation>
+    apply_status(const std::string& host, const message::upstream_status& told,
+                 time_point now)
     {
-        std::vector<ended_life> all;
+        std::vector<ended_incarnation> all;
         const incarnation life(told.life);
         for (auto& [id, one] : book)
         {
@@ -123,32 +123,32 @@
     }
 
     /*! @brief Notes an attempt that is about to be sent. */
-    void begin(const instance_id& id, std::uint64_t attempt, double prompt,
-               time_point now)
+    void begin_attempt(const instance_id& id, std::uint64_t attempt,
+                       double prompt, time_point now)
     {
         auto& one = book[id];
         one.attempts[attempt] = open_attempt{now, prompt, false};
-        one.terms.sent(now);
+        one.terms.record_send(now);
         if (prompt > 0)
-            engine_sends.sent(now);
+            engine_sends.record(now);
     }
 
     /*! @brief The first event of an attempt came. */
-    void began(const instance_id& id, std::uint64_t attempt)
+    void mark_first_event(const instance_id& id, std::uint64_t attempt)
     {
         const auto found = book.find(id);
         if (found == book.end())
             return;
         const auto one = found->second.attempts.find(attempt);
         if (one != found->second.attempts.end())
-            one->second.began = true;
+            one->second.first_event_seen = true;
     }
 
     /*! @brief An attempt ended. An upstream that answered lives: it is used
      * less, not avoided: a service may have only one left that fails now and
      * then. */
-    void end(const instance_id& id, std::uint64_t attempt,
-             attempt_result result, time_point now)
+    void end_attempt(const instance_id& id, std::uint64_t attempt,
+                     attempt_result result, time_point now)
     {
         const auto found = book.find(id);
         if (found == book.end())
@@ -158,11 +158,11 @@
         // Of an earlier life: it says nothing of this one.
         if (open == one.attempts.end())
             return;
-        if (open->second.sent < one.status_at)
+        if (open->second.sent_at < one.status_at)
             ++one.ended_since_status;
         one.attempts.erase(open);
         constexpr double smoothing = 0.15;
-        const bool good = result == attempt_result::good;
+        const bool good = result == attempt_result::succeeded;
         one.fault_share += ((good ? 0.0 : 1.0) - one.fault_share) * smoothing;
         if (result == attempt_result::failed)
             avoid(one, now);
@@ -172,45 +172,48 @@
 
     /*! @brief Takes what an upstream says of itself in an answer.
      * @return Whether the terms on which it takes requests changed. */
-    bool heard(const instance_id& id, const heard_notice& notice,
-               time_point now)
+    bool apply_notice(const instance_id& id, const received_notice& notice,
+                      time_point now)
     {
         const auto found = book.find(id);
-        return found != book.end() && found->second.terms.heard(notice, now);
+        return found != book.end() &&
+               found->second.terms.apply_notice(notice, now);
     }
 
     /*! @brief Takes what another entry was told in an answer of a life of an
      * upstream.
      * @param from Address of that entry.
      * @return Whether the terms on which it takes requests changed. */
-    bool told(const instance_id& id, const incarnation& life,
-              const told_terms& told, const std::string& from, time_point now)
+    bool apply_reported_terms(const instance_id& id, const incarnation& life,
+                              const reported_terms& told,
+                              const std::string& from, time_point now)
     {
         const auto found = book.find(id);
         if (found == book.end() || life != found->second.life)
             return false;
-        return found->second.terms.told(told, from, now);
+        return found->second.terms.apply_report(told, from, now);
     }
 
     /*! @brief Divides the limits that upstreams name between the entries.
      * @param own Address of this entry.
      * @param entries Those that take callers. */
-    void share_limits(const std::string& own,
-                      const std::vector<entry_demand>& entries, time_point now)
+    void assign_limit_shares(const std::string& own,
+                             const std::vector<entry_demand>& entries,
+                             time_point now)
     {
         for (auto& [id, one] : book)
         {
             if (!one.terms.limit())
                 continue;
-            one.terms.share(share_of_limit(id, one.record.hall,
-                                           one.terms.limit()->per_second(), own,
-                                           entries),
-                            now);
+            one.terms.set_share(share_of_limit(id, one.record.hall,
+                                               one.terms.limit()->per_second(),
+                                               own, entries),
+                                now);
         }
     }
 
     /*! @brief An attempt was taken back: it says nothing of the upstream. */
-    void withdraw(const instance_id& id, std::uint64_t attempt)
+    void cancel_attempt(const instance_id& id, std::uint64_t attempt)
     {
         const auto found = book.find(id);
         if (found == book.end())
@@ -220,7 +223,8 @@
     }
 
     /*! @brief Compares what was predicted with what was seen. */
-    void seen(const instance_id& id, double predicted_ms, double seen_ms)
+    void record_first_event_time(const instance_id& id, double predicted_ms,
+                                 double seen_ms)
     {
         const auto found = book.find(id);
         if (found == book.end() || predicted_ms <= 0)
@@ -262,8 +266,9 @@
     }
 
     /*! @brief Returns the weights of a model that an upstream serves. */
-    [[nodiscard]] static std::uint64_t
-    version(const known_upstream& one, const std::string& model, time_point now)
+    [[nodiscard]] static std::uint64_t served_version(const known_upstream& one,
+                                                      const std::string& model,
+                                                      time_point now)
     {
         if (one.status && now - one.status_at <= status_validity)
             return one.status->model == model ? one.status->version : 0;
@@ -275,7 +280,7 @@
      * @param own This entry's stretch of all of them.
      * @param usable Tells whether an upstream is one of them. */
     template <typename Usable>
-    void divide(const line_stretch& own, Usable usable)
+    void assign_engine_shares(const demand_interval& own, Usable usable)
     {
         std::vector<known_upstream*> engines;
         for (auto& [id, one] : book)
@@ -292,13 +297,13 @@
         places.reserve(engines.size());
         for (const auto* one : engines)
             places.push_back(static_cast<double>(one->record.slots));
-        const auto parts = engine_parts(own, places);
+        const auto parts = engine_fractions(own, places);
         for (std::size_t at = 0; at < engines.size(); ++at)
             engines[at]->share = parts[at];
     }
 
     /*! @brief Sets how many entries share the upstreams, this one included. */
-    void entries(std::size_t count)
+    void set_entry_count(std::size_t count)
     {
         sharers =
             1 + share_of_others *
@@ -307,7 +312,7 @@
 
     /*! @brief Returns how many requests a second other entries are expected to
      * send to engines that this one considers: as many as this one each. */
-    [[nodiscard]] double others_rate(time_point now) const
+    [[nodiscard]] double other_entries_rate(time_point now) const
     {
         return engine_sends.per_second(now) * (sharers - 1);
     }
@@ -333,12 +338,12 @@
         for (const auto& [number, attempt] : one.attempts)
         {
             const bool unseen =
-                !fresh || attempt.sent + status_travel > one.status_at;
+                !fresh || attempt.sent_at + status_travel > one.status_at;
             new_attempts += unseen ? 1 : 0;
-            if (attempt.began)
+            if (attempt.first_event_seen)
                 continue;
             own_unread += 1;
-            (unseen ? new_unread : seen_unread) += attempt.prompt;
+            (unseen ? new_unread : seen_unread) += attempt.prompt_tokens;
         }
         // What this entry sent stands for what all did.
         made.running = new_attempts * together;
@@ -403,18 +408,18 @@
      * and no answer comes any more; what was sent since may have reached
      * either.
      * @return The life that ended, if one did. */
-    static std::optional<ended_life> begin_life(known_upstream& one,
-                                                const incarnation& told)
+    static std::optional<ended_incarnation> begin_life(known_upstream& one,
+                                                       const incarnation& told)
     {
         if (told.empty() || told == one.life)
             return std::nullopt;
         const auto before = std::exchange(one.life, told);
         if (before.empty())
             return std::nullopt;
-        ended_life made{one.record.address, {}, one.record.id, before};
+        ended_incarnation made{one.record.address, {}, one.record.id, before};
         for (const auto& [number, attempt] : one.attempts)
         {
-            if (one.status && attempt.sent + status_travel < one.status_at)
+            if (one.status && attempt.sent_at + status_travel < one.status_at)
                 made.attempts.push_back(number);
         }
         for (const auto number : made.attempts)
@@ -450,10 +455,10 @@
     static constexpr milliseconds avoid_silent{8000};
 
     std::map<instance_id, known_upstream> book;
-    departed_terms departed;
+    retained_terms departed;
     double sharers{1};
     double all_lateness{1};
-    send_rate engine_sends; /*!< Of this entry, to all engines. */
+    smoothed_rate engine_sends; /*!< Of this entry, to all engines. */
 };
 
 } // namespace coursejunction
--- a/tests/proxy/refusal_messages.cpp
+++ b/tests/proxy/refusal_messages.cpp
@@ -11,32 +11,32 @@
 {
     const cj::time_point here{100s};
     const cj::time_point there{5000s};
-    cj::refused_try one;
-    one.what = cj::request_fingerprint(7);
-    one.first = here - 300ms;
-    one.ends = here + 5600ms;
-    one.refused = here;
-    one.due = here + 200ms;
+    cj::refusal_record one;
+    one.fingerprint = cj::request_fingerprint(7);
+    one.first_arrival = here - 300ms;
+    one.deadline = here + 5600ms;
+    one.refused_at = here;
+    one.retry_at = here + 200ms;
     const auto told = cj::encode_refusal(one, here);
 
     THEN("another process reads them by its own clock")
     {
         const auto read = cj::decode_refusal(told, there);
-        CHECK(read.what == one.what);
-        CHECK(read.first == there - 300ms);
-        CHECK(read.ends == there + 5600ms);
-        CHECK(read.refused == there);
-        CHECK(read.due == there + 200ms);
+        CHECK(read.fingerprint == one.fingerprint);
+        CHECK(read.first_arrival == there - 300ms);
+        CHECK(read.deadline == there + 5600ms);
+        CHECK(read.refused_at == there);
+        CHECK(read.retry_at == there + 200ms);
     }
     THEN("a caller without a deadline has none there either")
     {
-        one.ends.reset();
+        one.deadline.reset();
         CHECK_FALSE(
-            cj::decode_refusal(cj::encode_refusal(one, here), there).ends);
+            cj::decode_refusal(cj::encode_refusal(one, here), there).deadline);
     }
     THEN("times that lie behind are no spans")
     {
-        one.due = here - 1s;
+        one.retry_at = here - 1s;
         CHECK(cj::encode_refusal(one, here).due_ms == 0);
     }
     THEN("a heartbeat of an entry carries them")
--- a/tests/route/limit_replay.hpp
+++ b/tests/route/limit_replay.hpp
@@ -19,7 +19,7 @@
 #include <vector>
 
 #include "coursejunction/proxy/terms_messages.hpp"
-#include "coursejunction/route/upstream_book.hpp"
+#include "coursejunction/route/upstream_registry.hpp"
 
 namespace limit_replay
 {
@@ -87,29 +87,30 @@
         cj::upstream_record record;
         record.id = upstream();
         record.hall = cj::hall_id("hall-0");
-        book.record(record);
+        book.apply_record(record);
     }
 
-    void heard(const cj::heard_notice& notice, cj::time_point now)
+    void heard(const cj::received_notice& notice, cj::time_point now)
     {
-        book.heard(upstream(), notice, now);
+        book.apply_notice(upstream(), notice, now);
     }
 
     void told(const cj::message::upstream_terms& news, const std::string& from,
               cj::time_point now)
     {
-        book.told(upstream(), {}, cj::decode_terms(news, now), from, now);
+        book.apply_reported_terms(upstream(), {}, cj::decode_terms(news, now),
+                                  from, now);
     }
 
     void share(const std::vector<cj::entry_demand>& entries, cj::time_point now)
     {
-        book.share_limits(own, entries, now);
+        book.assign_limit_shares(own, entries, now);
     }
 
     void sent(cj::time_point now)
     {
-        book.begin(upstream(), ++number, 0, now);
-        book.withdraw(upstream(), number);
+        book.begin_attempt(upstream(), ++number, 0, now);
+        book.cancel_attempt(upstream(), number);
     }
 
     [[nodiscard]] bool limited() const
@@ -119,7 +120,7 @@
 
     [[nodiscard]] bool open(cj::time_point now) const
     {
-        return now >= book.find(upstream())->terms.opens();
+        return now >= book.find(upstream())->terms.next_send_at();
     }
 
     [[nodiscard]] std::vector<cj::message::upstream_terms>
@@ -130,7 +131,7 @@
 
 private:
     std::string own;
-    cj::upstream_book book;
+    cj::upstream_registry book;
     std::uint64_t number{0};
 };
 
@@ -144,7 +145,7 @@
     {
     }
 
-    void heard(const cj::heard_notice& notice, cj::time_point now)
+    void heard(const cj::received_notice& notice, cj::time_point now)
     {
         terms.heard(notice, now);
         take(notice.notice.requests_per_second);
@@ -425,7 +426,7 @@
         auto& one = entries[at];
         if (!runs(one))
             return;
-        cj::heard_notice heard{{}, moment(sent), true};
+        cj::received_notice heard{{}, moment(sent), true};
         if (limited)
         {
             heard.notice.requests_per_second = played.per_second;
