--- a/src/coursejunction/fleet/fleet_hooks.hpp
+++ b/src/coursejunction/fleet/fleet_hooks.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "coursejunction/core/types.hpp"
-#include "coursejunction/fleet/beat_plan.hpp"
+#include "coursejunction/fleet/heartbeat_plan.hpp"
 #include "coursejunction/fleet/item_rules.hpp"
 #include "coursejunction/net/stream_server.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
--- a/src/coursejunction/fleet/fleet_node.hpp
+++ b/src/coursejunction/fleet/fleet_node.hpp
@@ -19,10 +19,10 @@
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/core/result.hpp"
 #include "coursejunction/core/suspension.hpp"
-#include "coursejunction/fleet/beat_plan.hpp"
-#include "coursejunction/fleet/beat_sender.hpp"
 #include "coursejunction/fleet/fleet_hooks.hpp"
-#include "coursejunction/fleet/mirror_age.hpp"
+#include "coursejunction/fleet/heartbeat_plan.hpp"
+#include "coursejunction/fleet/heartbeat_sender.hpp"
+#include "coursejunction/fleet/lag_tracker.hpp"
 #include "coursejunction/fleet/mirror_puller.hpp"
 #include "coursejunction/fleet/node_address.hpp"
 #include "coursejunction/fleet/peer_directory.hpp"
@@ -47,23 +47,23 @@
 public:
     /*! @brief Heartbeats between two changes; a leaving upstream has 2 s, so
      * that several may be lost. */
-    static constexpr milliseconds beat_interval{200};
+    static constexpr milliseconds heartbeat_interval{200};
 
     /*! @brief Entries that watch the store; all others hear from them. One may
      * be cut from the store and one more stopped at the same time. */
-    static constexpr std::size_t most_watchers = 3;
+    static constexpr std::size_t max_watchers = 3;
 
     /*! @brief A side that is behind for this long is told so by an entry of
      * any hall: its own hall may have no entry left. */
-    static constexpr milliseconds behind_grace{300};
+    static constexpr milliseconds lag_grace{300};
 
     /*! @brief An entry of another hall does so after this long: each tells
      * each side that is behind, and a side's own hall is nearer. */
-    static constexpr milliseconds far_behind_grace{1000};
+    static constexpr milliseconds remote_lag_grace{1000};
 
     /*! @brief A process that has just started and is no seed goes after others
      * of its hall, which it has not heard of yet. */
-    static constexpr milliseconds newcomer_time{1000};
+    static constexpr milliseconds newcomer_delay{1000};
 
     /*! @brief Opens the ports.
      * @return The node, or `unavailable`. */
@@ -85,40 +85,52 @@
         hooks = std::move(given);
         const auto now = event_loop::now();
         started_at = now;
-        start_fetching();
+        start_mirroring();
         for (const auto& seed : options.seeds)
         {
             if (seed != options.address)
                 directory.add_seed(seed, now);
         }
         announce();
-        beat_timer = loop.every(beat_interval,
-                                [this]
-                                {
-                                    beat_on();
-                                    read_store();
-                                });
-        read_store();
+        heartbeat_timer = loop.every(heartbeat_interval,
+                                     [this]
+                                     {
+                                         send_regular_heartbeat();
+                                         poll_store();
+                                     });
+        poll_store();
     }
 
     /*! @brief Tells at once that the state of this process changed. */
-    void announce() { tell(moment(beat_reason::state)); }
+    void announce() { send_heartbeat(context_for(heartbeat_reason::state)); }
 
     /*! @brief Tells the entries of the own hall that a load changed. Others
      * hear of it with the next heartbeat: they send here only what their own
      * hall cannot take, and bytes between regions cost most. */
-    void announce_load() { tell(moment(beat_reason::load)); }
+    void announce_load()
+    {
+        send_heartbeat(context_for(heartbeat_reason::load));
+    }
 
     /*! @brief Tells neighbours of the own hall which chunks are here; called
      * while chunks spread. */
-    void announce_chunks() { tell(moment(beat_reason::chunks)); }
+    void announce_chunks()
+    {
+        send_heartbeat(context_for(heartbeat_reason::chunks));
+    }
 
     /*! @brief Tells all entries that upstreams ended under a request. */
-    void announce_crashes() { tell(moment(beat_reason::crash)); }
+    void announce_crashes()
+    {
+        send_heartbeat(context_for(heartbeat_reason::crash));
+    }
 
     /*! @brief Tells the entries of the own hall which callers were sent away:
      * that is where they come back. */
-    void announce_refusals() { tell(moment(beat_reason::refusals)); }
+    void announce_refusals()
+    {
+        send_heartbeat(context_for(heartbeat_reason::refusals));
+    }
 
     /*! @brief Marks the node as leaving in its heartbeats. */
     void leave()
@@ -138,13 +150,13 @@
      * zero when none is known to. */
     [[nodiscard]] milliseconds mirror_lag(time_point now) const
     {
-        return age.behind_for(copy.position(), now);
+        return lag.lag(local_mirror.position(), now);
     }
 
     /*! @brief Returns how often changes of the store may have been missed. */
     [[nodiscard]] std::uint64_t gaps() const { return reader.gaps(); }
 
-    [[nodiscard]] const store_mirror& mirror() const { return copy; }
+    [[nodiscard]] const store_mirror& mirror() const { return local_mirror; }
     [[nodiscard]] Store& store_client() { return store; }
     [[nodiscard]] const peer_directory& peers() const { return directory; }
     [[nodiscard]] stream_client& client() { return calls; }
@@ -158,43 +170,45 @@
 
 private:
     fleet_node(event_loop& owner, Store& service, metrics& counted,
-               fleet_options set)
+               fleet_options given)
         : loop(owner), store(service), counters(counted),
-          options(std::move(set)), calls(owner),
+          options(std::move(given)), calls(owner),
           port_suffix(":" + std::to_string(options.port)),
           incarnation(static_cast<std::uint64_t>(
               std::chrono::duration_cast<milliseconds>(
                   std::chrono::system_clock::now().time_since_epoch())
                   .count())),
-          copy(options.items), reader(owner, service, counted, copy, seed()),
-          puller(owner, calls, counted, copy, directory, seed()),
-          beats(
+          local_mirror(options.items),
+          reader(owner, service, counted, local_mirror, jitter_seed()),
+          puller(owner, calls, counted, local_mirror, directory, jitter_seed()),
+          heartbeats(
               options, directory, counted,
-              [this](time_point now, const beat_moment& sent)
-              { return beat(now, sent); },
+              [this](time_point now, const heartbeat_context& sent)
+              { return make_heartbeat(now, sent); },
               [this](const std::string& address, const std::string& datagram)
               { socket->send(address + port_suffix, datagram); })
     {
     }
 
     /*! @brief Returns a number that differs between processes. */
-    [[nodiscard]] std::uint64_t seed() const
+    [[nodiscard]] std::uint64_t jitter_seed() const
     {
         return std::hash<std::string>()(options.address) + incarnation;
     }
 
-    void start_fetching()
+    void start_mirroring()
     {
-        reader.start({[this] { return reads_store(); },
-                      [this](const store_page& page, bool whole)
-                      { read_page(page, whole); },
-                      [this] { tell(moment(beat_reason::fetch)); }});
+        reader.start(
+            {[this] { return should_watch_store(); },
+             [this](const store_page& page, bool whole)
+             { on_store_page(page, whole); },
+             [this] { send_heartbeat(context_for(heartbeat_reason::fetch)); }});
         puller.start(
             options.hall, port_suffix,
-            {[this] { return standing(); },
+            {[this] { return fetch_state(); },
              [this](const message::mirror_page& page, const std::string& from)
-             { take_page(page, from); },
-             [this] { tell(moment(beat_reason::fetch)); }});
+             { on_peer_page(page, from); },
+             [this] { send_heartbeat(context_for(heartbeat_reason::fetch)); }});
     }
 
     result<bool> open()
@@ -202,30 +216,30 @@
         auto made = datagram_socket::create(
             loop, options.address, options.port,
             [this](const std::string& from, std::string_view bytes)
-            { datagram(host_of(from), bytes); });
+            { on_datagram(host_of(from), bytes); });
         if (!made)
             return failure(made.error().kind, made.error().message);
         socket = std::move(made.value());
         auto served = stream_server::create(
             loop, options.address, options.port, {},
             [this](stream_request request, stream_reply reply)
-            { request_of_peer(std::move(request), std::move(reply)); });
+            { on_peer_request(std::move(request), std::move(reply)); });
         if (!served)
             return failure(served.error().kind, served.error().message);
         server = std::move(served.value());
         return true;
     }
 
-    [[nodiscard]] bool own_hall(const peer_state& one) const
+    [[nodiscard]] bool in_own_hall(const peer_state& one) const
     {
         return one.last_heartbeat.hall == options.hall.value();
     }
 
-    [[nodiscard]] beat_moment moment(beat_reason why) const
+    [[nodiscard]] heartbeat_context context_for(heartbeat_reason reason) const
     {
-        beat_moment made;
-        made.reason = why;
-        made.number = beat_number;
+        heartbeat_context made;
+        made.reason = reason;
+        made.regular_number = regular_number;
         made.from_entry = options.entry;
         return made;
     }
@@ -242,51 +256,54 @@
         log::warning("suspended", {{"ms", std::to_string(lasted.count())}});
     }
 
-    void beat_on()
+    void send_regular_heartbeat()
     {
         note_suspension();
-        ++beat_number;
-        auto regular = moment(beat_reason::regular);
-        regular.spreading = hooks.transfers_active && hooks.transfers_active();
-        tell(regular);
-        if (beat_number % measuring_beat == 0)
-            measure(event_loop::now());
+        ++regular_number;
+        auto regular = context_for(heartbeat_reason::regular);
+        regular.transfers_active =
+            hooks.transfers_active && hooks.transfers_active();
+        send_heartbeat(regular);
+        if (regular_number % gauge_period == 0)
+            update_gauges(event_loop::now());
     }
 
     /*! @brief Shows what this process decides by, and who reads the store. */
-    void measure(time_point now)
+    void update_gauges(time_point now)
     {
         counters.set("fleet_mirror_revision",
-                     static_cast<double>(copy.position().revision));
+                     static_cast<double>(local_mirror.position().revision));
         counters.set("fleet_mirror_era",
-                     static_cast<double>(copy.position().era));
+                     static_cast<double>(local_mirror.position().era));
         counters.set("fleet_mirror_carried",
-                     static_cast<double>(copy.carried()));
+                     static_cast<double>(local_mirror.carried()));
         counters.set("fleet_mirror_behind_seconds",
                      to_seconds(mirror_lag(now)));
         counters.set("fleet_store_watchers",
                      static_cast<double>(directory.watchers(now) +
                                          (reader.watching() ? 1 : 0)));
         counters.set("fleet_hall_fetchers",
-                     static_cast<double>(standing().fetching));
+                     static_cast<double>(fetch_state().fetching));
     }
 
-    void tell(const beat_moment& sent)
+    void send_heartbeat(const heartbeat_context& sent)
     {
         const auto now = event_loop::now();
         directory.expire(now);
-        beats.tell(sent, now);
+        heartbeats.send_heartbeat(sent, now);
     }
 
-    message::fleet_heartbeat beat(time_point now, const beat_moment& sent)
+    message::fleet_heartbeat make_heartbeat(time_point now,
+                                            const heartbeat_context& sent)
     {
-        const bool names = sent.reason == beat_reason::regular &&
-                           sent.number % naming_beat == 0;
+        const bool lists_entries =
+            sent.reason == heartbeat_reason::regular &&
+            sent.regular_number % full_report_period == 0;
         message::fleet_heartbeat made;
         made.incarnation = incarnation;
         made.sequence = ++sequence;
-        made.mirrored = copy.position();
-        made.carried = copy.carried();
+        made.mirrored = local_mirror.position();
+        made.carried = local_mirror.carried();
         made.hall = options.hall.value();
         made.entry = options.entry;
         made.leaving = leaving;
@@ -298,24 +315,24 @@
         for (const auto& [address, one] : directory.all())
         {
             const auto number = parse_ipv4(address);
-            if (names && one.entry && number &&
+            if (lists_entries && one.entry && number &&
                 peer_directory::alive(one, now) &&
-                made.entries.size() < most_named)
+                made.entries.size() < max_listed_entries)
                 made.entries.push_back(*number);
         }
         if (hooks.fill_heartbeat)
-            hooks.fill_heartbeat(made, chunks_told(sent));
-        if (hooks.crash_records && tells_crashes(sent.reason))
+            hooks.fill_heartbeat(made, chunk_detail_for(sent));
+        if (hooks.crash_records && carries_crash_records(sent.reason))
             made.crashes = hooks.crash_records();
-        if (hooks.refused_callers && sent.reason == beat_reason::refusals)
+        if (hooks.refused_callers && sent.reason == heartbeat_reason::refusals)
             made.refusals = hooks.refused_callers();
-        if (hooks.recent_terms && sent.reason == beat_reason::regular)
+        if (hooks.recent_terms && sent.reason == heartbeat_reason::regular)
             made.terms = hooks.recent_terms();
         made.upstream.side = incarnation;
         return made;
     }
 
-    void datagram(const std::string& from, std::string_view bytes)
+    void on_datagram(const std::string& from, std::string_view bytes)
     {
         const auto read = decode<message::fleet_heartbeat>(bytes);
         if (!read)
@@ -340,24 +357,25 @@
         }
         const bool own = read.value().hall == options.hall.value();
         if (options.entry && !read.value().entry &&
-            read.value().mirrored < copy.position() &&
-            now - advanced_at >= (own ? behind_grace : far_behind_grace))
-            beats.tell_behind(from, now);
-        if (own && carries_more(read.value()))
-            puller.heard(from, own);
-        if (read.value().mirrored > copy.position())
+            read.value().mirrored < local_mirror.position() &&
+            now - advanced_at >= (own ? lag_grace : remote_lag_grace))
+            heartbeats.send_mirror_position(from, now);
+        if (own && has_more_carried_values(read.value()))
+            puller.peer_ahead(from, own);
+        if (read.value().mirrored > local_mirror.position())
         {
-            age.told(read.value().mirrored, copy.position(), now);
-            puller.heard(from, own);
+            lag.report_ahead(read.value().mirrored, local_mirror.position(),
+                             now);
+            puller.peer_ahead(from, own);
         }
         if (hooks.heartbeat_received)
             hooks.heartbeat_received(from, read.value());
     }
 
-    void request_of_peer(stream_request request, stream_reply reply)
+    void on_peer_request(stream_request request, stream_reply reply)
     {
-        constexpr auto mirror_target = mirror_puller::target;
-        if (!request.target.starts_with(mirror_target))
+        constexpr auto target_prefix = mirror_puller::target_prefix;
+        if (!request.target.starts_with(target_prefix))
         {
             if (hooks.handle_request)
                 return hooks.handle_request(std::move(request),
@@ -365,19 +383,19 @@
             return reply.send(404, {}, "no such resource\n");
         }
         const auto text =
-            std::string_view(request.target).substr(mirror_target.size());
+            std::string_view(request.target).substr(target_prefix.size());
         reply.send(200, {},
-                   encode(copy.changes_since(store_position::parse(text),
-                                             event_loop::now())));
+                   encode(local_mirror.changes_since(
+                       store_position::parse(text), event_loop::now())));
     }
 
     /*! @brief Tells whether this entry is among those that read the store. */
-    [[nodiscard]] bool reads_store() const
+    [[nodiscard]] bool should_watch_store() const
     {
         const auto now = event_loop::now();
         return options.entry && !leaving &&
                directory.watchers_before(options.address, store_distance(now),
-                                         now) < most_watchers;
+                                         now) < max_watchers;
     }
 
     /*! @brief Returns the distance to the store in microseconds, of this
@@ -394,42 +412,42 @@
         return static_cast<std::uint32_t>(own.count());
     }
 
-    [[nodiscard]] hall_standing standing() const
+    [[nodiscard]] hall_fetch_state fetch_state() const
     {
         const auto now = event_loop::now();
-        auto made = directory.standing(options.address, options.hall,
-                                       options.entry, now);
-        const bool seeded =
+        auto made = directory.fetch_state(options.address, options.hall,
+                                          options.entry, now);
+        const bool is_seed =
             std::find(options.seeds.begin(), options.seeds.end(),
                       options.address) != options.seeds.end();
-        if (!seeded && now - started_at < newcomer_time)
+        if (!is_seed && now - started_at < newcomer_delay)
             made.rank = std::max<std::size_t>(made.rank, 1);
         return made;
     }
 
     /*! @brief Probes of the store are taken in turns too; pulls from other
      * halls do not wait for them, as the store may turn this hall away. */
-    void read_store()
+    void poll_store()
     {
-        auto turn = standing();
+        auto turn = fetch_state();
         turn.fetching += turn.probing;
-        reader.consider(turn, event_loop::now());
+        reader.poll(turn, event_loop::now());
     }
 
     /*! @brief Tells the role of values that a later one of the page hides.
      * @return Their keys. */
-    std::set<std::string> tell_overwritten(const store_mirror::items& items)
+    std::set<std::string> report_overwritten(const store_mirror::items& items)
     {
         std::set<std::string> keys;
         if (!hooks.value_overwritten)
             return keys;
         std::map<std::string_view, std::size_t> last;
-        for (std::size_t place = 0; place < items.size(); ++place)
-            last[items[place].key] = place;
-        for (std::size_t place = 0; place < items.size(); ++place)
+        for (std::size_t index = 0; index < items.size(); ++index)
+            last[items[index].key] = index;
+        for (std::size_t index = 0; index < items.size(); ++index)
         {
-            const auto& one = items[place];
-            if (last[one.key] == place || one.removed || known(one))
+            const auto& one = items[index];
+            if (last[one.key] == index || one.removed || known(one))
                 continue;
             hooks.value_overwritten(one);
             keys.insert(one.key);
@@ -440,73 +458,77 @@
     /*! @brief Tells whether the mirror has a value of a key that is as new. */
     [[nodiscard]] bool known(const message::mirror_item& one) const
     {
-        const auto found = copy.all().find(one.key);
-        return found != copy.all().end() &&
+        const auto found = local_mirror.all().find(one.key);
+        return found != local_mirror.all().end() &&
                found->second.position() >= one.position();
     }
 
-    void read_page(const store_page& page, bool whole)
+    void on_store_page(const store_page& page, bool whole)
     {
         const auto now = event_loop::now();
-        const auto era = copy.position().era;
-        const auto passed = tell_overwritten(page.items);
-        auto changed = whole ? copy.replace(page.items, page.position, now)
-                             : copy.apply(page.items, page.position, now);
+        const auto era = local_mirror.position().era;
+        const auto overwritten_keys = report_overwritten(page.items);
+        auto changed =
+            whole ? local_mirror.replace(page.items, page.position, now)
+                  : local_mirror.apply(page.items, page.position, now);
         // A peer may have told the last value of a key before.
-        for (const auto& key : passed)
+        for (const auto& key : overwritten_keys)
         {
-            if (copy.find(key) != nullptr &&
+            if (local_mirror.find(key) != nullptr &&
                 std::find(changed.begin(), changed.end(), key) == changed.end())
                 changed.push_back(key);
         }
-        took(changed, "store", era);
+        on_mirror_changed(changed, "store", era);
     }
 
-    void take_page(const message::mirror_page& page, const std::string& from)
+    void on_peer_page(const message::mirror_page& page, const std::string& from)
     {
         const auto now = event_loop::now();
-        const auto era = copy.position().era;
+        const auto era = local_mirror.position().era;
         if (page.position.era == era)
             carried_seen = std::max(carried_seen, page.carried);
-        took(page.whole ? copy.replace(page.items, page.position, now)
-                        : copy.apply(page.items, page.position, now),
-             from, era);
+        on_mirror_changed(
+            page.whole ? local_mirror.replace(page.items, page.position, now)
+                       : local_mirror.apply(page.items, page.position, now),
+            from, era);
     }
 
     /*! @brief Tells whether a peer knows values of earlier eras of the store
      * which this process may lack: it started in the middle. */
-    [[nodiscard]] bool carries_more(const message::fleet_heartbeat& told) const
+    [[nodiscard]] bool
+    has_more_carried_values(const message::fleet_heartbeat& told) const
     {
-        return told.mirrored.era == copy.position().era &&
-               told.carried > std::max(copy.carried(), carried_seen);
+        return told.mirrored.era == local_mirror.position().era &&
+               told.carried > std::max(local_mirror.carried(), carried_seen);
     }
 
     /*! @brief Tells whether the store itself, not only the way to it from here,
      * was away until just now. */
     [[nodiscard]] bool store_returned(time_point now) const
     {
-        return reader.returned(now) && !directory.steady_watcher(now);
+        return reader.outage_recently_ended(now) &&
+               !directory.has_undisturbed_watcher(now);
     }
 
     /*! @param era Of the mirror before. Records that a new era lacks may only
      * have lapsed. */
-    void took(const std::vector<std::string>& changed, const std::string& from,
-              std::uint64_t era)
+    void on_mirror_changed(const std::vector<std::string>& changed,
+                           const std::string& from, std::uint64_t era)
     {
-        const bool crossed = era != 0 && copy.position().era != era;
-        if (crossed)
+        const bool era_changed = era != 0 && local_mirror.position().era != era;
+        if (era_changed)
         {
             carried_seen = 0;
             log::state("mirror_era_changed",
                        {{"from", from},
-                        {"position", copy.position().text()},
-                        {"carried", std::to_string(copy.carried())}});
+                        {"position", local_mirror.position().text()},
+                        {"carried", std::to_string(local_mirror.carried())}});
         }
         if (changed.empty())
             return;
         for (const auto& key : changed)
         {
-            const auto found = copy.all().find(key);
+            const auto found = local_mirror.all().find(key);
             log::state("mirror_changed",
                        {{"key", key},
                         {"from", from},
@@ -518,19 +540,19 @@
                                   ? peer->last_heartbeat.store_returned
                                   : store_returned(event_loop::now());
         advanced_at = event_loop::now();
-        age.advanced(copy.position(), advanced_at);
+        lag.advance(local_mirror.position(), advanced_at);
         if (hooks.keys_changed)
-            hooks.keys_changed(changed, returned || crossed);
-        auto sent = moment(beat_reason::mirror);
+            hooks.keys_changed(changed, returned || era_changed);
+        auto sent = context_for(heartbeat_reason::mirror);
         sent.from_store = peer == nullptr;
-        tell(sent);
+        send_heartbeat(sent);
     }
 
     /*! @brief Each this many heartbeats the gauges are set: once a second. */
-    static constexpr std::uint64_t measuring_beat = 5;
+    static constexpr std::uint64_t gauge_period = 5;
 
     /*! @brief Entries named in one heartbeat, so that it fits a datagram. */
-    static constexpr std::size_t most_named = 64;
+    static constexpr std::size_t max_listed_entries = 64;
 
     event_loop& loop;
     Store& store;
@@ -541,19 +563,19 @@
     std::string port_suffix;
     std::uint64_t incarnation;
     std::uint64_t sequence{0};
-    std::uint64_t beat_number{0};
+    std::uint64_t regular_number{0};
     time_point advanced_at{}; /*!< When the mirror last changed. */
-    store_mirror copy;
+    store_mirror local_mirror;
     std::uint32_t carried_seen{0}; /*!< By a peer of this era, and taken. */
-    mirror_age age;
+    lag_tracker lag;
     suspension_meter suspension;
     peer_directory directory;
     std::unique_ptr<datagram_socket> socket;
     std::unique_ptr<stream_server> server;
-    timer beat_timer;
+    timer heartbeat_timer;
     store_reader<Store> reader;
     mirror_puller puller;
-    beat_sender beats;
+    heartbeat_sender heartbeats;
     time_point started_at{};
     bool leaving{false};
 };
--- a/src/coursejunction/fleet/hall_digest.hpp
+++ b/src/coursejunction/fleet/hall_digest.hpp
@@ -25,15 +25,15 @@
 
 /*! @brief Statuses in one datagram; 30 of them take 1.3 KB, and a packet of
  * 1.5 KB carries them. */
-inline constexpr std::size_t digest_part = 30;
+inline constexpr std::size_t max_digest_statuses = 30;
 
 /*! @brief Each this many heartbeats of an entry pass statuses on: 800 ms. Two
  * entries do so by turns, so that statuses come each 400 ms, and each 800 ms
  * when one of the two is gone; they are believed for 1 s. */
-inline constexpr std::uint64_t digest_beat = 4;
+inline constexpr std::uint64_t digest_period = 4;
 
 /*! @brief Where an entry stands among the live entries of its hall. */
-struct digest_place
+struct relay_rank
 {
     std::size_t rank{0};
     std::size_t entries{1}; /*!< This one included. */
@@ -41,12 +41,12 @@
 
 /*! @brief Returns an entry's place.
  * @param address Of the entry. */
-[[nodiscard]] inline digest_place digest_place_of(const peer_directory& peers,
-                                                  const std::string& address,
-                                                  const hall_id& hall,
-                                                  time_point now)
+[[nodiscard]] inline relay_rank relay_rank_of(const peer_directory& peers,
+                                              const std::string& address,
+                                              const hall_id& hall,
+                                              time_point now)
 {
-    digest_place made;
+    relay_rank made;
     for (const auto& [other, one] : peers.all())
     {
         if (!one.entry || one.last_heartbeat.hall != hall.value() ||
@@ -60,16 +60,16 @@
 
 /*! @brief Tells whether an entry passes its hall's statuses on to an entry of
  * another hall with a heartbeat.
- * @param number Of the regular heartbeat. */
-[[nodiscard]] inline bool passes_digest(const digest_place& own,
-                                        const std::string& receiver,
-                                        std::uint64_t number)
+ * @param regular_number Of the regular heartbeat. */
+[[nodiscard]] inline bool relays_digest_to(const relay_rank& own,
+                                           const std::string& receiver,
+                                           std::uint64_t regular_number)
 {
-    constexpr auto turn = digest_beat / 2;
-    if (number % turn != 0)
+    constexpr auto half_period = digest_period / 2;
+    if (regular_number % half_period != 0)
         return false;
     const auto first = std::hash<std::string>()(receiver);
-    const auto later = number % digest_beat / turn;
+    const auto later = regular_number % digest_period / half_period;
     return (first + later) % own.entries == own.rank;
 }
 
@@ -81,44 +81,44 @@
 
 /*! @brief Returns a value, or the largest that its place in a message holds. */
 template <typename Narrow, typename Wide>
-[[nodiscard]] Narrow narrowed(Wide value)
+[[nodiscard]] Narrow saturated(Wide value)
 {
     return static_cast<Narrow>(
         std::min<Wide>(value, std::numeric_limits<Narrow>::max()));
 }
 
 /*! @brief Returns the place of a model in a digest's list. */
-[[nodiscard]] inline std::uint8_t model_place(std::vector<std::string>& models,
+[[nodiscard]] inline std::uint8_t model_index(std::vector<std::string>& models,
                                               const std::string& model)
 {
     const auto found = std::find(models.begin(), models.end(), model);
-    const auto place = found - models.begin();
+    const auto index = found - models.begin();
     if (found == models.end())
         models.push_back(model);
-    return static_cast<std::uint8_t>(place);
+    return static_cast<std::uint8_t>(index);
 }
 
 } // namespace internal
 
 /*! @brief Adds a side's status to a digest. */
 inline void add_status(message::hall_digest& to, std::uint32_t address,
-                       milliseconds age, const message::upstream_status& told)
+                       milliseconds age, const message::upstream_status& status)
 {
-    using internal::narrowed;
+    using internal::saturated;
     message::passed_status one;
     one.address = address;
-    one.age_ms = narrowed<std::uint16_t>(age.count());
-    one.model = internal::model_place(to.models, told.model);
+    one.age_ms = saturated<std::uint16_t>(age.count());
+    one.model = internal::model_index(to.models, status.model);
     one.flags = static_cast<std::uint8_t>(
-        (told.open ? internal::open_flag : 0) |
-        (told.reachable ? internal::reachable_flag : 0));
-    one.version = narrowed<std::uint32_t>(told.version);
-    one.side = told.side;
-    one.sequence = narrowed<std::uint32_t>(told.sequence);
-    one.life = told.life;
-    one.running = narrowed<std::uint16_t>(told.running);
-    one.waiting = narrowed<std::uint16_t>(told.waiting);
-    one.pace = static_cast<float>(told.pace);
+        (status.open ? internal::open_flag : 0) |
+        (status.reachable ? internal::reachable_flag : 0));
+    one.version = saturated<std::uint32_t>(status.version);
+    one.side = status.side;
+    one.sequence = saturated<std::uint32_t>(status.sequence);
+    one.life = status.life;
+    one.running = saturated<std::uint16_t>(status.running);
+    one.waiting = saturated<std::uint16_t>(status.waiting);
+    one.pace = static_cast<float>(status.pace);
     to.sides.push_back(one);
 }
 
@@ -145,22 +145,23 @@
 /*! @brief Returns the statuses of the live sides of a hall, in parts that fit
  * into a datagram each; none where no side is heard. */
 [[nodiscard]] inline std::vector<message::hall_digest>
-digest_parts(const peer_directory& peers, const hall_id& hall, time_point now)
+make_digests(const peer_directory& peers, const hall_id& hall, time_point now)
 {
-    std::vector<message::hall_digest> parts;
+    std::vector<message::hall_digest> digests;
     for (const auto& [address, one] : peers.all())
     {
         const auto number = parse_ipv4(address);
         if (one.entry || one.last_heartbeat.hall != hall.value() || !number ||
             !peer_directory::alive(one, now))
             continue;
-        if (parts.empty() || parts.back().sides.size() == digest_part)
-            parts.emplace_back();
-        add_status(parts.back(), *number,
+        if (digests.empty() ||
+            digests.back().sides.size() == max_digest_statuses)
+            digests.emplace_back();
+        add_status(digests.back(), *number,
                    std::chrono::duration_cast<milliseconds>(now - one.heard_at),
                    one.last_heartbeat.upstream);
     }
-    return parts;
+    return digests;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/item_rules.hpp
+++ b/src/coursejunction/fleet/item_rules.hpp
@@ -22,7 +22,7 @@
 
     /*! @brief Tells whether a value stands that a store which came back from
      * an older copy lacks, until its writer writes it again. */
-    std::function<bool(const std::string& key)> stands;
+    std::function<bool(const std::string& key)> survives_rollback;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/mirror_age.hpp
+++ b/src/coursejunction/fleet/lag_tracker.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Remembers how long peers have known more than this process; pure.
  */
-#ifndef COURSEJUNCTION_FLEET_MIRROR_AGE_HPP
-#define COURSEJUNCTION_FLEET_MIRROR_AGE_HPP
+#ifndef COURSEJUNCTION_FLEET_LAG_TRACKER_HPP
+#define COURSEJUNCTION_FLEET_LAG_TRACKER_HPP
 
 #include <algorithm>
 
@@ -13,12 +13,13 @@
 {
 
 /*! @brief How far the own mirror is behind what peers tell. */
-class mirror_age
+class lag_tracker
 {
 public:
     /*! @brief A peer tells a position that the own mirror lacks.
      * @param own Revision of the own mirror. */
-    void told(store_position position, store_position own, time_point now)
+    void report_ahead(store_position position, store_position own,
+                      time_point now)
     {
         if (own >= awaited)
         {
@@ -29,7 +30,7 @@
     }
 
     /*! @brief The own mirror reached a position. */
-    void advanced(store_position position, time_point now)
+    void advance(store_position position, time_point now)
     {
         if (awaited == store_position{} || position < awaited)
             return;
@@ -39,8 +40,8 @@
 
     /*! @brief Returns for how long a position was awaited.
      * @param position Of the own mirror. */
-    [[nodiscard]] milliseconds behind_for(store_position position,
-                                          time_point now) const
+    [[nodiscard]] milliseconds lag(store_position position,
+                                   time_point now) const
     {
         if (awaited == store_position{} || position >= awaited)
             return milliseconds(0);
--- a/src/coursejunction/fleet/peer_directory.hpp
+++ b/src/coursejunction/fleet/peer_directory.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "coursejunction/core/types.hpp"
-#include "coursejunction/fleet/fetch_turn.hpp"
+#include "coursejunction/fleet/fetch_schedule.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
 namespace coursejunction
@@ -34,10 +34,10 @@
 public:
     /*! @brief Silent this long, a peer counts as not alive; three heartbeats
      * of 200 ms and a margin for lost datagrams. */
-    static constexpr milliseconds silence{1000};
+    static constexpr milliseconds liveness_timeout{1000};
 
     /*! @brief Not named for this long, a silent peer is forgotten. */
-    static constexpr milliseconds memory{20'000};
+    static constexpr milliseconds retention{20'000};
 
     /*! @brief Notes an address from the settings; never forgotten. */
     void add_seed(const std::string& address, time_point now)
@@ -70,17 +70,18 @@
     /*! @brief Takes a heartbeat.
      * @return False for one that is older than the last. */
     bool record_heartbeat(const std::string& address,
-                          const message::fleet_heartbeat& beat, time_point now)
+                          const message::fleet_heartbeat& heartbeat,
+                          time_point now)
     {
         auto& one = peers[address];
         const bool older =
-            beat.incarnation < one.last_heartbeat.incarnation ||
-            (beat.incarnation == one.last_heartbeat.incarnation &&
-             beat.sequence <= one.last_heartbeat.sequence);
+            heartbeat.incarnation < one.last_heartbeat.incarnation ||
+            (heartbeat.incarnation == one.last_heartbeat.incarnation &&
+             heartbeat.sequence <= one.last_heartbeat.sequence);
         if (older && one.heard_at != time_point{})
             return false;
-        one.last_heartbeat = beat;
-        one.entry = beat.entry;
+        one.last_heartbeat = heartbeat;
+        one.entry = heartbeat.entry;
         one.heard_at = now;
         one.referenced_at = now;
         return true;
@@ -92,7 +93,7 @@
         std::erase_if(peers,
                       [&](const auto& one) {
                           return !one.second.seed &&
-                                 now - one.second.referenced_at > memory;
+                                 now - one.second.referenced_at > retention;
                       });
     }
 
@@ -105,7 +106,8 @@
 
     [[nodiscard]] static bool alive(const peer_state& one, time_point now)
     {
-        return one.heard_at != time_point{} && now - one.heard_at <= silence;
+        return one.heard_at != time_point{} &&
+               now - one.heard_at <= liveness_timeout;
     }
 
     /*! @brief Returns a peer, or null. */
@@ -168,8 +170,8 @@
             if (!one.entry || !alive(one, now) || !last.watching ||
                 last.leaving)
                 continue;
-            const auto theirs = steps_of(last.store_distance);
-            const auto ours = steps_of(distance);
+            const auto theirs = distance_bucket(last.store_distance);
+            const auto ours = distance_bucket(distance);
             count += theirs < ours || (theirs == ours && other < address);
         }
         return count;
@@ -194,11 +196,11 @@
 
     /*! @brief Returns where a process stands in its hall: entries come before
      * sides, then the address counts. */
-    [[nodiscard]] hall_standing standing(const std::string& address,
-                                         const hall_id& hall, bool entry,
-                                         time_point now) const
+    [[nodiscard]] hall_fetch_state fetch_state(const std::string& address,
+                                               const hall_id& hall, bool entry,
+                                               time_point now) const
     {
-        hall_standing made;
+        hall_fetch_state state;
         for (const auto& [other, one] : peers)
         {
             const auto& last = one.last_heartbeat;
@@ -206,15 +208,16 @@
                 continue;
             const bool before =
                 one.entry == entry ? other < address : one.entry;
-            made.rank += before ? 1 : 0;
-            made.fetching += last.fetching ? 1 : 0;
-            made.probing += last.probing ? 1 : 0;
+            state.rank += before ? 1 : 0;
+            state.fetching += last.fetching ? 1 : 0;
+            state.probing += last.probing ? 1 : 0;
         }
-        return made;
+        return state;
     }
 
     /*! @brief Tells whether no other process of a hall is known to live. */
-    [[nodiscard]] bool alone(const hall_id& hall, time_point now) const
+    [[nodiscard]] bool has_no_live_peer(const hall_id& hall,
+                                        time_point now) const
     {
         return std::none_of(peers.begin(), peers.end(),
                             [&](const auto& one)
@@ -229,9 +232,9 @@
      * before a side; empty when there is none.
      * @param own_hall Of this hall, or of any other one.
      * @param turn Chooses among equals, so that not all ask the same one. */
-    [[nodiscard]] std::string ahead_of(store_position position,
-                                       const hall_id& hall, bool own_hall,
-                                       std::size_t turn, time_point now) const
+    [[nodiscard]] std::string
+    find_peer_ahead(store_position position, const hall_id& hall, bool own_hall,
+                    std::size_t tie_breaker, time_point now) const
     {
         std::vector<std::string> found;
         bool entries = false;
@@ -248,12 +251,13 @@
             entries = one.entry;
             found.push_back(other);
         }
-        return found.empty() ? std::string() : found[turn % found.size()];
+        return found.empty() ? std::string()
+                             : found[tie_breaker % found.size()];
     }
 
     /*! @brief Tells whether a live entry watches the store and saw no outage:
      * then whoever lost the store was cut off itself. */
-    [[nodiscard]] bool steady_watcher(time_point now) const
+    [[nodiscard]] bool has_undisturbed_watcher(time_point now) const
     {
         return std::any_of(peers.begin(), peers.end(),
                            [&](const auto& one)
@@ -268,10 +272,10 @@
 private:
     /*! @brief Distances within a millisecond count as alike: halls of a region
      * are some 2 ms apart, regions 4 ms and more. */
-    static std::uint32_t steps_of(std::uint32_t distance)
+    static std::uint32_t distance_bucket(std::uint32_t distance)
     {
-        constexpr std::uint32_t step = 1000;
-        return distance / step;
+        constexpr std::uint32_t bucket_width = 1000;
+        return distance / bucket_width;
     }
 
     std::map<std::string, peer_state> peers;
--- a/src/coursejunction/fleet/restore_schedule.hpp
+++ b/src/coursejunction/fleet/restore_schedule.hpp
@@ -22,20 +22,20 @@
 {
 public:
     /*! @brief An entry waits this long for each entry before it. */
-    static constexpr milliseconds turn{500};
+    static constexpr milliseconds rank_delay{500};
 
     /*! @brief Tells, once after each change of the store's era, that it is this
      * entry's turn.
-     * @param shown The position of the mirror.
+     * @param position The position of the mirror.
      * @param rank How many entries come before this one. */
-    [[nodiscard]] bool due(store_position shown, std::size_t rank,
+    [[nodiscard]] bool due(store_position position, std::size_t rank,
                            time_point now)
     {
-        const auto before = std::exchange(last, shown);
-        if (before != store_position{} && before.era != shown.era)
+        const auto before = std::exchange(last, position);
+        if (before != store_position{} && before.era != position.era)
             changed_at = now;
         if (!changed_at ||
-            now - *changed_at < turn * static_cast<std::int64_t>(rank))
+            now - *changed_at < rank_delay * static_cast<std::int64_t>(rank))
             return false;
         changed_at.reset();
         return true;
--- a/src/coursejunction/fleet/store_mirror.hpp
+++ b/src/coursejunction/fleet/store_mirror.hpp
@@ -43,7 +43,7 @@
  * @return The page with payloads, or `refused` when one is not what it tells.
  */
 [[nodiscard]] inline result<message::mirror_page>
-unpacked(message::mirror_page page)
+unpack_page(message::mirror_page page)
 {
     for (auto& one : page.items)
     {
@@ -88,17 +88,17 @@
         {
             // The mirror is whole up to its position: a key that it does not
             // know was gone by then, whoever still tells of it.
-            const bool outdated = one.position() <= upto &&
-                                  !values.contains(one.key) &&
-                                  !(one.era < upto.era && stands(one.key));
+            const bool outdated =
+                one.position() <= mirrored_to && !values.contains(one.key) &&
+                !(one.era < mirrored_to.era && survives_rollback(one.key));
             if (!outdated && put(one, now) && seen.insert(one.key).second)
                 changed.push_back(one.key);
-            older = older || one.era < upto.era;
+            older = older || one.era < mirrored_to.era;
         }
-        const bool crosses = complete_to.era > upto.era;
-        upto = std::max(upto, complete_to);
-        if (older || crosses || standing > 0)
-            count_standing();
+        const bool crosses = complete_to.era > mirrored_to.era;
+        mirrored_to = std::max(mirrored_to, complete_to);
+        if (older || crosses || carried_count > 0)
+            update_carried_count();
         return changed;
     }
 
@@ -122,14 +122,14 @@
                 listed.contains(key))
                 continue;
             const bool lost = value.era < as_of.era;
-            if (lost && stands(key))
+            if (lost && survives_rollback(key))
                 continue;
             value = mirrored_value{{},   {},        as_of.revision,       now,
                                    true, as_of.era, order_of(key, value), lost};
             changed.push_back(key);
         }
-        upto = std::max(upto, as_of);
-        count_standing();
+        mirrored_to = std::max(mirrored_to, as_of);
+        update_carried_count();
         return changed;
     }
 
@@ -139,14 +139,14 @@
                                                      time_point now) const
     {
         message::mirror_page page;
-        page.position = upto;
-        page.whole = after.era < upto.era;
+        page.position = mirrored_to;
+        page.whole = after.era < mirrored_to.era;
         page.carried = carried();
         for (const auto& [key, value] : values)
         {
-            const bool old = value.era < upto.era && !value.removed;
+            const bool old = value.era < mirrored_to.era && !value.removed;
             if (value.position() > after || page.whole || old)
-                page.items.push_back(told(key, value, now));
+                page.items.push_back(to_item(key, value, now));
         }
         return page;
     }
@@ -176,23 +176,30 @@
 
     /*! @brief Returns the position up to which the mirror is whole; the start
      * when nothing was ever read. */
-    [[nodiscard]] store_position position() const noexcept { return upto; }
+    [[nodiscard]] store_position position() const noexcept
+    {
+        return mirrored_to;
+    }
 
     /*! @brief Returns how many values stand from earlier eras of the store. */
-    [[nodiscard]] std::uint32_t carried() const noexcept { return standing; }
+    [[nodiscard]] std::uint32_t carried() const noexcept
+    {
+        return carried_count;
+    }
 
 private:
-    void count_standing()
+    void update_carried_count()
     {
-        standing = static_cast<std::uint32_t>(std::count_if(
+        carried_count = static_cast<std::uint32_t>(std::count_if(
             values.begin(), values.end(),
-            [&](const auto& one)
-            { return !one.second.removed && one.second.era < upto.era; }));
+            [&](const auto& one) {
+                return !one.second.removed && one.second.era < mirrored_to.era;
+            }));
     }
 
-    [[nodiscard]] bool stands(const std::string& key) const
+    [[nodiscard]] bool survives_rollback(const std::string& key) const
     {
-        return rules.stands && rules.stands(key);
+        return rules.survives_rollback && rules.survives_rollback(key);
     }
 
     /*! @tparam Value A `mirrored_value` or a `mirror_item`. */
@@ -255,7 +262,7 @@
     }
 
     static message::mirror_item
-    told(const std::string& key, const mirrored_value& value, time_point now)
+    to_item(const std::string& key, const mirrored_value& value, time_point now)
     {
         const auto age =
             std::chrono::duration_cast<milliseconds>(now - value.first_seen);
@@ -274,8 +281,8 @@
 
     item_rules rules;
     std::map<std::string, mirrored_value> values;
-    store_position upto;
-    std::uint32_t standing{0}; /*!< Values of earlier eras. */
+    store_position mirrored_to;
+    std::uint32_t carried_count{0}; /*!< Values of earlier eras. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/store_outage.hpp
+++ b/src/coursejunction/fleet/store_outage.hpp
@@ -19,36 +19,36 @@
 public:
     /*! @brief Failures for at least this long are an outage; a record lapses
      * after three heartbeats, of which the first may be due at once. */
-    static constexpr milliseconds least{1000};
+    static constexpr milliseconds min_duration{1000};
 
     /*! @brief After its return the store counts as unsettled for this long;
      * the platform's rules count nothing against us for as long. */
-    static constexpr milliseconds settling{3000};
+    static constexpr milliseconds settle_time{3000};
 
     /*! @brief A call failed. */
-    void failed(time_point now)
+    void record_failure(time_point now)
     {
-        if (!began)
-            began = now;
+        if (!failing_since)
+            failing_since = now;
     }
 
     /*! @brief A call was answered. */
-    void answered(time_point now)
+    void record_success(time_point now)
     {
-        if (began && now - *began >= least)
-            ended = now;
-        began.reset();
+        if (failing_since && now - *failing_since >= min_duration)
+            ended_at = now;
+        failing_since.reset();
     }
 
     /*! @brief Tells whether an outage ended just now. */
-    [[nodiscard]] bool returned(time_point now) const
+    [[nodiscard]] bool recently_ended(time_point now) const
     {
-        return ended && now - *ended < settling;
+        return ended_at && now - *ended_at < settle_time;
     }
 
 private:
-    std::optional<time_point> began;
-    std::optional<time_point> ended;
+    std::optional<time_point> failing_since;
+    std::optional<time_point> ended_at;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/store_reader.hpp
+++ b/src/coursejunction/fleet/store_reader.hpp
@@ -12,7 +12,7 @@
 
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/core/result.hpp"
-#include "coursejunction/fleet/fetch_turn.hpp"
+#include "coursejunction/fleet/fetch_schedule.hpp"
 #include "coursejunction/fleet/store_mirror.hpp"
 #include "coursejunction/fleet/store_outage.hpp"
 #include "coursejunction/net/event_loop.hpp"
@@ -48,10 +48,10 @@
 struct store_reader_hooks
 {
     /*! @brief Whether this process is among those that read the store. */
-    std::function<bool()> wanted;
+    std::function<bool()> should_watch;
     /*! @brief Changes came, or the whole store. */
-    std::function<void(const store_page&, bool whole)> took;
-    std::function<void()> begun; /*!< Reads for its hall from now on. */
+    std::function<void(const store_page&, bool whole)> page_received;
+    std::function<void()> started; /*!< Reads for its hall from now on. */
 };
 
 /*! @brief Watches the store. It goes on after the position of the mirror,
@@ -79,34 +79,34 @@
     /*! @brief Longest answer of a watch beyond its wait. It holds every value
      * that was written since: after some twenty changes of 2 MB it filled a
      * link of 24 Mbit/s for 15 s. A listing holds the last ones only. */
-    static constexpr milliseconds slow_watch{1200};
+    static constexpr milliseconds watch_overrun_limit{1200};
 
     /*! @brief A listing that lasts this long is given up when peers have told
      * more meanwhile; otherwise it goes on, however large it is. */
-    static constexpr milliseconds slow_listing{2500};
+    static constexpr milliseconds listing_time_limit{2500};
 
     /*! @param seed Spreads the pauses of processes that fail together. */
     store_reader(event_loop& owner, Store& service, metrics& counted,
                  const store_mirror& held, std::uint64_t seed)
         : loop(owner), store(service), counters(counted), mirror(held),
-          turns(seed)
+          schedule(seed)
     {
     }
 
     void start(store_reader_hooks given) { hooks = std::move(given); }
 
     /*! @brief Begins to read when it is this process's turn. */
-    void consider(const hall_standing& standing, time_point now)
+    void poll(const hall_fetch_state& hall, time_point now)
     {
         if (busy)
-            return give_up_slow(now);
-        turns.lacking(hooks.wanted(), now);
-        if (turns.due(standing, now))
-            begin(standing);
+            return cancel_slow_call(now);
+        schedule.set_needed(hooks.should_watch(), now);
+        if (schedule.due(hall, now))
+            begin(hall);
     }
 
     /*! @brief Tells whether the store answers and is watched. */
-    [[nodiscard]] bool watching() const noexcept { return up && busy; }
+    [[nodiscard]] bool watching() const noexcept { return reachable && busy; }
 
     /*! @brief Tells whether the whole store is on its way. */
     [[nodiscard]] bool fetching() const noexcept { return listing; }
@@ -114,29 +114,30 @@
     /*! @brief Tells whether a first call for news only is under way. */
     [[nodiscard]] bool probing() const noexcept
     {
-        return busy && !up && !listing;
+        return busy && !reachable && !listing;
     }
 
     /*! @brief Returns how often changes may have been missed: only the last
      * write of each key is seen after a gap. */
-    [[nodiscard]] std::uint64_t gaps() const noexcept { return missed; }
+    [[nodiscard]] std::uint64_t gaps() const noexcept { return gap_count; }
 
     /*! @brief Tells whether an outage of the store ended just now. */
-    [[nodiscard]] bool returned(time_point now) const
+    [[nodiscard]] bool outage_recently_ended(time_point now) const
     {
-        return outage.returned(now);
+        return outage.recently_ended(now);
     }
 
 private:
-    void begin(const hall_standing& standing)
+    void begin(const hall_fetch_state& hall)
     {
         busy = true;
-        listing = mirror.position() <= forgotten;
-        log::state("store_read_begun",
-                   {{"revision", mirror.position().text()},
-                    {"rank", std::to_string(standing.rank)},
-                    {"failures", std::to_string(turns.failed_in_row())}});
-        hooks.begun();
+        listing = mirror.position() <= history_gone_until;
+        log::state(
+            "store_read_begun",
+            {{"revision", mirror.position().text()},
+             {"rank", std::to_string(hall.rank)},
+             {"failures", std::to_string(schedule.consecutive_failures())}});
+        hooks.started();
         if (listing)
             list();
         else
@@ -145,51 +146,52 @@
 
     void list()
     {
-        counted_call("list");
+        begin_call("list");
         store.list(
             [this](result<store_page> answer)
             {
                 listing = false;
-                under_way = false;
+                call_pending = false;
                 if (!answer)
-                    return failed("list", answer.error().message);
+                    return record_failure("list", answer.error().message);
                 if (answer.value().position.era < mirror.position().era)
-                    return failed("list", "an earlier era of the store");
-                answered();
-                hooks.took(answer.value(), true);
+                    return record_failure("list",
+                                          "an earlier era of the store");
+                record_success();
+                hooks.page_received(answer.value(), true);
                 watch(watch_wait);
             });
     }
 
     void watch(milliseconds wait)
     {
-        waits = wait;
-        counted_call("watch");
+        watch_timeout = wait;
+        begin_call("watch");
         store.watch(mirror.position().revision, wait,
                     [this](result<store_page> answer)
                     {
-                        under_way = false;
+                        call_pending = false;
                         if (!answer)
-                            return watch_failed(answer.error());
-                        if (answer.value().position.era != called_at.era)
-                            return era_changed(answer.value().position);
-                        answered();
-                        gone_in_row = 0;
-                        hooks.took(answer.value(), false);
-                        watch_on(!answer.value().items.empty());
+                            return on_watch_failed(answer.error());
+                        if (answer.value().position.era != call_position.era)
+                            return on_era_changed(answer.value().position);
+                        record_success();
+                        consecutive_history_losses = 0;
+                        hooks.page_received(answer.value(), false);
+                        continue_watching(!answer.value().items.empty());
                     });
     }
 
     /*! @brief Watches on, or leaves it to others.
      * @param changed Whether more changes may follow at once. */
-    void watch_on(bool changed)
+    void continue_watching(bool changed)
     {
-        if (!hooks.wanted())
+        if (!hooks.should_watch())
         {
             // Whether the store can be reached when it is wanted again is not
             // known: others must not count on this process before.
             busy = false;
-            up = false;
+            reachable = false;
             return;
         }
         if (!changed)
@@ -199,59 +201,61 @@
 
     /*! @brief The store came back from an older copy: what changed since a
      * revision of the earlier era says nothing of what it lost. */
-    void era_changed(store_position now_at)
+    void on_era_changed(store_position now_at)
     {
-        if (now_at.era < called_at.era)
-            return failed("watch", "an earlier era of the store");
-        forgotten = called_at;
-        ++missed;
-        log::warning("store_era_changed",
-                     {{"before", called_at.text()}, {"now", now_at.text()}});
+        if (now_at.era < call_position.era)
+            return record_failure("watch", "an earlier era of the store");
+        history_gone_until = call_position;
+        ++gap_count;
+        log::warning("store_era_changed", {{"before", call_position.text()},
+                                           {"now", now_at.text()}});
         counters.count("store_eras_total");
         busy = false;
-        up = false;
+        reachable = false;
     }
 
-    void watch_failed(const error& why)
+    void on_watch_failed(const error& why)
     {
         if (why.kind != error_kind::not_found)
-            return failed("watch", why.message);
+            return record_failure("watch", why.message);
         // One of the hall lists the store anew; those whose mirror it brings
         // past this revision watch on from there.
-        forgotten = mirror.position();
-        ++missed;
-        log::warning("store_history_gone", {{"revision", forgotten.text()}});
+        history_gone_until = mirror.position();
+        ++gap_count;
+        log::warning("store_history_gone",
+                     {{"revision", history_gone_until.text()}});
         busy = false;
-        up = false;
+        reachable = false;
         // The history may be gone again by the end of each listing.
-        if (++gone_in_row > 1)
-            turns.failed(event_loop::now());
+        if (++consecutive_history_losses > 1)
+            schedule.record_failure(event_loop::now());
     }
 
-    void failed(const std::string& call, const std::string& why)
+    void record_failure(const std::string& call, const std::string& why)
     {
         const auto now = event_loop::now();
         busy = false;
-        up = false;
-        ++missed;
-        outage.failed(now);
-        turns.failed(now);
+        reachable = false;
+        ++gap_count;
+        outage.record_failure(now);
+        schedule.record_failure(now);
         counters.count("store_failures_total", 1, {{"call", call}});
-        log::warning("store_lost",
-                     {{"call", call},
-                      {"why", why},
-                      {"failures", std::to_string(turns.failed_in_row())},
-                      {"after_ms", std::to_string(age_ms(called, now))},
-                      {"revision", mirror.position().text()}});
+        log::warning(
+            "store_lost",
+            {{"call", call},
+             {"why", why},
+             {"failures", std::to_string(schedule.consecutive_failures())},
+             {"after_ms", std::to_string(elapsed_ms(call_began, now))},
+             {"revision", mirror.position().text()}});
     }
 
-    void answered()
+    void record_success()
     {
-        outage.answered(event_loop::now());
-        turns.succeeded();
-        if (up)
+        outage.record_success(event_loop::now());
+        schedule.record_success();
+        if (reachable)
             return;
-        up = true;
+        reachable = true;
         log::state("store_reached",
                    {{"revision", mirror.position().text()},
                     {"distance_us", std::to_string(distance_us())}});
@@ -259,33 +263,35 @@
 
     /*! @brief Ends a call that costs more than another one: the next turn goes
      * on from where peers brought the mirror, or lists where they did not. */
-    void give_up_slow(time_point now)
+    void cancel_slow_call(time_point now)
     {
-        const bool told_more = mirror.position() > called_at;
-        const auto limit = listing ? slow_listing : waits + slow_watch;
-        if (!under_way || now - called < limit || (listing && !told_more))
+        const bool mirror_advanced = mirror.position() > call_position;
+        const auto limit =
+            listing ? listing_time_limit : watch_timeout + watch_overrun_limit;
+        if (!call_pending || now - call_began < limit ||
+            (listing && !mirror_advanced))
             return;
         store.cancel();
-        under_way = false;
+        call_pending = false;
         listing = false;
         busy = false;
-        up = false;
-        if (!told_more)
+        reachable = false;
+        if (!mirror_advanced)
         {
-            forgotten = mirror.position();
-            ++missed;
+            history_gone_until = mirror.position();
+            ++gap_count;
         }
         counters.count("store_calls_given_up_total");
         log::state("store_call_given_up",
-                   {{"began_at", called_at.text()},
+                   {{"began_at", call_position.text()},
                     {"revision", mirror.position().text()}});
     }
 
-    void counted_call(const std::string& call)
+    void begin_call(const std::string& call)
     {
-        called = event_loop::now();
-        called_at = mirror.position();
-        under_way = true;
+        call_began = event_loop::now();
+        call_position = mirror.position();
+        call_pending = true;
         counters.count("store_calls_total", 1, {{"call", call}});
     }
 
@@ -294,7 +300,7 @@
         return std::chrono::microseconds(store.distance()).count();
     }
 
-    static std::int64_t age_ms(time_point from, time_point now)
+    static std::int64_t elapsed_ms(time_point from, time_point now)
     {
         return std::chrono::duration_cast<milliseconds>(now - from).count();
     }
@@ -304,19 +310,21 @@
     metrics& counters;
     const store_mirror& mirror;
     store_reader_hooks hooks;
-    fetch_turn turns;
+    fetch_schedule schedule;
     store_outage outage;
     timer pause;
-    time_point called{};        /*!< When the last call began. */
-    store_position called_at;   /*!< Position at that moment. */
-    milliseconds waits{0};      /*!< What the last watch waits. */
-    bool under_way{false};      /*!< That call has not ended. */
-    store_position forgotten;   /*!< No watch goes on from here or before. */
-    bool up{false};             /*!< The last call was answered. */
-    bool busy{false};           /*!< A call or a pause of the watch runs. */
-    bool listing{false};        /*!< The call lists the whole store. */
-    std::size_t gone_in_row{0}; /*!< Watches whose history was gone. */
-    std::uint64_t missed{0};    /*!< Gaps in what was heard. */
+    time_point call_began{};       /*!< When the last call began. */
+    store_position call_position;  /*!< Position at that moment. */
+    milliseconds watch_timeout{0}; /*!< What the last watch waits. */
+    bool call_pending{false};      /*!< That call has not ended. */
+    store_position
+        history_gone_until; /*!< No watch goes on from here or before. */
+    bool reachable{false};  /*!< The last call was answered. */
+    bool busy{false};       /*!< A call or a pause of the watch runs. */
+    bool listing{false};    /*!< The call lists the whole store. */
+    std::size_t consecutive_history_losses{
+        0};                     /*!< Watches whose history was gone. */
+    std::uint64_t gap_count{0}; /*!< Gaps in what was heard. */
 };
 
 } // namespace coursejunction
--- a/tests/fleet/fetch_turn.cpp
+++ b/tests/fleet/fetch_schedule.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/fleet/fetch_turn.hpp"
+#include "coursejunction/fleet/fetch_schedule.hpp"
 
 #include <algorithm>
 #include <vector>
@@ -11,78 +11,78 @@
 
 SCENARIO("processes of a hall take turns at a link", "[fleet]")
 {
-    cj::fetch_turn turns;
+    cj::fetch_schedule schedule;
     const cj::time_point now{100s};
 
     GIVEN("nothing that is lacking")
     {
-        CHECK_FALSE(turns.due({}, now));
+        CHECK_FALSE(schedule.due({}, now));
     }
     GIVEN("something that is lacking")
     {
-        turns.lacking(true, now);
+        schedule.set_needed(true, now);
         THEN("the first of the hall begins at once, the third two turns later")
         {
-            CHECK(turns.due({0, 0}, now));
-            CHECK_FALSE(turns.due({2, 0}, now + 599ms));
-            CHECK(turns.due({2, 0}, now + 600ms));
+            CHECK(schedule.due({0, 0}, now));
+            CHECK_FALSE(schedule.due({2, 0}, now + 599ms));
+            CHECK(schedule.due({2, 0}, now + 600ms));
         }
         THEN("while another one fetches it is waited for, but not for ever")
         {
-            CHECK_FALSE(turns.due({1, 1}, now));
-            CHECK_FALSE(turns.due({1, 1}, now + 1499ms));
-            CHECK(turns.due({1, 1}, now + 1500ms));
+            CHECK_FALSE(schedule.due({1, 1}, now));
+            CHECK_FALSE(schedule.due({1, 1}, now + 1499ms));
+            CHECK(schedule.due({1, 1}, now + 1500ms));
         }
         THEN("beside two that fetch nobody begins")
         {
-            CHECK_FALSE(turns.due({0, 2}, now + 10s));
+            CHECK_FALSE(schedule.due({0, 2}, now + 10s));
         }
         THEN("two that never end do not keep all others away for ever")
         {
-            CHECK_FALSE(turns.due({0, 2}, now));
-            CHECK_FALSE(turns.due({0, 2}, now + 3s));
-            CHECK(turns.due({0, 2}, now + 10s));
+            CHECK_FALSE(schedule.due({0, 2}, now));
+            CHECK_FALSE(schedule.due({0, 2}, now + 3s));
+            CHECK(schedule.due({0, 2}, now + 10s));
             AND_THEN("nor does a third one")
             {
-                CHECK_FALSE(turns.due({0, 3}, now + 10s));
-                CHECK(turns.due({0, 3}, now + 20s));
+                CHECK_FALSE(schedule.due({0, 3}, now + 10s));
+                CHECK(schedule.due({0, 3}, now + 20s));
             }
         }
         THEN("those that all waited for one begin one after the other")
         {
-            CHECK_FALSE(turns.due({3, 2}, now + 10s));
-            CHECK_FALSE(turns.due({3, 0}, now + 10s));
-            CHECK_FALSE(turns.due({3, 0}, now + 10s + 74ms));
-            CHECK(turns.due({3, 0}, now + 10s + 75ms));
+            CHECK_FALSE(schedule.due({3, 2}, now + 10s));
+            CHECK_FALSE(schedule.due({3, 0}, now + 10s));
+            CHECK_FALSE(schedule.due({3, 0}, now + 10s + 74ms));
+            CHECK(schedule.due({3, 0}, now + 10s + 75ms));
         }
         AND_WHEN("it is there after all")
         {
-            turns.lacking(false, now + 10ms);
-            CHECK_FALSE(turns.due({}, now + 10s));
+            schedule.set_needed(false, now + 10ms);
+            CHECK_FALSE(schedule.due({}, now + 10s));
         }
         AND_WHEN("a fetch fails")
         {
-            turns.failed(now);
+            schedule.record_failure(now);
             THEN("the next one waits, longer after each failure, up to 1.5 s")
             {
-                CHECK_FALSE(turns.due({}, now + 149ms));
-                CHECK(turns.due({}, now + 225ms));
+                CHECK_FALSE(schedule.due({}, now + 149ms));
+                CHECK(schedule.due({}, now + 225ms));
                 for (int again = 0; again < 20; ++again)
-                    turns.failed(now);
-                CHECK_FALSE(turns.due({}, now + 999ms));
-                CHECK(turns.due({}, now + 1500ms));
+                    schedule.record_failure(now);
+                CHECK_FALSE(schedule.due({}, now + 999ms));
+                CHECK(schedule.due({}, now + 1500ms));
             }
             THEN("the turns begin anew")
             {
-                CHECK_FALSE(turns.due({1, 0}, now + 300ms));
-                CHECK(turns.due({1, 0}, now + 525ms));
+                CHECK_FALSE(schedule.due({1, 0}, now + 300ms));
+                CHECK(schedule.due({1, 0}, now + 525ms));
             }
             AND_WHEN("one succeeds")
             {
-                turns.succeeded();
-                turns.lacking(true, now);
-                CHECK(turns.failed_in_row() == 0);
-                CHECK(turns.due({}, now));
+                schedule.record_success();
+                schedule.set_needed(true, now);
+                CHECK(schedule.consecutive_failures() == 0);
+                CHECK(schedule.due({}, now));
             }
         }
     }
@@ -100,7 +100,7 @@
 
     /*! @brief Until a process of the hall hears of another's news: a datagram
      * that is sent at once, and the loop of a busy process. */
-    static constexpr std::chrono::milliseconds beat{20};
+    static constexpr std::chrono::milliseconds propagation{20};
 
     /*! @param starts When each process begins to lack the state.
      * @param state_bytes Of the whole state.
@@ -111,7 +111,7 @@
     {
         for (std::size_t at = 0; at < starts.size(); ++at)
         {
-            process made{cj::fetch_turn(at * 97)};
+            process made{cj::fetch_schedule(at * 97)};
             made.start =
                 cj::time_point{} + std::chrono::milliseconds(starts[at]);
             hall.push_back(made);
@@ -119,7 +119,7 @@
     }
 
     /*! @brief The processes knew each other before. */
-    void know_each_other() { known = true; }
+    void mark_peers_known() { known = true; }
 
     /*! @brief Cuts the link: what is under way fails after its patience. */
     void cut(cj::time_point from, cj::time_point until)
@@ -130,33 +130,33 @@
 
     /*! @brief Plays until all have the state.
      * @return When that was, or the limit. */
-    cj::time_point play(cj::time_point limit)
+    cj::time_point run(cj::time_point limit)
     {
         for (now = {}; now < limit; now += step)
         {
             move_bytes();
             for (std::size_t at = 0; at < hall.size(); ++at)
-                act(at);
+                step_process(at);
             if (std::all_of(hall.begin(), hall.end(),
-                            [](const process& one) { return one.whole; }))
+                            [](const process& one) { return one.complete; }))
                 return now;
         }
         return limit;
     }
 
-    double carried{0};
+    double transferred{0};
 
 private:
     struct process
     {
-        cj::fetch_turn turns;
+        cj::fetch_schedule schedule;
         cj::time_point start{};
         cj::time_point began{};
         cj::time_point moved{};
         double left{0};
         bool fetching{false};
-        bool whole{false};
-        cj::time_point whole_at{};
+        bool complete{false};
+        cj::time_point completed_at{};
     };
 
     void move_bytes()
@@ -175,55 +175,57 @@
                 continue;
             one.left -= share;
             one.moved = now;
-            carried += share;
+            transferred += share;
         }
     }
 
-    void act(std::size_t at)
+    void step_process(std::size_t at)
     {
         auto& one = hall[at];
-        if (one.whole || now < one.start)
+        if (one.complete || now < one.start)
             return;
-        if (heard_of_state())
-            return become_whole(one);
+        if (peer_has_state())
+            return mark_complete(one);
         if (one.fetching)
-            return go_on(one);
-        one.turns.lacking(true, now);
-        if (!one.turns.due(standing(at), now))
+            return continue_fetch(one);
+        one.schedule.set_needed(true, now);
+        if (!one.schedule.due(fetch_state(at), now))
             return;
         one.fetching = true;
         one.began = one.moved = now;
         one.left = bytes;
     }
 
-    void go_on(process& one)
+    void continue_fetch(process& one)
     {
         constexpr auto patience = 700ms;
         if (one.left <= 0)
-            return become_whole(one);
+            return mark_complete(one);
         if (now - one.moved < patience)
             return;
         one.fetching = false;
-        one.turns.failed(now);
+        one.schedule.record_failure(now);
     }
 
-    void become_whole(process& one)
+    void mark_complete(process& one)
     {
         one.fetching = false;
-        one.whole = true;
-        one.whole_at = now;
+        one.complete = true;
+        one.completed_at = now;
     }
 
-    [[nodiscard]] bool heard_of_state() const
+    [[nodiscard]] bool peer_has_state() const
     {
         return std::any_of(hall.begin(), hall.end(),
-                           [&](const process& one)
-                           { return one.whole && now - one.whole_at >= beat; });
+                           [&](const process& one) {
+                               return one.complete &&
+                                      now - one.completed_at >= propagation;
+                           });
     }
 
-    [[nodiscard]] cj::hall_standing standing(std::size_t at) const
+    [[nodiscard]] cj::hall_fetch_state fetch_state(std::size_t at) const
     {
-        cj::hall_standing made;
+        cj::hall_fetch_state made;
         // The first is a seed; the others let it go first while they are new.
         if (!known && at > 0 && now < hall[at].start + 1s)
             made.rank = 1;
@@ -231,10 +233,11 @@
         for (std::size_t other = 0; other < hall.size(); ++other)
         {
             const auto& one = hall[other];
-            if (other == at || (!known && now < one.start + beat))
+            if (other == at || (!known && now < one.start + propagation))
                 continue;
             before += other < at ? 1 : 0;
-            made.fetching += one.fetching && now - one.began >= beat ? 1 : 0;
+            made.fetching +=
+                one.fetching && now - one.began >= propagation ? 1 : 0;
         }
         made.rank = std::max(made.rank, before);
         return made;
@@ -268,10 +271,10 @@
                  hall_model hall(starts, bytes, rate);
                  // The last start, a turn, and at worst a second reader.
                  const auto bound = cj::time_point{} + 300ms +
-                                    cj::fetch_turn::turn + copy * 2 +
-                                    hall_model::beat * 2;
-                 RC_ASSERT(hall.play(bound + 1s) <= bound);
-                 RC_ASSERT(hall.carried <= bytes * 3);
+                                    cj::fetch_schedule::rank_delay + copy * 2 +
+                                    hall_model::propagation * 2;
+                 RC_ASSERT(hall.run(bound + 1s) <= bound);
+                 RC_ASSERT(hall.transferred <= bytes * 3);
              });
 
     rc::prop("after a cut of the link",
@@ -279,7 +282,7 @@
              {
                  const auto count = *rc::gen::inRange<std::size_t>(2, 25);
                  hall_model hall(std::vector<int>(count, 0), bytes, rate);
-                 hall.know_each_other();
+                 hall.mark_peers_known();
                  const auto end =
                      cj::time_point{} +
                      std::chrono::milliseconds(*rc::gen::inRange(100, 20'000));
@@ -287,9 +290,9 @@
                  // At most the longest pause, a second reader beside the first,
                  // and for each one that began before it heard that they ended.
                  const auto bound = end +
-                                    cj::fetch_turn::longest_pause * 3 / 2 +
-                                    copy * 4 + hall_model::beat;
-                 RC_ASSERT(hall.play(bound + 10s) <= bound);
-                 RC_ASSERT(hall.carried <= bytes * 4);
+                                    cj::fetch_schedule::max_backoff * 3 / 2 +
+                                    copy * 4 + hall_model::propagation;
+                 RC_ASSERT(hall.run(bound + 10s) <= bound);
+                 RC_ASSERT(hall.transferred <= bytes * 4);
              });
 }
--- a/tests/fleet/hall_digest.cpp
+++ b/tests/fleet/hall_digest.cpp
@@ -18,16 +18,16 @@
 void hear(cj::peer_directory& peers, const std::string& address,
           const std::string& hall, bool entry, cj::time_point now)
 {
-    cj::message::fleet_heartbeat beat;
-    beat.incarnation = 1;
-    beat.sequence = 1;
-    beat.hall = hall;
-    beat.entry = entry;
-    beat.upstream.model = "model-of-ten";
-    beat.upstream.running = 3;
-    beat.upstream.life = 1764720000123;
-    beat.upstream.open = true;
-    peers.record_heartbeat(address, beat, now);
+    cj::message::fleet_heartbeat heartbeat;
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = 1;
+    heartbeat.hall = hall;
+    heartbeat.entry = entry;
+    heartbeat.upstream.model = "model-of-ten";
+    heartbeat.upstream.running = 3;
+    heartbeat.upstream.life = 1764720000123;
+    heartbeat.upstream.open = true;
+    peers.record_heartbeat(address, heartbeat, now);
 }
 
 } // namespace
@@ -45,15 +45,15 @@
     THEN("every live side of the hall is in one part, and nothing else")
     {
         std::set<std::uint32_t> told;
-        for (const auto& part : cj::digest_parts(peers, here, now + 70ms))
+        for (const auto& part : cj::make_digests(peers, here, now + 70ms))
         {
-            cj::message::fleet_heartbeat beat;
-            beat.entry = true;
-            beat.digest = part;
+            cj::message::fleet_heartbeat heartbeat;
+            heartbeat.entry = true;
+            heartbeat.digest = part;
             // A packet of 1,500 bytes without the heads of IP and UDP.
-            CHECK(cj::encode(beat).size() <= 1472);
+            CHECK(cj::encode(heartbeat).size() <= 1472);
             const auto read =
-                cj::decode<cj::message::fleet_heartbeat>(cj::encode(beat));
+                cj::decode<cj::message::fleet_heartbeat>(cj::encode(heartbeat));
             REQUIRE(read);
             for (const auto& one : read.value().digest.sides)
             {
@@ -85,10 +85,9 @@
                 for (const auto& other : own)
                     if (other != address)
                         hear(others, other, "here", true, now);
-                const auto place =
-                    cj::digest_place_of(others, address, here, now);
+                const auto rank = cj::relay_rank_of(others, address, here, now);
                 for (std::uint64_t number = 0; number < 8; ++number)
-                    if (cj::passes_digest(place, receiver, number))
+                    if (cj::relays_digest_to(rank, receiver, number))
                         ++made[address];
             }
             return made;
@@ -106,12 +105,12 @@
     }
     GIVEN("one entry alone")
     {
-        const auto place = cj::digest_place_of(peers, "10.1.0.1", here, now);
+        const auto rank = cj::relay_rank_of(peers, "10.1.0.1", here, now);
         THEN("it tells everybody each time")
         {
-            CHECK(cj::passes_digest(place, "10.3.0.1", 4));
-            CHECK(cj::passes_digest(place, "10.3.0.1", 6));
-            CHECK_FALSE(cj::passes_digest(place, "10.3.0.1", 7));
+            CHECK(cj::relays_digest_to(rank, "10.3.0.1", 4));
+            CHECK(cj::relays_digest_to(rank, "10.3.0.1", 6));
+            CHECK_FALSE(cj::relays_digest_to(rank, "10.3.0.1", 7));
         }
     }
 }
--- a/tests/fleet/mirror_puller.cpp
+++ b/tests/fleet/mirror_puller.cpp
@@ -83,7 +83,7 @@
                              });
         puller.start(
             cj::hall_id("here"), ":" + std::to_string(port),
-            {[] { return cj::hall_standing{}; },
+            {[] { return cj::hall_fetch_state{}; },
              [this](const cj::message::mirror_page& page, const std::string&) {
                  mirror.apply(page.items, page.position, cj::event_loop::now());
              },
@@ -108,16 +108,16 @@
         ++sequence;
         for (const int number : {squeezed, sound})
         {
-            cj::message::fleet_heartbeat beat;
-            beat.incarnation = 1;
-            beat.sequence = sequence;
-            beat.mirrored = newest;
-            beat.hall = hall;
-            beat.entry = true;
+            cj::message::fleet_heartbeat heartbeat;
+            heartbeat.incarnation = 1;
+            heartbeat.sequence = sequence;
+            heartbeat.mirrored = newest;
+            heartbeat.hall = hall;
+            heartbeat.entry = true;
             const auto from = loopback::own_address(number);
-            directory.record_heartbeat(from, beat, cj::event_loop::now());
+            directory.record_heartbeat(from, heartbeat, cj::event_loop::now());
             if (mirror.position() < newest)
-                puller.heard(from, hall == "here");
+                puller.peer_ahead(from, hall == "here");
         }
     }
 
--- a/tests/fleet/restore_schedule.cpp
+++ b/tests/fleet/restore_schedule.cpp
@@ -9,31 +9,32 @@
           "[fleet]")
 {
     const time_point now{100s};
-    restore_schedule turn;
+    restore_schedule schedule;
 
     SECTION("nothing is lost when the store is read for the first time")
     {
-        CHECK_FALSE(turn.due({}, 0, now));
-        CHECK_FALSE(turn.due({3, 9}, 0, now));
-        CHECK_FALSE(turn.due({3, 10}, 0, now + 9s));
+        CHECK_FALSE(schedule.due({}, 0, now));
+        CHECK_FALSE(schedule.due({3, 9}, 0, now));
+        CHECK_FALSE(schedule.due({3, 10}, 0, now + 9s));
     }
     SECTION("the first at once, and once for each new era")
     {
-        CHECK_FALSE(turn.due({1, 9}, 0, now));
-        CHECK(turn.due({2, 4}, 0, now));
-        CHECK_FALSE(turn.due({2, 5}, 0, now + 9s));
-        CHECK(turn.due({3, 2}, 0, now + 9s));
+        CHECK_FALSE(schedule.due({1, 9}, 0, now));
+        CHECK(schedule.due({2, 4}, 0, now));
+        CHECK_FALSE(schedule.due({2, 5}, 0, now + 9s));
+        CHECK(schedule.due({3, 2}, 0, now + 9s));
     }
     SECTION("the others later")
     {
-        CHECK_FALSE(turn.due({1, 9}, 2, now));
-        CHECK_FALSE(turn.due({2, 4}, 2, now));
-        CHECK_FALSE(turn.due({2, 4}, 2, now + restore_schedule::turn));
-        CHECK(turn.due({2, 4}, 2, now + 2 * restore_schedule::turn));
+        CHECK_FALSE(schedule.due({1, 9}, 2, now));
+        CHECK_FALSE(schedule.due({2, 4}, 2, now));
+        CHECK_FALSE(
+            schedule.due({2, 4}, 2, now + restore_schedule::rank_delay));
+        CHECK(schedule.due({2, 4}, 2, now + 2 * restore_schedule::rank_delay));
     }
     SECTION("a store that told no era before")
     {
-        CHECK_FALSE(turn.due({0, 9}, 0, now));
-        CHECK(turn.due({1, 4}, 0, now));
+        CHECK_FALSE(schedule.due({0, 9}, 0, now));
+        CHECK(schedule.due({1, 4}, 0, now));
     }
 }
--- a/tests/fleet/store_mirror.cpp
+++ b/tests/fleet/store_mirror.cpp
@@ -82,7 +82,7 @@
 
     WHEN("a peer takes the page")
     {
-        const auto read = cj::unpacked(page);
+        const auto read = cj::unpack_page(page);
         REQUIRE(read);
         cj::store_mirror other;
         other.apply(read.value().items, read.value().position, now);
@@ -99,7 +99,7 @@
         wrong.items[0].plain_bytes += 1;
         THEN("it is refused as a whole")
         {
-            CHECK_FALSE(cj::unpacked(wrong));
+            CHECK_FALSE(cj::unpack_page(wrong));
         }
     }
 }
--- a/tests/fleet/store_outage.cpp
+++ b/tests/fleet/store_outage.cpp
@@ -9,26 +9,26 @@
 {
     cj::store_outage outage;
     const cj::time_point now{100s};
-    CHECK_FALSE(outage.returned(now));
+    CHECK_FALSE(outage.recently_ended(now));
 
     WHEN("a single call fails")
     {
-        outage.failed(now);
-        outage.answered(now + 200ms);
+        outage.record_failure(now);
+        outage.record_success(now + 200ms);
         THEN("what is missing has left")
         {
-            CHECK_FALSE(outage.returned(now));
+            CHECK_FALSE(outage.recently_ended(now));
         }
     }
     WHEN("calls fail for long")
     {
-        outage.failed(now);
-        outage.failed(now + 2s);
-        outage.answered(now + 4s);
+        outage.record_failure(now);
+        outage.record_failure(now + 2s);
+        outage.record_success(now + 4s);
         THEN("what is missing may come back for a while")
         {
-            CHECK(outage.returned(now + 5s));
-            CHECK_FALSE(outage.returned(now + 8s));
+            CHECK(outage.recently_ended(now + 5s));
+            CHECK_FALSE(outage.recently_ended(now + 8s));
         }
     }
 }
--- a/tests/fleet/store_reader.cpp
+++ b/tests/fleet/store_reader.cpp
@@ -80,7 +80,7 @@
                   },
                   [&] { ++begun; }});
     const auto later = [&](std::chrono::milliseconds wait)
-    { reader.consider({}, cj::event_loop::now() + wait); };
+    { reader.poll({}, cj::event_loop::now() + wait); };
 
     GIVEN("a process that has just started")
     {
