--- a/src/coursejunction/fleet/fetch_schedule.hpp
+++ b/src/coursejunction/fleet/fetch_schedule.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Decides when this process fetches for its hall; pure.
+ * @brief Decides when this process fetches state on behalf of its hall; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_FETCH_SCHEDULE_HPP
 #define COURSEJUNCTION_FLEET_FETCH_SCHEDULE_HPP
@@ -14,54 +14,65 @@
 namespace coursejunction
 {
 
-/*! @brief Where a process stands among the live ones of its hall. */
+/*! @brief What the other live processes of a hall do, as seen by one of them.
+ */
 struct hall_fetch_state
 {
-    std::size_t rank{0};     /*!< How many go before it. */
-    std::size_t fetching{0}; /*!< Others that fetch for the hall now. */
-    std::size_t probing{0};  /*!< Others that ask the store for news only. */
+    std::size_t rank{0}; /*!< Number of processes that come before this one. */
+    std::size_t fetching{0}; /*!< Others that currently fetch for the hall. */
+    std::size_t probing{0};  /*!< Others that only ask the store for changes,
+                                with no answer so far. */
 };
 
-/*! @brief Takes turns at a link that all of a hall share. What a hall lacks is
- * fetched over it by one process, the others hear it from that one. Whoever is
- * next takes over when nothing was begun for a turn, and nobody begins again at
- * once after a failure: 24 processes that each fetched 1.7 MB over 24 Mbit/s
- * kept the link full and none of them ended. */
+/*! @brief Lets the processes of a hall take turns at the link that they share.
+ * One process fetches what the hall lacks, and the others get it from that one.
+ * If it does not begin in time, the next in rank takes over, and after a
+ * failure nobody retries at once. Without turns, 24 processes that each
+ * fetched 1.7 MB over a 24 Mbit/s link kept it saturated, and none of them
+ * finished. */
 class fetch_schedule
 {
 public:
-    /*! @brief How long each that goes before has to begin: it hears within a
-     * heartbeat of 200 ms that something is lacking. */
+    /*! @brief A process waits this long for each process before it in rank to
+     * begin. All learn within one heartbeat interval of 200 ms that something
+     * is missing. */
     static constexpr milliseconds rank_delay{300};
 
-    /*! @brief How long one that fetches is waited for: a second one would only
-     * halve its rate, and 2.3 MB take 0.8 s over 24 Mbit/s. Its own link may be
-     * narrow, though, and a leaving upstream has two seconds. */
+    /*! @brief How long to wait for a fetch by another process before a second
+     * one begins. A second fetch halves the rate of the first, and 2.3 MB take
+     * 0.8 s over 24 Mbit/s. It is not worth waiting longer, since the first
+     * process may have a slow link of its own and a leaving upstream is gone
+     * after 2 s. */
     static constexpr milliseconds second_fetch_delay{1200};
 
-    /*! @brief Processes of a hall that fetch at once: one, and another one once
-     * the first took too long. */
+    /*! @brief Processes of a hall that fetch at the same time: one, and a
+     * second if the first takes too long. */
     static constexpr std::size_t max_concurrent = 2;
 
-    /*! @brief After as many fetch for this long one more begins: pulls end for
-     * lack of progress only, and over squeezed links they move and never end.
-     * Two of 2.3 MB take 4.9 s over 7.6 Mbit/s. */
+    /*! @brief If the number of fetching processes has not changed for this
+     * long, one more begins in spite of `max_concurrent`. Fetches are aborted
+     * only for lack of progress, and over a throttled link they may progress
+     * without ever finishing. Two fetches of 2.3 MB take 4.9 s over 7.6 Mbit/s.
+     */
     static constexpr milliseconds stalled_fetch_time{5000};
 
-    /*! @brief Between the beginnings of those that all waited for one that
-     * ended; a datagram within a hall takes some 2 ms and tells the others. */
+    /*! @brief Delay per rank between the starts of processes that all waited
+     * for a fetch that has just ended. A datagram within a hall takes about 2
+     * ms, so the later ones hear of the first before they begin. */
     static constexpr milliseconds restart_stagger{25};
 
-    /*! @brief Pause after a first failure; it doubles with each further one up
-     * to the longest. A store that was away for seconds must be seen within a
-     * second of its return, as a leaving upstream has two. */
+    /*! @brief Back-off after the first failure, doubled after each further one
+     * up to the maximum. When the store returns after an outage of some seconds
+     * this must be noticed within 1 s, since a leaving upstream is gone after 2
+     * s. */
     static constexpr milliseconds initial_backoff{150};
     static constexpr milliseconds max_backoff{1000};
 
-    /*! @param seed Spreads the pauses of processes that fail together. */
+    /*! @param seed Seed of the jitter, so that processes that fail together do
+     * not retry together. */
     explicit fetch_schedule(std::uint64_t seed = 0) : jitter_seed(seed) {}
 
-    /*! @brief Notes whether something is lacking. */
+    /*! @brief Sets whether something has to be fetched. */
     void set_needed(bool needed, time_point now)
     {
         if (!needed)
@@ -70,7 +81,7 @@
             needed_since = now;
     }
 
-    /*! @brief Tells whether this process begins to fetch now. */
+    /*! @brief Tells whether this process should begin to fetch now. */
     [[nodiscard]] bool due(const hall_fetch_state& hall, time_point now)
     {
         if (hall.fetching != last_fetching)
@@ -88,7 +99,7 @@
                now - fetching_changed_at >= restart_stagger * rank;
     }
 
-    /*! @brief A fetch ended well. */
+    /*! @brief Records a successful fetch, which resets the back-off. */
     void record_success()
     {
         failures = 0;
@@ -96,7 +107,7 @@
         needed_since.reset();
     }
 
-    /*! @brief A fetch failed. */
+    /*! @brief Records a failed fetch and backs off. */
     void record_failure(time_point now)
     {
         const auto doublings = std::min<std::size_t>(failures, max_doublings);
@@ -104,12 +115,12 @@
             initial_backoff * (std::int64_t{1} << doublings), max_backoff);
         ++failures;
         not_before = now + backoff + backoff * jitter() / jitter_parts / 2;
-        // The turns begin anew: what all lost together, one tries first.
+        // The delay by rank starts again after the back-off: if all processes
+        // lost the link together, the first in rank retries first.
         if (needed_since)
             needed_since = not_before;
     }
 
-    /*! @brief Returns how many fetches failed in a row. */
     [[nodiscard]] std::size_t consecutive_failures() const noexcept
     {
         return failures;
@@ -119,11 +130,11 @@
     static constexpr std::size_t max_doublings = 8;
     static constexpr std::int64_t jitter_parts = 1024;
 
-    /*! @brief Returns a number below `jitter_parts`, another one for each
-     * failure and process. */
+    /*! @brief Returns a number below `jitter_parts` that depends on the process
+     * and the number of failures. */
     [[nodiscard]] std::int64_t jitter() const
     {
-        // The multiplier of a linear congruential generator (Knuth, MMIX).
+        // Multiplier of a linear congruential generator (Knuth, MMIX).
         constexpr std::uint64_t multiplier = 6364136223846793005U;
         const auto mixed = (jitter_seed + failures) * multiplier;
         return static_cast<std::int64_t>(
@@ -133,8 +144,8 @@
     std::uint64_t jitter_seed;
     std::optional<time_point> needed_since;
     time_point not_before{};
-    time_point
-        fetching_changed_at{}; /*!< Since when as many of the others fetch. */
+    time_point fetching_changed_at{}; /*!< When the number of other fetching
+                                         processes last changed. */
     std::size_t last_fetching{0};
     std::size_t failures{0};
 };
--- a/src/coursejunction/fleet/fleet_hooks.hpp
+++ b/src/coursejunction/fleet/fleet_hooks.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief How a process finds its peers, and what its role adds to what it tells
- * them.
+ * @brief Settings of a fleet node and the callbacks of its role.
  */
 #ifndef COURSEJUNCTION_FLEET_FLEET_HOOKS_HPP
 #define COURSEJUNCTION_FLEET_FLEET_HOOKS_HPP
@@ -19,44 +18,48 @@
 namespace coursejunction
 {
 
-/*! @brief How a node finds its peers. */
+/*! @brief Identity of a fleet node and the addresses where it finds its peers.
+ */
 struct fleet_options
 {
     std::string address;
-    std::uint16_t port{0}; /*!< Alike on every instance of an installation. */
+    std::uint16_t port{0}; /*!< UDP and TCP port; the same on every instance of
+                              an installation. */
     hall_id hall;
     bool entry{false};
-    std::vector<std::string> seeds; /*!< IP addresses of entries. */
-    item_rules items;               /*!< Of the store's keys. */
+    /*! @brief IP addresses of entries that are contacted first. */
+    std::vector<std::string> seeds;
+    item_rules items; /*!< How values of the store's keys are compared. */
 };
 
-/*! @brief What a role adds to a node. */
+/*! @brief Callbacks of a node's role (entry or sidecar); each may be empty. */
 struct fleet_hooks
 {
-    /*! @brief Keys changed.
-     * @param store_returned Whether the store was away until just now, so that
-     * records may have lapsed only. */
+    /*! @brief Keys of the mirror changed.
+     * @param store_returned True shortly after an outage of the store, when
+     * missing records may only have expired during it. */
     std::function<void(const std::vector<std::string>& keys,
                        bool store_returned)>
         keys_changed;
-    /*! @brief A value that another one replaced before it was read; called
-     * before `keys_changed` reports the key. */
+    /*! @brief A page of the store holds this value and a newer one of the same
+     * key; called before `keys_changed` reports the key. */
     std::function<void(const message::mirror_item&)> value_overwritten;
     std::function<void(const std::string& from,
                        const message::fleet_heartbeat&)>
         heartbeat_received;
-    /*! @brief Adds what the role knows. */
+    /*! @brief Adds the role's own fields to an outgoing heartbeat. */
     std::function<void(message::fleet_heartbeat&, chunk_detail)> fill_heartbeat;
     std::function<void(stream_request, stream_reply)> handle_request;
     /*! @brief Returns records of requests that crash upstreams, for other
      * entries; only an entry has any. */
     std::function<std::vector<message::crash_record>()> crash_records;
-    /*! @brief Returns callers that this entry sent away, for the other entries
-     * of its hall, each once. */
+    /*! @brief Returns callers that this entry refused, for the other entries of
+     * its hall; each is returned once. */
     std::function<std::vector<message::refused_caller>()> refused_callers;
-    /*! @brief Returns what upstreams lately told this entry of their terms. */
+    /*! @brief Returns the terms (limits, back-off) that upstreams recently
+     * reported to this entry. */
     std::function<std::vector<message::upstream_terms>()> recent_terms;
-    /*! @brief Tells whether weights are on their way to some side. */
+    /*! @brief Tells whether some sidecar is downloading weights. */
     std::function<bool()> transfers_active;
 };
 
--- a/src/coursejunction/fleet/fleet_node.hpp
+++ b/src/coursejunction/fleet/fleet_node.hpp
@@ -1,7 +1,8 @@
 /*! @file
- * @brief What every process of an installation does whatever its role: it
- * mirrors the platform's store, directly or through its peers, and tells its
- * peers that it lives and how far its mirror is.
+ * @brief The part of every process of an installation that does not depend on
+ * its role. It mirrors the platform's store, directly or by pulling from its
+ * peers, and exchanges heartbeats with them. A process is either an entry,
+ * which accepts requests from callers, or a sidecar of one upstream.
  */
 #ifndef COURSEJUNCTION_FLEET_FLEET_NODE_HPP
 #define COURSEJUNCTION_FLEET_FLEET_NODE_HPP
@@ -39,47 +40,50 @@
 namespace coursejunction
 {
 
-/*! @brief One process among its peers.
+/*! @brief One process of the fleet.
  * @tparam Store A `Readable_store`. */
 template <typename Store>
 class fleet_node
 {
 public:
-    /*! @brief Heartbeats between two changes; a leaving upstream has 2 s, so
-     * that several may be lost. */
+    /*! @brief Interval of regular heartbeats. A leaving upstream is gone after
+     * 2 s, so several may be lost before that matters. */
     static constexpr milliseconds heartbeat_interval{200};
 
-    /*! @brief Entries that watch the store; all others hear from them. One may
-     * be cut from the store and one more stopped at the same time. */
+    /*! @brief Entries that watch the store; all others learn of changes from
+     * them. With three, one may be cut off from the store while another one is
+     * stopped. */
     static constexpr std::size_t max_watchers = 3;
 
-    /*! @brief A side that is behind for this long is told so by an entry of
-     * any hall: its own hall may have no entry left. */
+    /*! @brief An entry notifies sidecars of its own hall whose mirrors are
+     * behind once its own mirror has not changed for this long. */
     static constexpr milliseconds lag_grace{300};
 
-    /*! @brief An entry of another hall does so after this long: each tells
-     * each side that is behind, and a side's own hall is nearer. */
+    /*! @brief The same for sidecars of other halls, which may have no entry
+     * left. It is longer because every entry notifies every lagging sidecar,
+     * and those of the sidecar's own hall are nearer. */
     static constexpr milliseconds remote_lag_grace{1000};
 
-    /*! @brief A process that has just started and is no seed goes after others
-     * of its hall, which it has not heard of yet. */
+    /*! @brief For this long after its start a process that is no seed lets
+     * others of its hall go first, since it may not know them yet. */
     static constexpr milliseconds newcomer_delay{1000};
 
-    /*! @brief Opens the ports.
+    /*! @brief Opens the UDP and the TCP port.
      * @return The node, or `unavailable`. */
     [[nodiscard]] static result<std::unique_ptr<fleet_node>>
     create(event_loop& loop, Store& store, metrics& counters,
            fleet_options options)
     {
-        std::unique_ptr<fleet_node> made(
+        std::unique_ptr<fleet_node> node(
             new fleet_node(loop, store, counters, std::move(options)));
-        auto opened = made->open();
+        auto opened = node->open();
         if (!opened)
             return failure(opened.error().kind, opened.error().message);
-        return made;
+        return node;
     }
 
-    /*! @brief Starts to act; called once when the role is ready. */
+    /*! @brief Starts heartbeats and mirroring; called once, when the role is
+     * ready. */
     void start(fleet_hooks given)
     {
         hooks = std::move(given);
@@ -101,56 +105,59 @@
         poll_store();
     }
 
-    /*! @brief Tells at once that the state of this process changed. */
+    /*! @brief Sends a heartbeat at once because the state of this process
+     * changed. */
     void announce() { send_heartbeat(context_for(heartbeat_reason::state)); }
 
-    /*! @brief Tells the entries of the own hall that a load changed. Others
-     * hear of it with the next heartbeat: they send here only what their own
-     * hall cannot take, and bytes between regions cost most. */
+    /*! @brief Reports a changed load to the entries of the own hall. Other
+     * halls learn of it from the next regular heartbeat: they send here only
+     * what their own upstreams cannot take, and traffic between regions costs
+     * most. */
     void announce_load()
     {
         send_heartbeat(context_for(heartbeat_reason::load));
     }
 
-    /*! @brief Tells neighbours of the own hall which chunks are here; called
-     * while chunks spread. */
+    /*! @brief Reports the chunks held here to the ring neighbours in the own
+     * hall; called while a version is being downloaded. */
     void announce_chunks()
     {
         send_heartbeat(context_for(heartbeat_reason::chunks));
     }
 
-    /*! @brief Tells all entries that upstreams ended under a request. */
+    /*! @brief Reports to all entries that upstreams crashed under a request. */
     void announce_crashes()
     {
         send_heartbeat(context_for(heartbeat_reason::crash));
     }
 
-    /*! @brief Tells the entries of the own hall which callers were sent away:
-     * that is where they come back. */
+    /*! @brief Reports refused callers to the entries of the own hall, where
+     * their retries arrive. */
     void announce_refusals()
     {
         send_heartbeat(context_for(heartbeat_reason::refusals));
     }
 
-    /*! @brief Marks the node as leaving in its heartbeats. */
+    /*! @brief Marks this process as leaving in its heartbeats. */
     void leave()
     {
         leaving = true;
         announce();
     }
 
-    /*! @brief Notes a side that the role knows of, and its hall. */
+    /*! @brief Adds a sidecar that the role read from an upstream's record.
+     * @param address IP address of the sidecar. */
     void add_side(const std::string& address, const hall_id& hall)
     {
         if (address != options.address)
             directory.add_side(address, hall, event_loop::now());
     }
 
-    /*! @brief Returns for how long peers have known more than this process;
-     * zero when none is known to. */
+    /*! @brief Returns for how long some peer's mirror has been ahead of this
+     * one; zero if none is known to be ahead. */
     [[nodiscard]] milliseconds mirror_lag(time_point now) const
     {
-        return lag.lag(local_mirror.position(), now);
+        return tracker.lag(local_mirror.position(), now);
     }
 
     /*! @brief Returns how often changes of the store may have been missed. */
@@ -162,7 +169,8 @@
     [[nodiscard]] stream_client& client() { return calls; }
     [[nodiscard]] const fleet_options& settings() const { return options; }
 
-    /*! @brief Returns the address of a peer's port for the system's own. */
+    /*! @brief Returns `IP:port` of a peer for calls between processes of the
+     * fleet. */
     [[nodiscard]] std::string peer_endpoint(const std::string& address) const
     {
         return address + port_suffix;
@@ -183,14 +191,15 @@
           puller(owner, calls, counted, local_mirror, directory, jitter_seed()),
           heartbeats(
               options, directory, counted,
-              [this](time_point now, const heartbeat_context& sent)
-              { return make_heartbeat(now, sent); },
+              [this](time_point now, const heartbeat_context& context)
+              { return make_heartbeat(now, context); },
               [this](const std::string& address, const std::string& datagram)
               { socket->send(address + port_suffix, datagram); })
     {
     }
 
-    /*! @brief Returns a number that differs between processes. */
+    /*! @brief Returns a number that differs between processes and their
+     * restarts. */
     [[nodiscard]] std::uint64_t jitter_seed() const
     {
         return std::hash<std::string>()(options.address) + incarnation;
@@ -213,39 +222,40 @@
 
     result<bool> open()
     {
-        auto made = datagram_socket::create(
+        auto opened = datagram_socket::create(
             loop, options.address, options.port,
             [this](const std::string& from, std::string_view bytes)
             { on_datagram(host_of(from), bytes); });
-        if (!made)
-            return failure(made.error().kind, made.error().message);
-        socket = std::move(made.value());
-        auto served = stream_server::create(
+        if (!opened)
+            return failure(opened.error().kind, opened.error().message);
+        socket = std::move(opened.value());
+        auto listening = stream_server::create(
             loop, options.address, options.port, {},
             [this](stream_request request, stream_reply reply)
             { on_peer_request(std::move(request), std::move(reply)); });
-        if (!served)
-            return failure(served.error().kind, served.error().message);
-        server = std::move(served.value());
+        if (!listening)
+            return failure(listening.error().kind, listening.error().message);
+        server = std::move(listening.value());
         return true;
     }
 
-    [[nodiscard]] bool in_own_hall(const peer_state& one) const
+    [[nodiscard]] bool in_own_hall(const peer_state& peer) const
     {
-        return one.last_heartbeat.hall == options.hall.value();
+        return peer.last_heartbeat.hall == options.hall.value();
     }
 
     [[nodiscard]] heartbeat_context context_for(heartbeat_reason reason) const
     {
-        heartbeat_context made;
-        made.reason = reason;
-        made.regular_number = regular_number;
-        made.from_entry = options.entry;
-        return made;
+        heartbeat_context context;
+        context.reason = reason;
+        context.regular_number = regular_number;
+        context.from_entry = options.entry;
+        return context;
     }
 
-    /*! @brief What was heard before a suspension is as old as it lasted; here
-     * it is only told, since every age is taken from a clock that went on. */
+    /*! @brief Reports that this machine was suspended. Nothing has to be
+     * corrected: ages are taken from a clock that runs on during a suspension.
+     */
     void note_suspension()
     {
         const auto lasted = suspension.note(
@@ -268,7 +278,8 @@
             update_gauges(event_loop::now());
     }
 
-    /*! @brief Shows what this process decides by, and who reads the store. */
+    /*! @brief Sets the gauges that show the mirror's position and lag, and how
+     * many processes read the store. */
     void update_gauges(time_point now)
     {
         counters.set("fleet_mirror_revision",
@@ -286,90 +297,91 @@
                      static_cast<double>(fetch_state().fetching));
     }
 
-    void send_heartbeat(const heartbeat_context& sent)
+    void send_heartbeat(const heartbeat_context& context)
     {
         const auto now = event_loop::now();
         directory.expire(now);
-        heartbeats.send_heartbeat(sent, now);
+        heartbeats.send_heartbeat(context, now);
     }
 
     message::fleet_heartbeat make_heartbeat(time_point now,
-                                            const heartbeat_context& sent)
+                                            const heartbeat_context& context)
     {
         const bool lists_entries =
-            sent.reason == heartbeat_reason::regular &&
-            sent.regular_number % full_report_period == 0;
-        message::fleet_heartbeat made;
-        made.incarnation = incarnation;
-        made.sequence = ++sequence;
-        made.mirrored = local_mirror.position();
-        made.carried = local_mirror.carried();
-        made.hall = options.hall.value();
-        made.entry = options.entry;
-        made.leaving = leaving;
-        made.watching = reader.watching();
-        made.fetching = reader.fetching() || puller.fetching();
-        made.probing = reader.probing();
-        made.store_returned = store_returned(now);
-        made.store_distance = own_distance();
-        for (const auto& [address, one] : directory.all())
+            context.reason == heartbeat_reason::regular &&
+            context.regular_number % full_report_period == 0;
+        message::fleet_heartbeat heartbeat;
+        heartbeat.incarnation = incarnation;
+        heartbeat.sequence = ++sequence;
+        heartbeat.mirrored = local_mirror.position();
+        heartbeat.carried = local_mirror.carried();
+        heartbeat.hall = options.hall.value();
+        heartbeat.entry = options.entry;
+        heartbeat.leaving = leaving;
+        heartbeat.watching = reader.watching();
+        heartbeat.fetching = reader.fetching() || puller.fetching();
+        heartbeat.probing = reader.probing();
+        heartbeat.store_returned = store_returned(now);
+        heartbeat.store_distance = own_distance();
+        for (const auto& [address, peer] : directory.all())
         {
             const auto number = parse_ipv4(address);
-            if (lists_entries && one.entry && number &&
-                peer_directory::alive(one, now) &&
-                made.entries.size() < max_listed_entries)
-                made.entries.push_back(*number);
+            if (lists_entries && peer.entry && number &&
+                peer_directory::alive(peer, now) &&
+                heartbeat.entries.size() < max_listed_entries)
+                heartbeat.entries.push_back(*number);
         }
         if (hooks.fill_heartbeat)
-            hooks.fill_heartbeat(made, chunk_detail_for(sent));
-        if (hooks.crash_records && carries_crash_records(sent.reason))
-            made.crashes = hooks.crash_records();
-        if (hooks.refused_callers && sent.reason == heartbeat_reason::refusals)
-            made.refusals = hooks.refused_callers();
-        if (hooks.recent_terms && sent.reason == heartbeat_reason::regular)
-            made.terms = hooks.recent_terms();
-        made.upstream.side = incarnation;
-        return made;
+            hooks.fill_heartbeat(heartbeat, chunk_detail_for(context));
+        if (hooks.crash_records && carries_crash_records(context.reason))
+            heartbeat.crashes = hooks.crash_records();
+        if (hooks.refused_callers &&
+            context.reason == heartbeat_reason::refusals)
+            heartbeat.refusals = hooks.refused_callers();
+        if (hooks.recent_terms && context.reason == heartbeat_reason::regular)
+            heartbeat.terms = hooks.recent_terms();
+        heartbeat.upstream.side = incarnation;
+        return heartbeat;
     }
 
     void on_datagram(const std::string& from, std::string_view bytes)
     {
-        const auto read = decode<message::fleet_heartbeat>(bytes);
-        if (!read)
+        const auto decoded = decode<message::fleet_heartbeat>(bytes);
+        if (!decoded)
         {
             counters.count("fleet_datagrams_refused_total");
             return;
         }
         const auto now = event_loop::now();
         const bool known = directory.alive(from, now);
-        if (!directory.record_heartbeat(from, read.value(), now))
+        if (!directory.record_heartbeat(from, decoded.value(), now))
             return;
         if (!known)
             log::state("peer_heard",
                        {{"peer", from},
-                        {"entry", read.value().entry ? "true" : "false"}});
-        for (const auto number : read.value().entries)
+                        {"entry", decoded.value().entry ? "true" : "false"}});
+        for (const auto ip : decoded.value().entries)
         {
-            const auto address = format_ipv4(number);
+            const auto address = format_ipv4(ip);
             if (address != options.address &&
                 directory.find(address) == nullptr)
                 directory.add_entry(address, now);
         }
-        const bool own = read.value().hall == options.hall.value();
-        if (options.entry && !read.value().entry &&
-            read.value().mirrored < local_mirror.position() &&
-            now - advanced_at >= (own ? lag_grace : remote_lag_grace))
+        const bool same_hall = decoded.value().hall == options.hall.value();
+        if (options.entry && !decoded.value().entry &&
+            decoded.value().mirrored < local_mirror.position() &&
+            now - advanced_at >= (same_hall ? lag_grace : remote_lag_grace))
             heartbeats.send_mirror_position(from, now);
-        if (own && has_more_carried_values(read.value()))
-            puller.peer_ahead(from, own);
-        if (read.value().mirrored > local_mirror.position())
+        if (same_hall && has_more_carried_values(decoded.value()))
+            puller.peer_ahead(from, same_hall);
+        if (decoded.value().mirrored > local_mirror.position())
         {
-            lag.report_ahead(read.value().mirrored, local_mirror.position(),
-                             now);
-            puller.peer_ahead(from, own);
+            tracker.report_ahead(decoded.value().mirrored,
+                                 local_mirror.position(), now);
+            puller.peer_ahead(from, same_hall);
         }
         if (hooks.heartbeat_received)
-            hooks.heartbeat_received(from, read.value());
+            hooks.heartbeat_received(from, decoded.value());
     }
 
     void on_peer_request(stream_request request, stream_reply reply)
@@ -389,7 +401,8 @@
                        store_position::parse(text), event_loop::now())));
     }
 
-    /*! @brief Tells whether this entry is among those that read the store. */
+    /*! @brief Tells whether this entry is among the `max_watchers` that watch
+     * the store. */
     [[nodiscard]] bool should_watch_store() const
     {
         const auto now = event_loop::now();
@@ -398,8 +411,9 @@
                                          now) < max_watchers;
     }
 
-    /*! @brief Returns the distance to the store in microseconds, of this
-     * process or else of its hall; 0 when it is not known. */
+    /*! @brief Returns the time to connect to the store in microseconds, as
+     * measured here or else by the nearest process of the own hall; 0 if
+     * unknown. */
     [[nodiscard]] std::uint32_t store_distance(time_point now) const
     {
         const auto own = own_distance();
@@ -415,52 +429,56 @@
     [[nodiscard]] hall_fetch_state fetch_state() const
     {
         const auto now = event_loop::now();
-        auto made = directory.fetch_state(options.address, options.hall,
-                                          options.entry, now);
+        auto state = directory.fetch_state(options.address, options.hall,
+                                           options.entry, now);
         const bool is_seed =
             std::find(options.seeds.begin(), options.seeds.end(),
                       options.address) != options.seeds.end();
         if (!is_seed && now - started_at < newcomer_delay)
-            made.rank = std::max<std::size_t>(made.rank, 1);
-        return made;
+            state.rank = std::max<std::size_t>(state.rank, 1);
+        return state;
     }
 
-    /*! @brief Probes of the store are taken in turns too; pulls from other
-     * halls do not wait for them, as the store may turn this hall away. */
+    /*! @brief Lets the store reader begin if it is this process's turn. For the
+     * store, probes count as fetches, so that they are taken in turns too.
+     * Pulls from other halls do not wait for probes, since the store may be
+     * unreachable from this hall. */
     void poll_store()
     {
-        auto turn = fetch_state();
-        turn.fetching += turn.probing;
-        reader.poll(turn, event_loop::now());
+        auto state = fetch_state();
+        state.fetching += state.probing;
+        reader.poll(state, event_loop::now());
     }
 
-    /*! @brief Tells the role of values that a later one of the page hides.
+    /*! @brief Reports values to the role that a later item of the same page
+     * overwrites.
      * @return Their keys. */
     std::set<std::string> report_overwritten(const store_mirror::items& items)
     {
         std::set<std::string> keys;
         if (!hooks.value_overwritten)
             return keys;
-        std::map<std::string_view, std::size_t> last;
+        std::map<std::string_view, std::size_t> last_index;
         for (std::size_t index = 0; index < items.size(); ++index)
-            last[items[index].key] = index;
+            last_index[items[index].key] = index;
         for (std::size_t index = 0; index < items.size(); ++index)
         {
-            const auto& one = items[index];
-            if (last[one.key] == index || one.removed || known(one))
+            const auto& item = items[index];
+            if (last_index[item.key] == index || item.removed || is_known(item))
                 continue;
-            hooks.value_overwritten(one);
-            keys.insert(one.key);
+            hooks.value_overwritten(item);
+            keys.insert(item.key);
         }
         return keys;
     }
 
-    /*! @brief Tells whether the mirror has a value of a key that is as new. */
-    [[nodiscard]] bool known(const message::mirror_item& one) const
+    /*! @brief Tells whether the mirror has a value of the key at least as
+     * recent. */
+    [[nodiscard]] bool is_known(const message::mirror_item& item) const
     {
-        const auto found = local_mirror.all().find(one.key);
+        const auto found = local_mirror.all().find(item.key);
         return found != local_mirror.all().end() &&
-               found->second.position() >= one.position();
+               found->second.position() >= item.position();
     }
 
     void on_store_page(const store_page& page, bool whole)
@@ -471,7 +489,8 @@
         auto changed =
             whole ? local_mirror.replace(page.items, page.position, now)
                   : local_mirror.apply(page.items, page.position, now);
-        // A peer may have told the last value of a key before.
+        // A peer may already have sent the last value of a key, so that the
+        // mirror saw no change.
         for (const auto& key : overwritten_keys)
         {
             if (local_mirror.find(key) != nullptr &&
@@ -493,25 +512,29 @@
             from, era);
     }
 
-    /*! @brief Tells whether a peer knows values of earlier eras of the store
-     * which this process may lack: it started in the middle. */
+    /*! @brief Tells whether a peer of the same era holds more values of earlier
+     * eras, which this process may lack if it started after the rollback. */
     [[nodiscard]] bool
-    has_more_carried_values(const message::fleet_heartbeat& told) const
+    has_more_carried_values(const message::fleet_heartbeat& heartbeat) const
     {
-        return told.mirrored.era == local_mirror.position().era &&
-               told.carried > std::max(local_mirror.carried(), carried_seen);
+        return heartbeat.mirrored.era == local_mirror.position().era &&
+               heartbeat.carried >
+                   std::max(local_mirror.carried(), carried_seen);
     }
 
-    /*! @brief Tells whether the store itself, not only the way to it from here,
-     * was away until just now. */
+    /*! @brief Tells whether the store itself, and not only the connection to it
+     * from here, had an outage that ended a moment ago. */
     [[nodiscard]] bool store_returned(time_point now) const
     {
         return reader.outage_recently_ended(now) &&
                !directory.has_undisturbed_watcher(now);
     }
 
-    /*! @param era Of the mirror before. Records that a new era lacks may only
-     * have lapsed. */
+    /*! @brief Logs and reports a change of the mirror, and announces it to
+     * peers.
+     * @param from Address of the peer that sent the page, or `store`.
+     * @param era Era of the mirror before the change. Records missing in a new
+     * era may only have expired during the outage. */
     void on_mirror_changed(const std::vector<std::string>& changed,
                            const std::string& from, std::uint64_t era)
     {
@@ -540,18 +563,20 @@
                                   ? peer->last_heartbeat.store_returned
                                   : store_returned(event_loop::now());
         advanced_at = event_loop::now();
-        lag.advance(local_mirror.position(), advanced_at);
+        tracker.advance(local_mirror.position(), advanced_at);
         if (hooks.keys_changed)
             hooks.keys_changed(changed, returned || era_changed);
-        auto sent = context_for(heartbeat_reason::mirror);
-        sent.from_store = peer == nullptr;
-        send_heartbeat(sent);
+        auto context = context_for(heartbeat_reason::mirror);
+        context.from_store = peer == nullptr;
+        send_heartbeat(context);
     }
 
-    /*! @brief Each this many heartbeats the gauges are set: once a second. */
+    /*! @brief The gauges are set once in this many regular heartbeats: once a
+     * second. */
     static constexpr std::uint64_t gauge_period = 5;
 
-    /*! @brief Entries named in one heartbeat, so that it fits a datagram. */
+    /*! @brief Maximum number of entries listed in one heartbeat, so that it
+     * fits into a datagram. */
     static constexpr std::size_t max_listed_entries = 64;
 
     event_loop& loop;
@@ -566,8 +591,10 @@
     std::uint64_t regular_number{0};
     time_point advanced_at{}; /*!< When the mirror last changed. */
     store_mirror local_mirror;
-    std::uint32_t carried_seen{0}; /*!< By a peer of this era, and taken. */
-    lag_tracker lag;
+    /*! @brief Largest count of carried values in a page that was taken from
+     * a peer in this era. */
+    std::uint32_t carried_seen{0};
+    lag_tracker tracker;
     suspension_meter suspension;
     peer_directory directory;
     std::unique_ptr<datagram_socket> socket;
--- a/src/coursejunction/fleet/hall_digest.hpp
+++ b/src/coursejunction/fleet/hall_digest.hpp
@@ -1,8 +1,9 @@
 /*! @file
- * @brief How entries pass the statuses of their hall's sides on to entries of
- * other halls; pure. Told by each side to each entry, they grow with entries
- * times sides: 53 entries and 204 sides send 21,000 datagrams a second between
- * regions, which have 27 Mbit/s each way for everything.
+ * @brief Digests, in which entries relay the statuses of their hall's sidecars
+ * to entries of other halls; pure. If every sidecar sent its status to every
+ * entry, the traffic would grow with entries times sidecars: 53 entries and 204
+ * sidecars would send 21,000 datagrams a second between regions, where all
+ * traffic shares 27 Mbit/s each way.
  */
 #ifndef COURSEJUNCTION_FLEET_HALL_DIGEST_HPP
 #define COURSEJUNCTION_FLEET_HALL_DIGEST_HPP
@@ -23,44 +24,47 @@
 namespace coursejunction
 {
 
-/*! @brief Statuses in one datagram; 30 of them take 1.3 KB, and a packet of
- * 1.5 KB carries them. */
+/*! @brief Statuses in one datagram. 30 of them take 1.3 KB, which fits into a
+ * packet of 1.5 KB. */
 inline constexpr std::size_t max_digest_statuses = 30;
 
-/*! @brief Each this many heartbeats of an entry pass statuses on: 800 ms. Two
- * entries do so by turns, so that statuses come each 400 ms, and each 800 ms
- * when one of the two is gone; they are believed for 1 s. */
+/*! @brief Regular heartbeats between two digests of one entry to one receiver:
+ * 800 ms. Two entries of a hall alternate, so that a receiver gets a digest
+ * every 400 ms, or every 800 ms when one of the two is lost. Statuses expire
+ * after 1 s. */
 inline constexpr std::uint64_t digest_period = 4;
 
-/*! @brief Where an entry stands among the live entries of its hall. */
+/*! @brief Rank of an entry, by address, among the live entries of its hall. */
 struct relay_rank
 {
     std::size_t rank{0};
-    std::size_t entries{1}; /*!< This one included. */
+    std::size_t entries{1}; /*!< This entry included. */
 };
 
-/*! @brief Returns an entry's place.
- * @param address Of the entry. */
+/*! @brief Returns the rank of an entry in its hall.
+ * @param address IP address of the entry. */
 [[nodiscard]] inline relay_rank relay_rank_of(const peer_directory& peers,
                                               const std::string& address,
                                               const hall_id& hall,
                                               time_point now)
 {
-    relay_rank made;
-    for (const auto& [other, one] : peers.all())
+    relay_rank result;
+    for (const auto& [other, peer] : peers.all())
     {
-        if (!one.entry || one.last_heartbeat.hall != hall.value() ||
-            one.last_heartbeat.leaving || !peer_directory::alive(one, now))
+        if (!peer.entry || peer.last_heartbeat.hall != hall.value() ||
+            peer.last_heartbeat.leaving || !peer_directory::alive(peer, now))
             continue;
-        ++made.entries;
-        made.rank += other < address ? 1 : 0;
+        ++result.entries;
+        result.rank += other < address ? 1 : 0;
     }
-    return made;
+    return result;
 }
 
-/*! @brief Tells whether an entry passes its hall's statuses on to an entry of
- * another hall with a heartbeat.
- * @param regular_number Of the regular heartbeat. */
+/*! @brief Tells whether an entry relays its hall's statuses to an entry of
+ * another hall along with a regular heartbeat. For each receiver, two entries
+ * of the hall take turns.
+ * @param receiver IP address of the receiving entry.
+ * @param regular_number Count of the sender's regular heartbeats. */
 [[nodiscard]] inline bool relays_digest_to(const relay_rank& own,
                                            const std::string& receiver,
                                            std::uint64_t regular_number)
@@ -79,7 +83,7 @@
 inline constexpr std::uint8_t open_flag = 1;
 inline constexpr std::uint8_t reachable_flag = 2;
 
-/*! @brief Returns a value, or the largest that its place in a message holds. */
+/*! @brief Narrows a value, clamped to the maximum of the narrow type. */
 template <typename Narrow, typename Wide>
 [[nodiscard]] Narrow saturated(Wide value)
 {
@@ -87,7 +91,8 @@
         std::min<Wide>(value, std::numeric_limits<Narrow>::max()));
 }
 
-/*! @brief Returns the place of a model in a digest's list. */
+/*! @brief Returns the index of a model in a digest's list, to which it is added
+ * if missing. */
 [[nodiscard]] inline std::uint8_t model_index(std::vector<std::string>& models,
                                               const std::string& model)
 {
@@ -100,66 +105,69 @@
 
 } // namespace internal
 
-/*! @brief Adds a side's status to a digest. */
-inline void add_status(message::hall_digest& to, std::uint32_t address,
+/*! @brief Adds a sidecar's status to a digest. */
+inline void add_status(message::hall_digest& digest, std::uint32_t address,
                        milliseconds age, const message::upstream_status& status)
 {
     using internal::saturated;
-    message::passed_status one;
-    one.address = address;
-    one.age_ms = saturated<std::uint16_t>(age.count());
-    one.model = internal::model_index(to.models, status.model);
-    one.flags = static_cast<std::uint8_t>(
+    message::passed_status relayed;
+    relayed.address = address;
+    relayed.age_ms = saturated<std::uint16_t>(age.count());
+    relayed.model = internal::model_index(digest.models, status.model);
+    relayed.flags = static_cast<std::uint8_t>(
         (status.open ? internal::open_flag : 0) |
         (status.reachable ? internal::reachable_flag : 0));
-    one.version = saturated<std::uint32_t>(status.version);
-    one.side = status.side;
-    one.sequence = saturated<std::uint32_t>(status.sequence);
-    one.life = status.life;
-    one.running = saturated<std::uint16_t>(status.running);
-    one.waiting = saturated<std::uint16_t>(status.waiting);
-    one.pace = static_cast<float>(status.pace);
-    to.sides.push_back(one);
+    relayed.version = saturated<std::uint32_t>(status.version);
+    relayed.side = status.side;
+    relayed.sequence = saturated<std::uint32_t>(status.sequence);
+    relayed.life = status.life;
+    relayed.running = saturated<std::uint16_t>(status.running);
+    relayed.waiting = saturated<std::uint16_t>(status.waiting);
+    relayed.pace = static_cast<float>(status.pace);
+    digest.sides.push_back(relayed);
 }
 
-/*! @brief Returns a status that was passed on, without figures of memory.
- * @param in The digest that it came in. */
+/*! @brief Restores a relayed status; the figures of the engine's memory are not
+ * relayed.
+ * @param digest The digest that holds the status. */
 [[nodiscard]] inline message::upstream_status
-status_in(const message::hall_digest& in, const message::passed_status& one)
+status_in(const message::hall_digest& digest,
+          const message::passed_status& relayed)
 {
-    message::upstream_status made;
-    if (one.model < in.models.size())
-        made.model = in.models[one.model];
-    made.version = one.version;
-    made.side = one.side;
-    made.sequence = one.sequence;
-    made.life = one.life;
-    made.running = one.running;
-    made.waiting = one.waiting;
-    made.pace = one.pace;
-    made.open = (one.flags & internal::open_flag) != 0;
-    made.reachable = (one.flags & internal::reachable_flag) != 0;
-    return made;
+    message::upstream_status status;
+    if (relayed.model < digest.models.size())
+        status.model = digest.models[relayed.model];
+    status.version = relayed.version;
+    status.side = relayed.side;
+    status.sequence = relayed.sequence;
+    status.life = relayed.life;
+    status.running = relayed.running;
+    status.waiting = relayed.waiting;
+    status.pace = relayed.pace;
+    status.open = (relayed.flags & internal::open_flag) != 0;
+    status.reachable = (relayed.flags & internal::reachable_flag) != 0;
+    return status;
 }
 
-/*! @brief Returns the statuses of the live sides of a hall, in parts that fit
- * into a datagram each; none where no side is heard. */
+/*! @brief Returns the statuses of the live sidecars of a hall, in digests that
+ * fit into one datagram each; empty if no sidecar is alive. */
 [[nodiscard]] inline std::vector<message::hall_digest>
 make_digests(const peer_directory& peers, const hall_id& hall, time_point now)
 {
     std::vector<message::hall_digest> digests;
-    for (const auto& [address, one] : peers.all())
+    for (const auto& [address, peer] : peers.all())
     {
         const auto number = parse_ipv4(address);
-        if (one.entry || one.last_heartbeat.hall != hall.value() || !number ||
-            !peer_directory::alive(one, now))
+        if (peer.entry || peer.last_heartbeat.hall != hall.value() || !number ||
+            !peer_directory::alive(peer, now))
             continue;
         if (digests.empty() ||
             digests.back().sides.size() == max_digest_statuses)
             digests.emplace_back();
-        add_status(digests.back(), *number,
-                   std::chrono::duration_cast<milliseconds>(now - one.heard_at),
-                   one.last_heartbeat.upstream);
+        add_status(
+            digests.back(), *number,
+            std::chrono::duration_cast<milliseconds>(now - peer.heard_at),
+            peer.last_heartbeat.upstream);
     }
     return digests;
 }
--- a/src/coursejunction/fleet/heartbeat_plan.hpp
+++ b/src/coursejunction/fleet/heartbeat_plan.hpp
@@ -1,6 +1,7 @@
 /*! @file
- * @brief Decides which peers hear a heartbeat; pure. Bytes between regions are
- * few and dear, and what all told all would grow with the square of the fleet.
+ * @brief Decides which peers receive a heartbeat; pure. Bandwidth between
+ * regions is scarce, and the traffic of all-to-all heartbeats would grow with
+ * the square of the fleet.
  */
 #ifndef COURSEJUNCTION_FLEET_HEARTBEAT_PLAN_HPP
 #define COURSEJUNCTION_FLEET_HEARTBEAT_PLAN_HPP
@@ -18,19 +19,20 @@
 /*! @brief Why a heartbeat is sent. */
 enum class heartbeat_reason : std::uint8_t
 {
-    regular, /*!< The interval is over. */
+    regular, /*!< The heartbeat interval has passed. */
     load,    /*!< The load of an upstream changed. */
-    state,   /*!< An upstream opened, closed or was lost, or we leave. */
+    state,   /*!< An upstream opened, closed or was lost, or this process is
+                leaving. */
     mirror,  /*!< The mirror of the store advanced. */
-    fetch,   /*!< Begins to fetch for its hall. */
+    fetch,   /*!< This process began to fetch for its hall. */
     chunks,  /*!< Chunks of weights arrived. */
-    digest,  /*!< An entry passes on what the sides of its hall tell. */
-    behind,  /*!< A side's mirror is behind. */
-    crash,   /*!< Upstreams ended under a request of this entry. */
-    refusals /*!< This entry sent callers away. */
+    digest,  /*!< An entry relays the statuses of its hall's sidecars. */
+    behind,  /*!< The receiver's mirror lags behind. */
+    crash,   /*!< Upstreams crashed under a request of this entry. */
+    refusals /*!< This entry refused callers. */
 };
 
-/*! @brief Returns a reason's name for metrics. */
+/*! @brief Returns the value of a reason in the label `why` of metrics. */
 [[nodiscard]] constexpr std::string_view reason_name(heartbeat_reason reason)
 {
     switch (reason)
@@ -63,58 +65,62 @@
 struct heartbeat_context
 {
     heartbeat_reason reason{heartbeat_reason::regular};
-    std::uint64_t regular_number{0}; /*!< Of the regular heartbeat. */
-    bool from_entry{false};          /*!< An entry sends it. */
-    bool from_store{false}; /*!< The mirror advanced by the store itself. */
-    bool transfers_active{false}; /*!< Weights are on their way to some side. */
-    bool relayed_by_entries{false}; /*!< Entries of the hall tell those of
-                              others what its sides tell. */
-    std::size_t hall_sides{0};      /*!< Sides of the sender's hall. */
+    std::uint64_t regular_number{0}; /*!< Count of regular heartbeats so far. */
+    bool from_entry{false};          /*!< The sender is an entry. */
+    bool from_store{false}; /*!< The mirror advanced by a read of the store, not
+                               by a pull from a peer. */
+    bool transfers_active{false}; /*!< Some sidecar is downloading weights. */
+    /*! @brief The sender is a sidecar whose hall's entries relay its status
+     * to entries of other halls. */
+    bool relayed_by_entries{false};
+    std::size_t hall_sides{0}; /*!< Sidecars of the sender's hall. */
 };
 
-/*! @brief Which chunks a heartbeat tells. */
+/*! @brief Which chunks of weights a heartbeat lists. */
 enum class chunk_detail : std::uint8_t
 {
     none,
-    in_transfer, /*!< Those of versions that are on their way. */
+    in_transfer, /*!< Chunks of versions that are being downloaded. */
     all
 };
 
-/*! @brief A peer that may hear it. */
+/*! @brief A peer that may receive the heartbeat. */
 struct heartbeat_receiver
 {
     bool entry{false};
-    bool same_hall{false}; /*!< Of the sender's hall. */
-    bool ring_neighbour{
-        false}; /*!< A neighbour on the ring of the hall's sides. */
-    bool gets_digest{false}; /*!< An entry to which this one passes on what the
-                           sides of its hall tell. */
+    bool same_hall{false}; /*!< In the same hall as the sender. */
+    /*! @brief Neighbour on the ring of the hall's sidecars. */
+    bool ring_neighbour{false};
+    bool gets_digest{false}; /*!< Entry to which this entry relays the statuses
+                                of its hall's sidecars. */
 };
 
-/*! @brief Sides of a hall that all hear each other regularly; in a larger hall
- * only neighbours do. 32 heartbeats of 200 bytes five times a second are a
- * thirtieth of a link of 7.6 Mbit/s. */
+/*! @brief Up to this many sidecars of a hall all exchange regular heartbeats;
+ * in a larger hall only ring neighbours do. 32 heartbeats of 200 bytes, five
+ * times a second, take a thirtieth of a 7.6 Mbit/s link. */
 inline constexpr std::size_t full_mesh_limit = 32;
 
-/*! @brief Entries of other halls hear each this many heartbeats of an entry,
- * and of a side whose hall has no live entry: 400 ms, and they believe a load,
- * and that a peer lives, for 1 s. */
+/*! @brief Entries of other halls receive one in this many regular heartbeats of
+ * an entry, and of a sidecar whose hall has no live entry. That is one per 400
+ * ms; a reported load and the liveness of a peer expire after 1 s. */
 inline constexpr std::uint64_t remote_entry_period = 2;
 
-/*! @brief Sides of other halls hear each this many while weights spread: 800
- * ms, and a transfer takes one for silent after 1.5 s. */
+/*! @brief Sidecars of other halls receive one in this many regular heartbeats
+ * of a sidecar while weights are being downloaded. That is one per 800 ms; a
+ * transfer treats a source as lost after 1.5 s of silence. */
 inline constexpr std::uint64_t remote_side_period = 4;
 
-/*! @brief Sides of the own hall hear each this many: 400 ms, and they believe a
- * peer to live for 1 s. */
+/*! @brief Sidecars of the same hall receive one in this many regular heartbeats
+ * of a sidecar. That is one per 400 ms; the liveness of a peer expires after 1
+ * s. */
 inline constexpr std::uint64_t local_side_period = 2;
 
-/*! @brief Each this many regular heartbeats names the known entries and all
- * chunks that are held; the others, while weights spread, only the chunks of
- * versions that are on their way. */
+/*! @brief One in this many regular heartbeats lists the known entries and all
+ * chunks that the sender holds. The others list only chunks of versions that
+ * are being downloaded. */
 inline constexpr std::uint64_t full_report_period = 4;
 
-/*! @brief Returns what a heartbeat tells of chunks. */
+/*! @brief Returns which chunks a heartbeat lists. */
 [[nodiscard]] inline chunk_detail
 chunk_detail_for(const heartbeat_context& context)
 {
@@ -128,14 +134,14 @@
 }
 
 /*! @brief Tells whether a heartbeat carries records of requests that crash
- * upstreams: those that all entries hear sooner or later. */
+ * upstreams: the kinds that every entry receives sooner or later. */
 [[nodiscard]] constexpr bool carries_crash_records(heartbeat_reason reason)
 {
     return reason == heartbeat_reason::crash ||
            reason == heartbeat_reason::regular;
 }
 
-/*! @brief Tells whether a peer hears a heartbeat. */
+/*! @brief Tells whether a peer receives a heartbeat. */
 [[nodiscard]] inline bool receives(const heartbeat_context& context,
                                    const heartbeat_receiver& to)
 {
@@ -147,8 +153,8 @@
     case heartbeat_reason::state:
         return to.entry || to.same_hall;
     case heartbeat_reason::mirror:
-        // Each entry tells its own hall; the entries that hear the store
-        // itself tell all others.
+        // Each entry informs its own hall; the entries that read the store
+        // inform the entries of all other halls.
         return context.from_entry &&
                (to.same_hall || (context.from_store && to.entry));
     case heartbeat_reason::fetch:
@@ -175,10 +181,10 @@
            context.regular_number % remote_side_period == 0;
 }
 
-/*! @brief Returns whether a member of a ring is a neighbour of another: those
- * at distances 1, 2, 4 ... and 3, 6, 12 ..., so that each has as many, and
- * news reach everybody in few steps.
- * @param from Place of the sender, of `size`. */
+/*! @brief Tells whether two members of a ring are neighbours: those at
+ * distances 1, 2, 4 ... and 3, 6, 12 ... All members have the same number of
+ * neighbours, and an update reaches all of them in few steps.
+ * @param from Index of the sender, less than `size`. */
 [[nodiscard]] inline bool is_ring_neighbour(std::size_t from, std::size_t to,
                                             std::size_t size)
 {
--- a/src/coursejunction/fleet/heartbeat_sender.hpp
+++ b/src/coursejunction/fleet/heartbeat_sender.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Sends heartbeats to the peers that hear them.
+ * @brief Builds heartbeats and sends them to the peers that receive them.
  */
 #ifndef COURSEJUNCTION_FLEET_HEARTBEAT_SENDER_HPP
 #define COURSEJUNCTION_FLEET_HEARTBEAT_SENDER_HPP
@@ -23,27 +23,29 @@
 namespace coursejunction
 {
 
-/*! @brief Applies the plan of heartbeats to the peers of one process. */
+/*! @brief Applies the rules of `heartbeat_plan.hpp` to the peers of one
+ * process. */
 class heartbeat_sender
 {
 public:
-    /*! @brief Makes what this process tells. */
+    /*! @brief Builds the heartbeat that this process sends. */
     using heartbeat_factory = std::function<message::fleet_heartbeat(
         time_point, const heartbeat_context&)>;
 
-    /*! @brief Sends a datagram to a peer's address. */
+    /*! @brief Sends a datagram to the IP address of a peer. */
     using datagram_sink = std::function<void(const std::string& address,
                                              const std::string& datagram)>;
 
     heartbeat_sender(const fleet_options& own, const peer_directory& peers,
-                     metrics& counted, heartbeat_factory beat,
-                     datagram_sink send_to)
+                     metrics& counted, heartbeat_factory factory,
+                     datagram_sink sink)
         : options(own), directory(peers), counters(counted),
-          make(std::move(beat)), deliver(std::move(send_to))
+          make_heartbeat(std::move(factory)), send_datagram(std::move(sink))
     {
     }
 
-    /*! @brief Sends a heartbeat to all that hear it. */
+    /*! @brief Sends a heartbeat to all its receivers, and the hall's digest to
+     * entries of other halls that are due to receive it. */
     void send_heartbeat(heartbeat_context context, time_point now)
     {
         const auto ring = own_hall_ring();
@@ -52,24 +54,24 @@
             relay_rank_of(directory, options.address, options.hall, now);
         context.hall_sides = ring.size();
         context.relayed_by_entries = !options.entry && relay_rank.entries > 1;
-        const auto datagram = encode(make(now, context));
+        const auto datagram = encode(make_heartbeat(now, context));
         std::vector<std::string> digest_receivers;
         std::size_t local = 0;
         std::size_t remote = 0;
-        for (const auto& [address, one] : directory.all())
+        for (const auto& [address, peer] : directory.all())
         {
-            heartbeat_receiver to{one.entry, in_own_hall(one), false, false};
+            heartbeat_receiver to{peer.entry, in_own_hall(peer), false, false};
             to.ring_neighbour =
-                !options.entry && !one.entry && to.same_hall &&
+                !options.entry && !peer.entry && to.same_hall &&
                 is_ring_neighbour(own, index_of(ring, address), ring.size());
             to.gets_digest =
-                options.entry && one.entry && !to.same_hall &&
+                options.entry && peer.entry && !to.same_hall &&
                 context.reason == heartbeat_reason::regular &&
                 relays_digest_to(relay_rank, address, context.regular_number);
-            // Entries of other halls never tell a side anything: it knocks at
-            // them only while none of its own hall is there.
+            // Entries of other halls send nothing to a sidecar. It tries them
+            // only while its own hall has no live entry.
             const bool never_heard =
-                one.entry && one.heard_at == time_point{} &&
+                peer.entry && peer.heard_at == time_point{} &&
                 context.reason == heartbeat_reason::regular &&
                 !context.relayed_by_entries;
             if (to.gets_digest)
@@ -85,39 +87,40 @@
             send_digest(digest_receivers, now);
     }
 
-    /*! @brief Tells one peer that it is behind. */
+    /*! @brief Sends the mirror's position to a peer whose mirror lags behind.
+     */
     void send_mirror_position(const std::string& address, time_point now)
     {
         const auto* peer = directory.find(address);
         const auto datagram =
-            encode(make(now, context_for(heartbeat_reason::mirror)));
+            encode(make_heartbeat(now, context_for(heartbeat_reason::mirror)));
         send(address, datagram);
         count_bytes(heartbeat_reason::behind,
                     peer != nullptr && in_own_hall(*peer), datagram.size());
     }
 
 private:
-    [[nodiscard]] bool in_own_hall(const peer_state& one) const
+    [[nodiscard]] bool in_own_hall(const peer_state& peer) const
     {
-        return one.last_heartbeat.hall == options.hall.value();
+        return peer.last_heartbeat.hall == options.hall.value();
     }
 
     [[nodiscard]] heartbeat_context context_for(heartbeat_reason reason) const
     {
-        heartbeat_context made;
-        made.reason = reason;
-        made.from_entry = options.entry;
-        return made;
+        heartbeat_context context;
+        context.reason = reason;
+        context.from_entry = options.entry;
+        return context;
     }
 
-    /*! @brief Returns the sides of the own hall, this one included, in the
-     * order of their addresses. */
+    /*! @brief Returns the sidecars of the own hall, this one included, sorted
+     * by address. */
     [[nodiscard]] std::vector<std::string> own_hall_ring() const
     {
         std::vector<std::string> ring;
-        for (const auto& [address, one] : directory.all())
+        for (const auto& [address, peer] : directory.all())
         {
-            if (!one.entry && in_own_hall(one))
+            if (!peer.entry && in_own_hall(peer))
                 ring.push_back(address);
         }
         if (!options.entry)
@@ -134,14 +137,16 @@
             std::lower_bound(ring.begin(), ring.end(), address) - ring.begin());
     }
 
-    /*! @brief Tells entries of other halls what the sides of this one tell. */
+    /*! @brief Relays the statuses of the own hall's sidecars to entries of
+     * other halls. */
     void send_digest(const std::vector<std::string>& to, time_point now)
     {
-        for (auto& part : make_digests(directory, options.hall, now))
+        for (auto& digest : make_digests(directory, options.hall, now))
         {
-            auto made = make(now, context_for(heartbeat_reason::load));
-            made.digest = std::move(part);
-            const auto datagram = encode(made);
+            auto heartbeat =
+                make_heartbeat(now, context_for(heartbeat_reason::load));
+            heartbeat.digest = std::move(digest);
+            const auto datagram = encode(heartbeat);
             for (const auto& address : to)
                 send(address, datagram);
             count_bytes(heartbeat_reason::digest, false,
@@ -151,11 +156,11 @@
 
     void send(const std::string& address, const std::string& datagram)
     {
-        deliver(address, datagram);
+        send_datagram(address, datagram);
     }
 
-    /*! @brief Counts bytes by why and how far they go: bytes between regions
-     * are few and dear. */
+    /*! @brief Counts the bytes sent by reason and distance, since bandwidth
+     * between regions is scarce. */
     void count_bytes(heartbeat_reason reason, bool local, std::size_t bytes)
     {
         if (bytes > 0)
@@ -168,8 +173,8 @@
     const fleet_options& options;
     const peer_directory& directory;
     metrics& counters;
-    heartbeat_factory make;
-    datagram_sink deliver;
+    heartbeat_factory make_heartbeat;
+    datagram_sink send_datagram;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/installation.cpp
+++ b/src/coursejunction/fleet/installation.cpp
@@ -7,12 +7,12 @@
                                       std::string_view path) const
 {
     const route_rule* best = nullptr;
-    for (const auto& one : routes)
+    for (const auto& rule : routes)
     {
-        if (one.host != host || !path.starts_with(one.prefix))
+        if (rule.host != host || !path.starts_with(rule.prefix))
             continue;
-        if (best == nullptr || one.prefix.size() > best->prefix.size())
-            best = &one;
+        if (best == nullptr || rule.prefix.size() > best->prefix.size())
+            best = &rule;
     }
     return best;
 }
@@ -31,10 +31,10 @@
 
 const service_profile* installation::origin() const
 {
-    for (const auto& [name, one] : services)
+    for (const auto& [name, profile] : services)
     {
-        if (!one.origin.empty())
-            return &one;
+        if (!profile.origin.empty())
+            return &profile;
     }
     return nullptr;
 }
@@ -42,16 +42,16 @@
 const service_name* service_for(const route_rule& route, std::uint64_t hash)
 {
     std::uint64_t total = 0;
-    for (const auto& one : route.services)
-        total += one.weight;
+    for (const auto& share : route.services)
+        total += share.weight;
     if (total == 0)
         return nullptr;
-    auto place = hash % total;
-    for (const auto& one : route.services)
+    auto remaining = hash % total;
+    for (const auto& share : route.services)
     {
-        if (place < one.weight)
-            return &one.service;
-        place -= one.weight;
+        if (remaining < share.weight)
+            return &share.service;
+        remaining -= share.weight;
     }
     return nullptr;
 }
--- a/src/coursejunction/fleet/item_rules.hpp
+++ b/src/coursejunction/fleet/item_rules.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief How values of the store are compared across its eras; pure.
+ * @brief How values of the store's keys are compared across its eras; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_ITEM_RULES_HPP
 #define COURSEJUNCTION_FLEET_ITEM_RULES_HPP
@@ -12,16 +12,17 @@
 namespace coursejunction
 {
 
-/*! @brief What is known of keys that others write. */
+/*! @brief Rules for values that other programs write. */
 struct item_rules
 {
-    /*! @brief Returns a value's place in its writer's own order. */
+    /*! @brief Returns the position of a value in the order that its writer gave
+     * it. */
     std::function<item_order(const std::string& key,
                              const std::string& payload)>
         order;
 
-    /*! @brief Tells whether a value stands that a store which came back from
-     * an older copy lacks, until its writer writes it again. */
+    /*! @brief Tells whether a known value stays valid after a rollback of the
+     * store that lost it, until its writer writes the key again. */
     std::function<bool(const std::string& key)> survives_rollback;
 };
 
--- a/src/coursejunction/fleet/lag_tracker.hpp
+++ b/src/coursejunction/fleet/lag_tracker.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Remembers how long peers have known more than this process; pure.
+ * @brief Tracks how long the mirror has lagged behind those of peers; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_LAG_TRACKER_HPP
 #define COURSEJUNCTION_FLEET_LAG_TRACKER_HPP
@@ -12,12 +12,13 @@
 namespace coursejunction
 {
 
-/*! @brief How far the own mirror is behind what peers tell. */
+/*! @brief Measures the lag of the own mirror by the positions that peers
+ * report. */
 class lag_tracker
 {
 public:
-    /*! @brief A peer tells a position that the own mirror lacks.
-     * @param own Revision of the own mirror. */
+    /*! @brief Records that a peer reports a position beyond the own mirror.
+     * @param own Position of the own mirror. */
     void report_ahead(store_position position, store_position own,
                       time_point now)
     {
@@ -29,7 +30,7 @@
         newest = std::max(newest, position);
     }
 
-    /*! @brief The own mirror reached a position. */
+    /*! @brief Records that the own mirror reached a position. */
     void advance(store_position position, time_point now)
     {
         if (awaited == store_position{} || position < awaited)
@@ -38,8 +39,10 @@
         since = now;
     }
 
-    /*! @brief Returns for how long a position was awaited.
-     * @param position Of the own mirror. */
+    /*! @brief Returns how long the mirror has been without a position that
+     * peers reported; zero if none is missing. The time starts anew when the
+     * mirror reaches the first missing position but not the newest.
+     * @param position Position of the own mirror. */
     [[nodiscard]] milliseconds lag(store_position position,
                                    time_point now) const
     {
@@ -49,7 +52,8 @@
     }
 
 private:
-    store_position awaited; /*!< The first one that was told and lacked. */
+    /*! @brief First reported position that the own mirror lacks. */
+    store_position awaited;
     store_position newest;
     time_point since{};
 };
--- a/src/coursejunction/fleet/mirror_puller.hpp
+++ b/src/coursejunction/fleet/mirror_puller.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Fetches from peers what they know of the platform's store and this
- * process does not.
+ * @brief Pulls changes of the platform's store from peers whose mirror is
+ * ahead.
  */
 #ifndef COURSEJUNCTION_FLEET_MIRROR_PULLER_HPP
 #define COURSEJUNCTION_FLEET_MIRROR_PULLER_HPP
@@ -25,50 +25,54 @@
 namespace coursejunction
 {
 
-/*! @brief What a `mirror_puller` needs of its process. */
+/*! @brief Callbacks of a `mirror_puller`. */
 struct mirror_puller_hooks
 {
     std::function<hall_fetch_state()> fetch_state;
     std::function<void(const message::mirror_page&, const std::string& from)>
         page_received;
-    std::function<void()> started; /*!< Fetches for its hall from now on. */
+    std::function<void()> started; /*!< A pull from another hall begins, on
+                                      behalf of the own hall. */
 };
 
-/*! @brief Pulls pages. A peer of the own hall is asked at once; over the links
- * between halls one process at a time fetches for its hall. */
+/*! @brief Pulls pages of the mirror. A peer of the own hall is asked at once.
+ * Over the links between halls, the processes of a hall take turns. */
 class mirror_puller
 {
 public:
     static constexpr std::string_view target_prefix = "/mirror?after=";
 
-    /*! @brief How long peers of the own hall have to tell what one of another
-     * hall already told. */
+    /*! @brief How long to wait for peers of the own hall to get what a peer of
+     * another hall already has. */
     static constexpr milliseconds local_grace{80};
 
-    /*! @brief Pause before a process that waits for its turn looks again. */
+    /*! @brief Interval at which a process that waits for its turn checks again.
+     */
     static constexpr milliseconds recheck_interval{50};
 
-    /*! @brief Longest silence of a peer while a page comes; a link that is full
-     * keeps a packet for some 200 ms. The whole may take as long as it moves:
-     * under a limit of 2 s for the whole, pages of 1.7 MB never ended. */
+    /*! @brief A pull without any data for this long is aborted. A saturated
+     * link delays a packet by about 200 ms. The pull as a whole has no limit:
+     * with one of 2 s, pulls of 1.7 MB never finished. */
     static constexpr milliseconds stall_timeout{700};
 
-    /*! @brief Time for a connection: soon enough to leave a peer that is cut
-     * off, and longer after each failure, as it may be the link that is full.
-     */
+    /*! @brief Connect timeout. It starts short, so that a peer that is cut off
+     * is soon given up, and grows with each failure, since the link may only be
+     * saturated. */
     static constexpr milliseconds min_connect_timeout{250};
     static constexpr milliseconds max_connect_timeout{1000};
 
-    /*! @brief A pull that lasts this long may come over a squeezed link, where
-     * it moves and does not end: another peer of the own hall is asked beside
-     * it. A packed page takes 0.2 s over 7.6 Mbit/s. */
+    /*! @brief A pull that takes this long may run over a throttled link, where
+     * it progresses without finishing: a second one from another peer of the
+     * own hall is started beside it. A compressed page takes 0.2 s over 7.6
+     * Mbit/s. */
     static constexpr milliseconds hedge_delay{800};
 
-    /*! @brief Pulls of one kind at once; the first goes on, as all links may
-     * be slow. */
+    /*! @brief Concurrent pulls of each group (own hall, pending halls). The
+     * first is not cancelled, as all links may be slow. */
     static constexpr std::size_t max_parallel_pulls = 2;
 
-    /*! @param seed Spreads the pauses of processes that fail together. */
+    /*! @param seed Seed of the jitter, so that processes that fail together do
+     * not retry together. */
     mirror_puller(event_loop& owner, stream_client& client, metrics& counted,
                   const store_mirror& held, const peer_directory& known,
                   std::uint64_t seed)
@@ -77,7 +81,8 @@
     {
     }
 
-    /*! @param port `:PORT` of the peers. */
+    /*! @brief Sets the own hall and the callbacks.
+     * @param port Port of the peers as `:PORT`. */
     void start(hall_id own, std::string port, mirror_puller_hooks given)
     {
         hall = std::move(own);
@@ -85,7 +90,7 @@
         hooks = std::move(given);
     }
 
-    /*! @brief A peer tells that it knows more. */
+    /*! @brief Handles a heartbeat of a peer whose mirror is ahead. */
     void peer_ahead(const std::string& from, bool same_hall)
     {
         const auto now = event_loop::now();
@@ -96,27 +101,28 @@
             schedule_check(local_grace);
     }
 
-    /*! @brief Tells whether a page of another hall is under way that this
-     * process still lacks. */
+    /*! @brief Tells whether a pull from another hall is pending that this
+     * process still needs. */
     [[nodiscard]] bool fetching() const
     {
         return std::any_of(remote.active.begin(), remote.active.end(),
-                           [this](const open_pull& one)
-                           { return one.expected > mirror.position(); });
+                           [this](const open_pull& pending)
+                           { return pending.expected > mirror.position(); });
     }
 
 private:
-    /*! @brief A page that is under way. */
+    /*! @brief A pending pull. */
     struct open_pull
     {
         std::string from;
         stream_client::call_id call{0};
-        store_position expected; /*!< What the peer knew when it was asked. */
+        /*! @brief Position of the peer's mirror when the pull began. */
+        store_position expected;
         time_point began{};
     };
 
-    /*! @brief Pulls from one kind of peers, a second one only beside one that
-     * lasts. */
+    /*! @brief Pulls from one group of peers. A second one begins only beside
+     * one that takes long (hedging). */
     struct pull_group
     {
         explicit pull_group(std::uint64_t seed) : schedule(seed) {}
@@ -124,8 +130,8 @@
         [[nodiscard]] bool pulls_from(const std::string& peer) const
         {
             return std::any_of(active.begin(), active.end(),
-                               [&](const open_pull& one)
-                               { return one.from == peer; });
+                               [&](const open_pull& pending)
+                               { return pending.from == peer; });
         }
 
         [[nodiscard]] bool may_hedge(milliseconds wait, time_point now) const
@@ -149,8 +155,9 @@
             pull(local, from, "near");
     }
 
-    /*! @brief Tells whether a peer of another hall is asked beside one that
-     * lasts: others of the hall do so in their turn, if there are any. */
+    /*! @brief Tells whether to start a second pull from another hall beside a
+     * slow one. Only a process that is alone in its hall does so; otherwise the
+     * next in rank begins one. */
     [[nodiscard]] bool may_hedge_remote(time_point now) const
     {
         return remote.may_hedge(fetch_schedule::second_fetch_delay, now) &&
@@ -187,89 +194,90 @@
         hooks.started();
     }
 
-    void pull(pull_group& by, const std::string& from, const char* where)
+    void pull(pull_group& group, const std::string& from, const char* where)
     {
         ++pull_count;
         counters.count("fleet_mirror_pulls_total", 1, {{"from", where}});
         stream_call call;
         call.address = from + port_suffix;
         call.target = std::string(target_prefix) + mirror.position().text();
-        call.connect_time = connect_timeout(by);
+        call.connect_time = connect_timeout(group);
         call.stall_time = stall_timeout;
         const auto* peer = directory.find(from);
-        open_pull made{from, 0,
-                       peer ? peer->last_heartbeat.mirrored : store_position{},
-                       event_loop::now()};
-        made.call =
-            calls.gather(std::move(call),
-                         [this, &by, from, where, began = made.began](
-                             const stream_client::answer& answer)
-                         {
-                             std::erase_if(by.active, [&](const open_pull& one)
-                                           { return one.from == from; });
-                             on_pulled(by, from, where, began, answer);
-                         });
-        by.active.push_back(std::move(made));
+        open_pull started{
+            from, 0, peer ? peer->last_heartbeat.mirrored : store_position{},
+            event_loop::now()};
+        started.call = calls.gather(
+            std::move(call),
+            [this, &group, from, where,
+             began = started.began](const stream_client::answer& answer)
+            {
+                std::erase_if(group.active, [&](const open_pull& other)
+                              { return other.from == from; });
+                on_pulled(group, from, where, began, answer);
+            });
+        group.active.push_back(std::move(started));
     }
 
-    /*! @brief Ends pulls whose pages would tell nothing new. */
-    void cancel_outdated(pull_group& by)
+    /*! @brief Cancels pulls from peers that the mirror has caught up with. */
+    void cancel_outdated(pull_group& group)
     {
-        std::erase_if(by.active,
-                      [this](const open_pull& one)
+        std::erase_if(group.active,
+                      [this](const open_pull& pending)
                       {
-                          if (one.expected > mirror.position())
+                          if (pending.expected > mirror.position())
                               return false;
-                          calls.cancel(one.call);
+                          calls.cancel(pending.call);
                           return true;
                       });
     }
 
-    static milliseconds connect_timeout(const pull_group& by)
+    static milliseconds connect_timeout(const pull_group& group)
     {
         const auto failures =
-            static_cast<std::int64_t>(by.schedule.consecutive_failures());
+            static_cast<std::int64_t>(group.schedule.consecutive_failures());
         return std::min(min_connect_timeout * (failures + 1),
                         max_connect_timeout);
     }
 
-    void on_pulled(pull_group& by, const std::string& from, const char* where,
-                   time_point began, const stream_client::answer& answer)
+    void on_pulled(pull_group& group, const std::string& from,
+                   const char* where, time_point began,
+                   const stream_client::answer& answer)
     {
         counters.count("fleet_mirror_pull_bytes_total",
                        static_cast<double>(answer.body.size()),
                        {{"from", where}});
         auto page = decode_page(answer);
         if (!page)
-            return on_pull_failed(by, from, where, began, page.error().message,
-                                  answer.body.size());
-        by.schedule.record_success();
+            return on_pull_failed(group, from, where, began,
+                                  page.error().message, answer.body.size());
+        group.schedule.record_success();
         hooks.page_received(page.value(), from);
         cancel_outdated(local);
         cancel_outdated(remote);
-        if (&by == &remote)
+        if (&group == &remote)
             check_remote();
     }
 
-    void on_pull_failed(pull_group& by, const std::string& from,
+    void on_pull_failed(pull_group& group, const std::string& from,
                         const char* where, time_point began,
                         const std::string& why, std::size_t bytes)
     {
         const auto now = event_loop::now();
-        by.schedule.record_failure(now);
+        group.schedule.record_failure(now);
         counters.count("fleet_mirror_pull_failures_total", 1,
                        {{"from", where}});
         const auto took =
             std::chrono::duration_cast<milliseconds>(now - began).count();
-        log::state(
-            "mirror_pull_failed",
-            {{"peer", from},
-             {"why", why},
-             {"bytes", std::to_string(bytes)},
-             {"after_ms", std::to_string(took)},
-             {"failures", std::to_string(by.schedule.consecutive_failures())},
-             {"revision", mirror.position().text()}});
-        if (&by == &remote && !check_pending)
+        log::state("mirror_pull_failed",
+                   {{"peer", from},
+                    {"why", why},
+                    {"bytes", std::to_string(bytes)},
+                    {"after_ms", std::to_string(took)},
+                    {"failures",
+                     std::to_string(group.schedule.consecutive_failures())},
+                    {"revision", mirror.position().text()}});
+        if (&group == &remote && !check_pending)
             schedule_check(recheck_interval);
     }
 
@@ -296,8 +304,8 @@
     pull_group remote;
     timer check_timer;
     bool check_pending{false};
-    std::size_t
-        pull_count; /*!< Begins anywhere, so that not all ask the same. */
+    std::size_t pull_count; /*!< Starts at a random number, so that processes
+                               choose different peers. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/node_address.hpp
+++ b/src/coursejunction/fleet/node_address.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief IPv4 addresses as text and as numbers.
+ * @brief Conversion of IPv4 addresses.
  */
 #ifndef COURSEJUNCTION_FLEET_NODE_ADDRESS_HPP
 #define COURSEJUNCTION_FLEET_NODE_ADDRESS_HPP
@@ -14,7 +14,8 @@
 namespace coursejunction
 {
 
-/*! @brief Returns the number of an IPv4 address, or nothing. */
+/*! @brief Parses a dotted IPv4 address; returns it in host byte order, or
+ * nothing. */
 [[nodiscard]] inline std::optional<std::uint32_t>
 parse_ipv4(const std::string& text)
 {
@@ -24,7 +25,7 @@
     return ntohl(raw.s_addr);
 }
 
-/*! @brief Returns the text of an IPv4 address. */
+/*! @brief Formats an IPv4 address given in host byte order. */
 [[nodiscard]] inline std::string format_ipv4(std::uint32_t number)
 {
     const in_addr raw{htonl(number)};
@@ -33,7 +34,7 @@
     return text.data();
 }
 
-/*! @brief Returns the part of `IP:port` before the colon. */
+/*! @brief Returns the part of `IP:port` before the last colon. */
 [[nodiscard]] inline std::string host_of(const std::string& address)
 {
     return address.substr(0, address.rfind(':'));
--- a/src/coursejunction/fleet/peer_directory.hpp
+++ b/src/coursejunction/fleet/peer_directory.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Which other processes of the installation are there.
+ * @brief Directory of the other processes of the installation.
  */
 #ifndef COURSEJUNCTION_FLEET_PEER_DIRECTORY_HPP
 #define COURSEJUNCTION_FLEET_PEER_DIRECTORY_HPP
@@ -17,100 +17,107 @@
 namespace coursejunction
 {
 
-/*! @brief One other process, known by its IP address. */
+/*! @brief One other process, identified by its IP address. */
 struct peer_state
 {
     message::fleet_heartbeat last_heartbeat;
-    time_point heard_at{};      /*!< The epoch when never heard. */
-    time_point referenced_at{}; /*!< When somebody last named it. */
-    bool entry{false};
-    bool seed{false};
+    time_point heard_at{}; /*!< The epoch if no heartbeat was received yet. */
+    /*! @brief When a heartbeat, another entry's list, a store record or the
+     * settings last gave its address. */
+    time_point referenced_at{};
+    bool entry{false}; /*!< An entry; otherwise a sidecar. */
+    bool seed{false};  /*!< Given in the settings. */
 };
 
-/*! @brief Peers by address. A peer that is silent is kept for a while, since
- * silence may be a cut; it is forgotten when nobody names it any more. */
+/*! @brief Peers by IP address. A silent peer is kept for a while, since it may
+ * only be cut off by a network partition. It is removed once its address has
+ * not been given by anyone for `retention`. */
 class peer_directory
 {
 public:
-    /*! @brief Silent this long, a peer counts as not alive; three heartbeats
-     * of 200 ms and a margin for lost datagrams. */
+    /*! @brief After this long without a heartbeat a peer counts as dead: three
+     * intervals of 200 ms, and a margin for lost datagrams. */
     static constexpr milliseconds liveness_timeout{1000};
 
-    /*! @brief Not named for this long, a silent peer is forgotten. */
+    /*! @brief A peer whose address has not been given for this long is removed.
+     */
     static constexpr milliseconds retention{20'000};
 
-    /*! @brief Notes an address from the settings; never forgotten. */
+    /*! @brief Adds an entry from the settings; it is never removed. */
     void add_seed(const std::string& address, time_point now)
     {
-        auto& one = peers[address];
-        one.seed = true;
-        one.entry = true;
-        one.referenced_at = now;
+        auto& peer = peers[address];
+        peer.seed = true;
+        peer.entry = true;
+        peer.referenced_at = now;
     }
 
-    /*! @brief Notes an entry that somebody else told. */
+    /*! @brief Adds an entry that another process listed in a heartbeat. */
     void add_entry(const std::string& address, time_point now)
     {
-        auto& one = peers[address];
-        one.entry = true;
-        one.referenced_at = now;
+        auto& peer = peers[address];
+        peer.entry = true;
+        peer.referenced_at = now;
     }
 
-    /*! @brief Notes a side that the store's records tell, with its hall. */
+    /*! @brief Adds a sidecar from an upstream's record in the store.
+     * @param hall Hall of the record; used until the first heartbeat arrives.
+     */
     void add_side(const std::string& address, const hall_id& hall,
                   time_point now)
     {
-        auto& one = peers[address];
-        one.entry = false;
-        one.referenced_at = now;
-        if (one.heard_at == time_point{})
-            one.last_heartbeat.hall = hall.value();
+        auto& peer = peers[address];
+        peer.entry = false;
+        peer.referenced_at = now;
+        if (peer.heard_at == time_point{})
+            peer.last_heartbeat.hall = hall.value();
     }
 
-    /*! @brief Takes a heartbeat.
-     * @return False for one that is older than the last. */
+    /*! @brief Records a heartbeat.
+     * @return False if it is not newer than the last one. */
     bool record_heartbeat(const std::string& address,
                           const message::fleet_heartbeat& heartbeat,
                           time_point now)
     {
-        auto& one = peers[address];
+        auto& peer = peers[address];
         const bool older =
-            heartbeat.incarnation < one.last_heartbeat.incarnation ||
-            (heartbeat.incarnation == one.last_heartbeat.incarnation &&
-             heartbeat.sequence <= one.last_heartbeat.sequence);
-        if (older && one.heard_at != time_point{})
+            heartbeat.incarnation < peer.last_heartbeat.incarnation ||
+            (heartbeat.incarnation == peer.last_heartbeat.incarnation &&
+             heartbeat.sequence <= peer.last_heartbeat.sequence);
+        if (older && peer.heard_at != time_point{})
             return false;
-        one.last_heartbeat = heartbeat;
-        one.entry = heartbeat.entry;
-        one.heard_at = now;
-        one.referenced_at = now;
+        peer.last_heartbeat = heartbeat;
+        peer.entry = heartbeat.entry;
+        peer.heard_at = now;
+        peer.referenced_at = now;
         return true;
     }
 
-    /*! @brief Forgets peers that nobody has named for long. */
+    /*! @brief Removes peers, other than seeds, whose address has not been given
+     * for `retention`. */
     void expire(time_point now)
     {
         std::erase_if(peers,
-                      [&](const auto& one) {
-                          return !one.second.seed &&
-                                 now - one.second.referenced_at > retention;
+                      [&](const auto& peer) {
+                          return !peer.second.seed &&
+                                 now - peer.second.referenced_at > retention;
                       });
     }
 
-    /*! @brief Tells whether a peer was heard lately. */
+    /*! @brief Tells whether a heartbeat arrived within `liveness_timeout`. */
     [[nodiscard]] bool alive(const std::string& address, time_point now) const
     {
         const auto found = peers.find(address);
         return found != peers.end() && alive(found->second, now);
     }
 
-    [[nodiscard]] static bool alive(const peer_state& one, time_point now)
+    [[nodiscard]] static bool alive(const peer_state& peer, time_point now)
     {
-        return one.heard_at != time_point{} &&
-               now - one.heard_at <= liveness_timeout;
+        return peer.heard_at != time_point{} &&
+               now - peer.heard_at <= liveness_timeout;
     }
 
-    /*! @brief Returns a peer, or null. */
+    /*! @brief Returns a peer, or null if it is unknown. */
     [[nodiscard]] const peer_state* find(const std::string& address) const
     {
         const auto found = peers.find(address);
@@ -122,52 +129,55 @@
         return peers;
     }
 
-    /*! @brief Returns how many live entries are known. */
+    /*! @brief Returns the number of live entries, not counting this process. */
     [[nodiscard]] std::size_t live_entries(time_point now) const
     {
         std::size_t count = 0;
-        for (const auto& [address, one] : peers)
-            count += one.entry && alive(one, now) ? 1 : 0;
+        for (const auto& [address, peer] : peers)
+            count += peer.entry && alive(peer, now) ? 1 : 0;
         return count;
     }
 
-    /*! @brief Returns how many live entries that do not leave come before an
-     * address. */
+    /*! @brief Returns the number of live entries with a lower address that are
+     * not leaving. */
     [[nodiscard]] std::size_t entries_before(const std::string& address,
                                              time_point now) const
     {
         std::size_t count = 0;
-        for (const auto& [other, one] : peers)
-            count += one.entry && other < address && alive(one, now) &&
-                             !one.last_heartbeat.leaving
+        for (const auto& [other, peer] : peers)
+            count += peer.entry && other < address && alive(peer, now) &&
+                             !peer.last_heartbeat.leaving
                          ? 1
                          : 0;
         return count;
     }
 
-    /*! @brief Returns how many live entries watch the store. */
+    /*! @brief Returns the number of live entries that watch the store. */
     [[nodiscard]] std::size_t watchers(time_point now) const
     {
         std::size_t count = 0;
-        for (const auto& [address, one] : peers)
-            count += one.entry && one.last_heartbeat.watching && alive(one, now)
-                         ? 1
-                         : 0;
+        for (const auto& [address, peer] : peers)
+            count +=
+                peer.entry && peer.last_heartbeat.watching && alive(peer, now)
+                    ? 1
+                    : 0;
         return count;
     }
 
-    /*! @brief Returns how many live entries that watch the store are nearer to
-     * it than this one or, as near, come before it.
-     * @param distance Microseconds to the store; 0 when not known. */
+    /*! @brief Returns the number of live, not leaving entries that watch the
+     * store and are nearer to it, or equally near with a lower address.
+     * @param address IP address of this process.
+     * @param distance Time to connect to the store from here in microseconds; 0
+     * if unknown. */
     [[nodiscard]] std::size_t watchers_before(const std::string& address,
                                               std::uint32_t distance,
                                               time_point now) const
     {
         std::size_t count = 0;
-        for (const auto& [other, one] : peers)
+        for (const auto& [other, peer] : peers)
         {
-            const auto& last = one.last_heartbeat;
-            if (!one.entry || !alive(one, now) || !last.watching ||
+            const auto& last = peer.last_heartbeat;
+            if (!peer.entry || !alive(peer, now) || !last.watching ||
                 last.leaving)
                 continue;
             const auto theirs = distance_bucket(last.store_distance);
@@ -177,37 +187,38 @@
         return count;
     }
 
-    /*! @brief Returns the distance to the store of the nearest live entry of a
-     * hall; 0 when none knows it. */
+    /*! @brief Returns the lowest distance to the store, in microseconds, that a
+     * live process of a hall reports; 0 if none knows it. */
     [[nodiscard]] std::uint32_t store_distance(const hall_id& hall,
                                                time_point now) const
     {
         std::uint32_t nearest = 0;
-        for (const auto& [other, one] : peers)
+        for (const auto& [other, peer] : peers)
         {
-            const auto told = one.last_heartbeat.store_distance;
-            if (told == 0 || one.last_heartbeat.hall != hall.value() ||
-                !alive(one, now))
+            const auto told = peer.last_heartbeat.store_distance;
+            if (told == 0 || peer.last_heartbeat.hall != hall.value() ||
+                !alive(peer, now))
                 continue;
             nearest = nearest == 0 ? told : std::min(nearest, told);
         }
         return nearest;
     }
 
-    /*! @brief Returns where a process stands in its hall: entries come before
-     * sides, then the address counts. */
+    /*! @brief Returns the rank of a process in its hall and what the others
+     * there fetch. Entries rank before sidecars, then the lower address goes
+     * first. */
     [[nodiscard]] hall_fetch_state fetch_state(const std::string& address,
                                                const hall_id& hall, bool entry,
                                                time_point now) const
     {
         hall_fetch_state state;
-        for (const auto& [other, one] : peers)
+        for (const auto& [other, peer] : peers)
         {
-            const auto& last = one.last_heartbeat;
-            if (last.hall != hall.value() || !alive(one, now) || last.leaving)
+            const auto& last = peer.last_heartbeat;
+            if (last.hall != hall.value() || !alive(peer, now) || last.leaving)
                 continue;
             const bool before =
-                one.entry == entry ? other < address : one.entry;
+                peer.entry == entry ? other < address : peer.entry;
             state.rank += before ? 1 : 0;
             state.fetching += last.fetching ? 1 : 0;
             state.probing += last.probing ? 1 : 0;
@@ -215,63 +226,65 @@
         return state;
     }
 
-    /*! @brief Tells whether no other process of a hall is known to live. */
+    /*! @brief Tells whether no other live process of a hall is known. */
     [[nodiscard]] bool has_no_live_peer(const hall_id& hall,
                                         time_point now) const
     {
         return std::none_of(peers.begin(), peers.end(),
-                            [&](const auto& one)
+                            [&](const auto& peer)
                             {
-                                const auto& last = one.second.last_heartbeat;
+                                const auto& last = peer.second.last_heartbeat;
                                 return last.hall == hall.value() &&
-                                       !last.leaving && alive(one.second, now);
+                                       !last.leaving && alive(peer.second, now);
                             });
     }
 
-    /*! @brief Returns a live peer that knows more than a position, an entry
-     * before a side; empty when there is none.
-     * @param own_hall Of this hall, or of any other one.
-     * @param turn Chooses among equals, so that not all ask the same one. */
+    /*! @brief Returns a live peer whose mirror is ahead of a position, entries
+     * preferred; empty if there is none.
+     * @param own_hall Whether to search in this hall or in all others.
+     * @param tie_breaker Selects one of several candidates, so that not all
+     * processes ask the same peer. */
     [[nodiscard]] std::string
     find_peer_ahead(store_position position, const hall_id& hall, bool own_hall,
                     std::size_t tie_breaker, time_point now) const
     {
         std::vector<std::string> found;
         bool entries = false;
-        for (const auto& [other, one] : peers)
+        for (const auto& [other, peer] : peers)
         {
-            const auto& last = one.last_heartbeat;
+            const auto& last = peer.last_heartbeat;
             const bool fits = (last.hall == hall.value()) == own_hall &&
-                              alive(one, now) && !last.leaving &&
+                              alive(peer, now) && !last.leaving &&
                               last.mirrored > position;
-            if (!fits || (entries && !one.entry))
+            if (!fits || (entries && !peer.entry))
                 continue;
-            if (one.entry && !entries)
+            if (peer.entry && !entries)
                 found.clear();
-            entries = one.entry;
+            entries = peer.entry;
             found.push_back(other);
         }
         return found.empty() ? std::string()
                              : found[tie_breaker % found.size()];
     }
 
-    /*! @brief Tells whether a live entry watches the store and saw no outage:
-     * then whoever lost the store was cut off itself. */
+    /*! @brief Tells whether some live entry watches the store and saw no
+     * outage. Then a process that lost the store was cut off itself. */
     [[nodiscard]] bool has_undisturbed_watcher(time_point now) const
     {
         return std::any_of(peers.begin(), peers.end(),
-                           [&](const auto& one)
+                           [&](const auto& peer)
                            {
-                               const auto& last = one.second.last_heartbeat;
-                               return one.second.entry &&
-                                      alive(one.second, now) && last.watching &&
-                                      !last.store_returned;
+                               const auto& last = peer.second.last_heartbeat;
+                               return peer.second.entry &&
+                                      alive(peer.second, now) &&
+                                      last.watching && !last.store_returned;
                            });
     }
 
 private:
-    /*! @brief Distances within a millisecond count as alike: halls of a region
-     * are some 2 ms apart, regions 4 ms and more. */
+    /*! @brief Returns a distance in whole milliseconds, within which distances
+     * count as equal. Halls of a region are about 2 ms apart, regions 4 ms and
+     * more. */
     static std::uint32_t distance_bucket(std::uint32_t distance)
     {
         constexpr std::uint32_t bucket_width = 1000;
--- a/src/coursejunction/fleet/restore_schedule.hpp
+++ b/src/coursejunction/fleet/restore_schedule.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief When a process writes again what the store lost by coming back from an
- * older copy; pure.
+ * @brief Decides when an entry rewrites the keys that the store lost in a
+ * rollback; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_RESTORE_SCHEDULE_HPP
 #define COURSEJUNCTION_FLEET_RESTORE_SCHEDULE_HPP
@@ -16,18 +16,18 @@
 namespace coursejunction
 {
 
-/*! @brief All entries know the same, so that they write one after the other:
- * the later ones find it written. */
+/*! @brief Staggers the entries by rank. All of them know the same keys, so the
+ * later ones find them rewritten. */
 class restore_schedule
 {
 public:
-    /*! @brief An entry waits this long for each entry before it. */
+    /*! @brief An entry waits this long for each entry before it in rank. */
     static constexpr milliseconds rank_delay{500};
 
-    /*! @brief Tells, once after each change of the store's era, that it is this
-     * entry's turn.
-     * @param position The position of the mirror.
-     * @param rank How many entries come before this one. */
+    /*! @brief Tells whether this entry should rewrite lost keys now; true once
+     * after each change of the store's era.
+     * @param position Position of the mirror.
+     * @param rank Number of entries before this one. */
     [[nodiscard]] bool due(store_position position, std::size_t rank,
                            time_point now)
     {
--- a/src/coursejunction/fleet/store_mirror.hpp
+++ b/src/coursejunction/fleet/store_mirror.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief A process's copy of the part of the platform's store that it needs.
+ * @brief In-memory copy of the part of the platform's store that a process
+ * needs.
  */
 #ifndef COURSEJUNCTION_FLEET_STORE_MIRROR_HPP
 #define COURSEJUNCTION_FLEET_STORE_MIRROR_HPP
@@ -23,98 +24,102 @@
 namespace coursejunction
 {
 
-/*! @brief One key as the store last showed it. */
+/*! @brief Last known value of one key. */
 struct mirrored_value
 {
     std::string payload;
-    std::string packed; /*!< The payload for peers; empty for a small one. */
+    std::string packed; /*!< The compressed payload, as sent to peers; empty if
+                           the payload is small. */
     std::uint64_t revision{0};
-    time_point
-        first_seen{}; /*!< When the first process that told us knew it. */
+    time_point first_seen{}; /*!< When any process first saw this value. */
     bool removed{false};
-    std::uint64_t era{0}; /*!< Of the store, that counts the revision. */
-    item_order order{};   /*!< Of the last value, where it is removed. */
-    bool lost{false};     /*!< Removed since a store came back without it. */
+    std::uint64_t era{0}; /*!< Era of the store in which the revision counts. */
+    item_order order{}; /*!< Order of the last value, if the key is removed. */
+    bool lost{false}; /*!< The key is missing because the store was rolled back,
+                         not because it was removed. */
 
     [[nodiscard]] store_position position() const { return {era, revision}; }
 };
 
-/*! @brief Unpacks the values of a page that a peer sent.
- * @return The page with payloads, or `refused` when one is not what it tells.
- */
+/*! @brief Decompresses the values of a page from a peer.
+ * @return The page with payloads, or `refused` if a value does not have the
+ * stated size. */
 [[nodiscard]] inline result<message::mirror_page>
 unpack_page(message::mirror_page page)
 {
-    for (auto& one : page.items)
+    for (auto& item : page.items)
     {
-        if (one.packed.empty())
+        if (item.packed.empty())
             continue;
-        auto plain = unpack(one.packed, one.plain_bytes);
+        auto plain = unpack(item.packed, item.plain_bytes);
         if (!plain)
             return failure(plain.error().kind,
-                           one.key + ": " + plain.error().message);
-        one.payload = std::move(plain.value());
+                           item.key + ": " + plain.error().message);
+        item.payload = std::move(plain.value());
     }
     return page;
 }
 
-/*! @brief Keys with their revisions; only goes forward. Whoever tells an older
- * state of a key changes nothing, so pages may come from the store or from any
- * other process, in any order and more than once. Removed keys stay as marks,
- * so that a mirror that missed the removal learns of it.
+/*! @brief Keys with their revisions. A key never goes back to an older value,
+ * so pages may come from the store or from any peer, in any order and more than
+ * once. Removed keys are kept as tombstones, so that a mirror that missed the
+ * removal learns of it.
  *
- * A store that comes back from an older copy lacks what it had acknowledged
- * since. Across its eras values are compared by their writers' own order: what
- * is known stands, and what was removed stays removed, until it is written
- * anew. */
+ * A store that was restored from an older snapshot (rolled back) begins a new
+ * era and has lost writes that it had acknowledged. Values of different eras
+ * are compared by the order that their writers gave them: a known value stays
+ * valid, and a removed key stays removed, until a writer writes the key again.
+ */
 class store_mirror
 {
 public:
     using items = std::vector<message::mirror_item>;
 
     store_mirror() = default;
-    explicit store_mirror(item_rules how) : rules(std::move(how)) {}
+    explicit store_mirror(item_rules given) : rules(std::move(given)) {}
 
-    /*! @brief Takes changes that complete the mirror up to a position of the
-     * same era.
+    /*! @brief Applies the changes up to a position of the same era.
+     * @param complete_to Position up to which the mirror is complete
+     * afterwards.
      * @return The keys that changed, each once. */
     std::vector<std::string> apply(const items& changes,
                                    store_position complete_to, time_point now)
     {
         std::vector<std::string> changed;
         std::set<std::string_view> seen;
-        bool older = false;
-        for (const auto& one : changes)
+        bool has_older_era = false;
+        for (const auto& item : changes)
         {
-            // The mirror is whole up to its position: a key that it does not
-            // know was gone by then, whoever still tells of it.
+            // The mirror is complete up to its position, so an unknown key with
+            // an older position has been removed by then.
             const bool outdated =
-                one.position() <= mirrored_to && !values.contains(one.key) &&
-                !(one.era < mirrored_to.era && survives_rollback(one.key));
-            if (!outdated && put(one, now) && seen.insert(one.key).second)
-                changed.push_back(one.key);
-            older = older || one.era < mirrored_to.era;
+                item.position() <= mirrored_to && !values.contains(item.key) &&
+                !(item.era < mirrored_to.era && survives_rollback(item.key));
+            if (!outdated && put(item, now) && seen.insert(item.key).second)
+                changed.push_back(item.key);
+            has_older_era = has_older_era || item.era < mirrored_to.era;
         }
-        const bool crosses = complete_to.era > mirrored_to.era;
+        const bool new_era = complete_to.era > mirrored_to.era;
         mirrored_to = std::max(mirrored_to, complete_to);
-        if (older || crosses || carried_count > 0)
+        if (has_older_era || new_era || carried_count > 0)
             update_carried_count();
         return changed;
     }
 
-    /*! @brief Takes a listing of every key as of a position: what is not in
-     * it and not newer is gone.
+    /*! @brief Applies a listing of all keys as of a position. A known key that
+     * is not listed and not newer is removed. If it is from an earlier era it
+     * is marked as lost, or kept if it survives a rollback.
      * @return The keys that changed. */
-    std::vector<std::string> replace(const items& all, store_position as_of,
+    std::vector<std::string> replace(const items& listing, store_position as_of,
                                      time_point now)
     {
         std::vector<std::string> changed;
         std::set<std::string_view> listed;
-        for (const auto& one : all)
+        for (const auto& item : listing)
         {
-            listed.insert(one.key);
-            if (put(one, now))
-                changed.push_back(one.key);
+            listed.insert(item.key);
+            if (put(item, now))
+                changed.push_back(item.key);
         }
         for (auto& [key, value] : values)
         {
@@ -133,8 +138,8 @@
         return changed;
     }
 
-    /*! @brief Returns what changed after a position, and what stands from
-     * earlier eras; large values packed. */
+    /*! @brief Returns what changed after a position, and the values carried
+     * over from earlier eras. Large values are compressed. */
     [[nodiscard]] message::mirror_page changes_since(store_position after,
                                                      time_point now) const
     {
@@ -144,14 +149,15 @@
         page.carried = carried();
         for (const auto& [key, value] : values)
         {
-            const bool old = value.era < mirrored_to.era && !value.removed;
-            if (value.position() > after || page.whole || old)
+            const bool from_earlier_era =
+                value.era < mirrored_to.era && !value.removed;
+            if (value.position() > after || page.whole || from_earlier_era)
                 page.items.push_back(to_item(key, value, now));
         }
         return page;
     }
 
-    /*! @brief Returns a key's value, or null when it is absent. */
+    /*! @brief Returns a key's value, or null if it is absent or removed. */
     [[nodiscard]] const mirrored_value* find(const std::string& key) const
     {
         const auto found = values.find(key);
@@ -159,8 +165,8 @@
                                                               : &found->second;
     }
 
-    /*! @brief Tells whether a key is absent and was not removed, as far as is
-     * known: the store never showed it, or came back without it. */
+    /*! @brief Tells whether a key is absent although no removal is known: the
+     * store never had it, or lost it in a rollback. */
     [[nodiscard]] bool absent_without_removal(const std::string& key) const
     {
         const auto found = values.find(key);
@@ -168,20 +174,20 @@
                (found->second.removed && found->second.lost);
     }
 
-    /*! @brief Returns every key, removed ones included. */
+    /*! @brief Returns all keys, including tombstones. */
     [[nodiscard]] const std::map<std::string, mirrored_value>& all() const
     {
         return values;
     }
 
-    /*! @brief Returns the position up to which the mirror is whole; the start
-     * when nothing was ever read. */
+    /*! @brief Returns the position up to which the mirror is complete; the
+     * start if nothing was read yet. */
     [[nodiscard]] store_position position() const noexcept
     {
         return mirrored_to;
     }
 
-    /*! @brief Returns how many values stand from earlier eras of the store. */
+    /*! @brief Returns the number of values carried over from earlier eras. */
     [[nodiscard]] std::uint32_t carried() const noexcept
     {
         return carried_count;
@@ -190,11 +196,12 @@
 private:
     void update_carried_count()
     {
-        carried_count = static_cast<std::uint32_t>(std::count_if(
-            values.begin(), values.end(),
-            [&](const auto& one) {
-                return !one.second.removed && one.second.era < mirrored_to.era;
-            }));
+        carried_count = static_cast<std::uint32_t>(
+            std::count_if(values.begin(), values.end(),
+                          [&](const auto& entry) {
+                              return !entry.second.removed &&
+                                     entry.second.era < mirrored_to.era;
+                          }));
     }
 
     [[nodiscard]] bool survives_rollback(const std::string& key) const
@@ -202,7 +209,9 @@
         return rules.survives_rollback && rules.survives_rollback(key);
     }
 
-    /*! @tparam Value A `mirrored_value` or a `mirror_item`. */
+    /*! @brief Returns the order of a value, or of the last value of a
+     * tombstone.
+     * @tparam Value A `mirrored_value` or a `mirror_item`. */
     template <typename Value>
     [[nodiscard]] item_order order_of(const std::string& key,
                                       const Value& value) const
@@ -212,52 +221,53 @@
         return rules.order(key, value.payload);
     }
 
-    /*! @brief Tells whether a value of another era takes the place of the one
-     * that is known. */
-    [[nodiscard]] bool replaces(const message::mirror_item& one,
+    /*! @brief Tells whether an item replaces a known value of another era. */
+    [[nodiscard]] bool replaces(const message::mirror_item& item,
                                 const mirrored_value& known) const
     {
-        const bool later = one.era > known.era;
-        const auto next = order_of(one.key, one);
-        const auto before = order_of(one.key, known);
+        const bool later = item.era > known.era;
+        const auto next = order_of(item.key, item);
+        const auto before = order_of(item.key, known);
         const bool unordered = next == item_order{} && before == item_order{};
-        if (unordered || (one.removed && known.removed))
+        if (unordered || (item.removed && known.removed))
             return later;
         if (known.removed)
             return later && (next > before || known.lost);
-        if (one.removed)
-            return later || (before <= next && !one.lost);
+        if (item.removed)
+            return later || (before <= next && !item.lost);
         return next == before ? later : next > before;
     }
 
-    bool put(const message::mirror_item& one, time_point now)
+    bool put(const message::mirror_item& item, time_point now)
     {
-        const auto [place, added] = values.try_emplace(one.key);
-        auto& value = place->second;
-        const bool follows =
-            added || (one.era == value.era ? one.revision > value.revision
-                                           : replaces(one, value));
-        if (!follows)
+        const auto [entry, added] = values.try_emplace(item.key);
+        auto& value = entry->second;
+        const bool is_newer =
+            added || (item.era == value.era ? item.revision > value.revision
+                                            : replaces(item, value));
+        if (!is_newer)
             return false;
-        // A value that a new era of the store confirms is no change.
-        const bool same = !added && one.removed == value.removed &&
-                          one.era != value.era && one.payload == value.payload;
-        const auto before = added ? item_order{} : order_of(one.key, value);
-        value.order = one.removed ? std::max(one.order, before) : item_order{};
-        value.revision = one.revision;
-        value.era = one.era;
-        value.removed = one.removed;
-        value.lost = one.lost;
-        if (same)
+        // A value that is rewritten unchanged in a new era is no change.
+        const bool unchanged = !added && item.removed == value.removed &&
+                               item.era != value.era &&
+                               item.payload == value.payload;
+        const auto before = added ? item_order{} : order_of(item.key, value);
+        value.order =
+            item.removed ? std::max(item.order, before) : item_order{};
+        value.revision = item.revision;
+        value.era = item.era;
+        value.removed = item.removed;
+        value.lost = item.lost;
+        if (unchanged)
             return false;
-        value.payload = one.payload;
-        // Packed once by the process that heard it from the store: all others
-        // pass on what they were sent.
+        value.payload = item.payload;
+        // Compressed once, by the process that read it from the store. All
+        // others relay what they received.
         value.packed =
-            one.packed.empty() && value.payload.size() >= least_packed
+            item.packed.empty() && value.payload.size() >= least_packed
                 ? pack(value.payload)
-                : one.packed;
-        value.first_seen = now - milliseconds(one.age_ms);
+                : item.packed;
+        value.first_seen = now - milliseconds(item.age_ms);
         return true;
     }
 
@@ -266,14 +276,14 @@
     {
         const auto age =
             std::chrono::duration_cast<milliseconds>(now - value.first_seen);
-        const bool packs = !value.packed.empty();
+        const bool is_packed = !value.packed.empty();
         return {key,
-                packs ? std::string() : value.payload,
+                is_packed ? std::string() : value.payload,
                 value.revision,
                 static_cast<std::uint64_t>(age.count()),
                 value.removed,
                 value.packed,
-                packs ? value.payload.size() : 0,
+                is_packed ? value.payload.size() : 0,
                 value.era,
                 value.order,
                 value.lost};
@@ -282,7 +292,8 @@
     item_rules rules;
     std::map<std::string, mirrored_value> values;
     store_position mirrored_to;
-    std::uint32_t carried_count{0}; /*!< Values of earlier eras. */
+    /*! @brief Values carried over from earlier eras. */
+    std::uint32_t carried_count{0};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/store_outage.hpp
+++ b/src/coursejunction/fleet/store_outage.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Remembers outages of the platform's store; pure.
+ * @brief Detects outages of the platform's store; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_STORE_OUTAGE_HPP
 #define COURSEJUNCTION_FLEET_STORE_OUTAGE_HPP
@@ -11,28 +11,30 @@
 namespace coursejunction
 {
 
-/*! @brief Records of upstreams may lapse while the store is away and are back
- * soon after its return. A single failed call, or a history that is gone, is no
- * such outage: what is missing after it has really left. */
+/*! @brief Upstreams cannot renew their records during an outage of the store;
+ * records that expired then come back soon after it ends. A single failed call,
+ * or a watch whose history is gone, is no outage: what is missing after it has
+ * really been removed. */
 class store_outage
 {
 public:
-    /*! @brief Failures for at least this long are an outage; a record lapses
-     * after three heartbeats, of which the first may be due at once. */
+    /*! @brief Calls must fail for at least this long to count as an outage. A
+     * record expires after three missed heartbeats of its upstream, of which
+     * the first may be due at once. */
     static constexpr milliseconds min_duration{1000};
 
-    /*! @brief After its return the store counts as unsettled for this long;
-     * the platform's rules count nothing against us for as long. */
+    /*! @brief For this long after an outage missing records may still come
+     * back. The platform counts no errors against us during the same time. */
     static constexpr milliseconds settle_time{3000};
 
-    /*! @brief A call failed. */
+    /*! @brief Records a failed call. */
     void record_failure(time_point now)
     {
         if (!failing_since)
             failing_since = now;
     }
 
-    /*! @brief A call was answered. */
+    /*! @brief Records an answered call, which ends an outage. */
     void record_success(time_point now)
     {
         if (failing_since && now - *failing_since >= min_duration)
@@ -40,7 +42,7 @@
         failing_since.reset();
     }
 
-    /*! @brief Tells whether an outage ended just now. */
+    /*! @brief Tells whether an outage ended less than `settle_time` ago. */
     [[nodiscard]] bool recently_ended(time_point now) const
     {
         return ended_at && now - *ended_at < settle_time;
--- a/src/coursejunction/fleet/store_reader.hpp
+++ b/src/coursejunction/fleet/store_reader.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Reads the platform's store for this process's mirror.
+ * @brief Reads the platform's store into this process's mirror.
  */
 #ifndef COURSEJUNCTION_FLEET_STORE_READER_HPP
 #define COURSEJUNCTION_FLEET_STORE_READER_HPP
@@ -21,15 +21,16 @@
 namespace coursejunction
 {
 
-/*! @brief Keys that a store showed, as of a position; all of its era. */
+/*! @brief Keys read from the store; all positions are of the same era. */
 struct store_page
 {
     store_mirror::items items;
     store_position position;
 };
 
-/*! @brief Reads the platform's store; answers come on the loop's thread. An
- * error `not_found` of a watch says that its history is gone. */
+/*! @brief Client of the platform's store. The callbacks run on the event loop's
+ * thread. A watch fails with `not_found` if the store no longer has the history
+ * after the given revision. */
 template <typename Store>
 concept Readable_store = requires(Store& store, std::uint64_t after,
                                   milliseconds wait,
@@ -37,55 +38,58 @@
 {
     store.list(done);
     store.watch(after, wait, done);
-    store.cancel(); /*!< Ends the call under way; it is not answered. */
-    /*! Time that a connection takes; zero when not known. */
+    store.cancel(); /*!< Cancels the pending call; its callback is not run. */
+    /*! Time to open a connection; zero if unknown. */
     {
         store.distance()
         } -> std::convertible_to<std::chrono::microseconds>;
 };
 
-/*! @brief What a `store_reader` needs of its process. */
+/*! @brief Callbacks of a `store_reader`. */
 struct store_reader_hooks
 {
-    /*! @brief Whether this process is among those that read the store. */
+    /*! @brief Tells whether this process should watch the store. */
     std::function<bool()> should_watch;
-    /*! @brief Changes came, or the whole store. */
+    /*! @brief Receives changes, or all keys if `whole`. */
     std::function<void(const store_page&, bool whole)> page_received;
-    std::function<void()> started; /*!< Reads for its hall from now on. */
+    std::function<void()> started; /*!< A call on behalf of the hall begins. */
 };
 
-/*! @brief Watches the store. It goes on after the position of the mirror,
- * whoever brought it that far: the whole store is listed only by a process that
- * knows nothing, whose revision the store has forgotten, or whose watch brings
- * more than a listing would.
+/*! @brief Watches the store. Each watch continues from the position of the
+ * mirror, whether it got there from the store or from peers. All keys are
+ * listed only if the mirror is empty, if the store has dropped the history
+ * after the mirror's position, or if a watch returns more than a listing would.
  * @tparam Store A `Readable_store`. */
 template <typename Store>
 class store_reader
 {
 public:
-    /*! @brief How long one watch waits. A watch that hangs on a dead
-     * connection is noticed this late, and a change has 2 s to be in force
-     * once the store has been calm for 3 s. */
+    /*! @brief How long one watch waits for a change. A watch on a dead
+     * connection is noticed only after this time, and a change must take effect
+     * within 2 s once the store has been available for 3 s. */
     static constexpr milliseconds watch_wait{1500};
 
-    /*! @brief How long the first watch waits, so that one that gets through
-     * tells so at once. */
+    /*! @brief How long the first watch waits, so that a reachable store is
+     * noticed at once. */
     static constexpr milliseconds probe_wait{100};
 
-    /*! @brief Pause between two watches, so that changes that come together
-     * cost one call; a leaving upstream has 2 s. */
+    /*! @brief Pause between two watches, so that changes in quick succession
+     * cost one call. It is short since a leaving upstream is gone after 2 s. */
     static constexpr milliseconds watch_pause{100};
 
-    /*! @brief Longest answer of a watch beyond its wait. It holds every value
-     * that was written since: after some twenty changes of 2 MB it filled a
-     * link of 24 Mbit/s for 15 s. A listing holds the last ones only. */
+    /*! @brief A watch that takes this much longer than its wait is cancelled.
+     * Its answer holds every value written since its start: after some twenty
+     * changes of 2 MB it filled a 24 Mbit/s link for 15 s. A listing holds only
+     * the last value of each key. */
     static constexpr milliseconds watch_overrun_limit{1200};
 
-    /*! @brief A listing that lasts this long is given up when peers have told
-     * more meanwhile; otherwise it goes on, however large it is. */
+    /*! @brief A listing that takes longer is cancelled if the mirror has
+     * advanced from peers meanwhile. Otherwise it continues, however large it
+     * is. */
     static constexpr milliseconds listing_time_limit{2500};
 
-    /*! @param seed Spreads the pauses of processes that fail together. */
+    /*! @param seed Seed of the jitter, so that processes that fail together do
+     * not retry together. */
     store_reader(event_loop& owner, Store& service, metrics& counted,
                  const store_mirror& held, std::uint64_t seed)
         : loop(owner), store(service), counters(counted), mirror(held),
@@ -95,7 +99,8 @@
 
     void start(store_reader_hooks given) { hooks = std::move(given); }
 
-    /*! @brief Begins to read when it is this process's turn. */
+    /*! @brief Begins to read if it is this process's turn, and cancels a call
+     * that takes too long; called at each regular heartbeat. */
     void poll(const hall_fetch_state& hall, time_point now)
     {
         if (busy)
@@ -105,23 +110,25 @@
             begin(hall);
     }
 
-    /*! @brief Tells whether the store answers and is watched. */
+    /*! @brief Tells whether the store answered the last call and is being
+     * watched. */
     [[nodiscard]] bool watching() const noexcept { return reachable && busy; }
 
-    /*! @brief Tells whether the whole store is on its way. */
+    /*! @brief Tells whether a listing of all keys is pending. */
     [[nodiscard]] bool fetching() const noexcept { return listing; }
 
-    /*! @brief Tells whether a first call for news only is under way. */
+    /*! @brief Tells whether a first watch is pending and the store has not
+     * answered yet. */
     [[nodiscard]] bool probing() const noexcept
     {
         return busy && !reachable && !listing;
     }
 
-    /*! @brief Returns how often changes may have been missed: only the last
-     * write of each key is seen after a gap. */
+    /*! @brief Returns how often changes may have been missed: after a gap only
+     * the last write of each key is seen. */
     [[nodiscard]] std::uint64_t gaps() const noexcept { return gap_count; }
 
-    /*! @brief Tells whether an outage of the store ended just now. */
+    /*! @brief Tells whether an outage of the store ended a moment ago. */
     [[nodiscard]] bool outage_recently_ended(time_point now) const
     {
         return outage.recently_ended(now);
@@ -155,8 +162,8 @@
                 if (!answer)
                     return record_failure("list", answer.error().message);
                 if (answer.value().position.era < mirror.position().era)
-                    return record_failure("list",
-                                          "an earlier era of the store");
+                    return record_failure(
+                        "list", "the store answered from an earlier era");
                 record_success();
                 hooks.page_received(answer.value(), true);
                 watch(watch_wait);
@@ -182,14 +189,17 @@
                     });
     }
 
-    /*! @brief Watches on, or leaves it to others.
-     * @param changed Whether more changes may follow at once. */
+    /*! @brief Begins the next watch, or stops if others watch the store
+     * instead.
+     * @param changed Whether the last watch brought changes, so that more may
+     * follow at once. */
     void continue_watching(bool changed)
     {
         if (!hooks.should_watch())
         {
-            // Whether the store can be reached when it is wanted again is not
-            // known: others must not count on this process before.
+            // Whether the store can still be reached is unknown when this
+            // process is next to watch it; until then it must not report that
+            // it does.
             busy = false;
             reachable = false;
             return;
@@ -199,16 +209,17 @@
         pause = loop.after(watch_pause, [this] { watch(watch_wait); });
     }
 
-    /*! @brief The store came back from an older copy: what changed since a
-     * revision of the earlier era says nothing of what it lost. */
-    void on_era_changed(store_position now_at)
+    /*! @brief Handles a rollback of the store. Changes after a revision of the
+     * earlier era do not show what was lost, so the store is listed anew. */
+    void on_era_changed(store_position new_position)
     {
-        if (now_at.era < call_position.era)
-            return record_failure("watch", "an earlier era of the store");
+        if (new_position.era < call_position.era)
+            return record_failure("watch",
+                                  "the store answered from an earlier era");
         history_gone_until = call_position;
         ++gap_count;
         log::warning("store_era_changed", {{"before", call_position.text()},
-                                           {"now", now_at.text()}});
+                                           {"now", new_position.text()}});
         counters.count("store_eras_total");
         busy = false;
         reachable = false;
@@ -218,15 +229,16 @@
     {
         if (why.kind != error_kind::not_found)
             return record_failure("watch", why.message);
-        // One of the hall lists the store anew; those whose mirror it brings
-        // past this revision watch on from there.
+        // One process of the hall lists the store again. Those whose mirror it
+        // advances beyond this position continue to watch from there.
         history_gone_until = mirror.position();
         ++gap_count;
         log::warning("store_history_gone",
                      {{"revision", history_gone_until.text()}});
         busy = false;
         reachable = false;
-        // The history may be gone again by the end of each listing.
+        // The store may drop its history again before each listing ends, so
+        // listings back off.
         if (++consecutive_history_losses > 1)
             schedule.record_failure(event_loop::now());
     }
@@ -261,8 +273,9 @@
                     {"distance_us", std::to_string(distance_us())}});
     }
 
-    /*! @brief Ends a call that costs more than another one: the next turn goes
-     * on from where peers brought the mirror, or lists where they did not. */
+    /*! @brief Cancels a call that costs more than its alternative. The next
+     * call watches from the position to which peers have advanced the mirror,
+     * or lists all keys if they have not. */
     void cancel_slow_call(time_point now)
     {
         const bool mirror_advanced = mirror.position() > call_position;
@@ -313,18 +326,21 @@
     fetch_schedule schedule;
     store_outage outage;
     timer pause;
-    time_point call_began{};       /*!< When the last call began. */
-    store_position call_position;  /*!< Position at that moment. */
-    milliseconds watch_timeout{0}; /*!< What the last watch waits. */
-    bool call_pending{false};      /*!< That call has not ended. */
-    store_position
-        history_gone_until; /*!< No watch goes on from here or before. */
-    bool reachable{false};  /*!< The last call was answered. */
-    bool busy{false};       /*!< A call or a pause of the watch runs. */
-    bool listing{false};    /*!< The call lists the whole store. */
-    std::size_t consecutive_history_losses{
-        0};                     /*!< Watches whose history was gone. */
-    std::uint64_t gap_count{0}; /*!< Gaps in what was heard. */
+    time_point call_began{};      /*!< When the last call began. */
+    store_position call_position; /*!< Position of the mirror at that time. */
+    /*! @brief How long the last watch waits for a change. */
+    milliseconds watch_timeout{0};
+    bool call_pending{false}; /*!< The last call has not ended. */
+    /*! @brief Up to here the store has no history; no watch may continue
+     * from such a position. */
+    store_position history_gone_until;
+    bool reachable{false}; /*!< The last call was answered. */
+    /*! @brief A call or the pause between two watches is pending. */
+    bool busy{false};
+    bool listing{false}; /*!< The pending call lists all keys. */
+    /*! @brief Consecutive watches whose history was gone. */
+    std::size_t consecutive_history_losses{0};
+    std::uint64_t gap_count{0}; /*!< How often changes may have been missed. */
 };
 
 } // namespace coursejunction
--- a/tests/platform/catalogue.cpp
+++ b/tests/platform/catalogue.cpp
@@ -104,7 +104,7 @@
     CHECK(one.value().id.value() == "i-1");
     CHECK(one.value().leaving);
     CHECK(one.value().model_versions.at("m") == 3);
-    CHECK(one.value().cold_start_ms == 5);
+    CHECK(one.value().cold_remaining_ms == 5);
     CHECK(one.value().life.empty());
 
     const auto named = catalogue::version(R"({"modelId":"m","version":2})");
