--- a/tests/fleet/fetch_schedule.cpp
+++ b/tests/fleet/fetch_schedule.cpp
@@ -9,53 +9,53 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("processes of a hall take turns at a link", "[fleet]")
+SCENARIO("the processes of a hall take turns at a shared link", "[fleet]")
 {
     cj::fetch_schedule schedule;
     const cj::time_point now{100s};
 
-    GIVEN("nothing that is lacking")
+    GIVEN("nothing to fetch")
     {
         CHECK_FALSE(schedule.due({}, now));
     }
-    GIVEN("something that is lacking")
+    GIVEN("something to fetch")
     {
         schedule.set_needed(true, now);
-        THEN("the first of the hall begins at once, the third two turns later")
+        THEN("the first in rank begins at once, the third two delays later")
         {
             CHECK(schedule.due({0, 0}, now));
             CHECK_FALSE(schedule.due({2, 0}, now + 599ms));
             CHECK(schedule.due({2, 0}, now + 600ms));
         }
-        THEN("while another one fetches it is waited for, but not for ever")
+        THEN("a fetch by another process delays it, but not forever")
         {
             CHECK_FALSE(schedule.due({1, 1}, now));
             CHECK_FALSE(schedule.due({1, 1}, now + 1499ms));
             CHECK(schedule.due({1, 1}, now + 1500ms));
         }
-        THEN("beside two that fetch nobody begins")
+        THEN("no third fetch begins beside two")
         {
             CHECK_FALSE(schedule.due({0, 2}, now + 10s));
         }
-        THEN("two that never end do not keep all others away for ever")
+        THEN("two fetches that never end do not block the others forever")
         {
             CHECK_FALSE(schedule.due({0, 2}, now));
             CHECK_FALSE(schedule.due({0, 2}, now + 3s));
             CHECK(schedule.due({0, 2}, now + 10s));
-            AND_THEN("nor does a third one")
+            AND_THEN("nor do three")
             {
                 CHECK_FALSE(schedule.due({0, 3}, now + 10s));
                 CHECK(schedule.due({0, 3}, now + 20s));
             }
         }
-        THEN("those that all waited for one begin one after the other")
+        THEN("processes that waited for the same fetch start staggered")
         {
             CHECK_FALSE(schedule.due({3, 2}, now + 10s));
             CHECK_FALSE(schedule.due({3, 0}, now + 10s));
             CHECK_FALSE(schedule.due({3, 0}, now + 10s + 74ms));
             CHECK(schedule.due({3, 0}, now + 10s + 75ms));
         }
-        AND_WHEN("it is there after all")
+        AND_WHEN("it has arrived in another way")
         {
             schedule.set_needed(false, now + 10ms);
             CHECK_FALSE(schedule.due({}, now + 10s));
@@ -63,21 +63,22 @@
         AND_WHEN("a fetch fails")
         {
             schedule.record_failure(now);
-            THEN("the next one waits, longer after each failure, up to 1.5 s")
+            THEN(
+                "the back-off grows with each failure, up to 1.5 s with jitter")
             {
                 CHECK_FALSE(schedule.due({}, now + 149ms));
                 CHECK(schedule.due({}, now + 225ms));
-                for (int again = 0; again < 20; ++again)
+                for (int failure = 0; failure < 20; ++failure)
                     schedule.record_failure(now);
                 CHECK_FALSE(schedule.due({}, now + 999ms));
                 CHECK(schedule.due({}, now + 1500ms));
             }
-            THEN("the turns begin anew")
+            THEN("the delay by rank starts again after the back-off")
             {
                 CHECK_FALSE(schedule.due({1, 0}, now + 300ms));
                 CHECK(schedule.due({1, 0}, now + 525ms));
             }
-            AND_WHEN("one succeeds")
+            AND_WHEN("the next one succeeds")
             {
                 schedule.record_success();
                 schedule.set_needed(true, now);
@@ -91,44 +92,44 @@
 namespace
 {
 
-/*! @brief A hall whose processes fetch a state over one link, in virtual time.
- */
+/*! @brief Simulates a hall whose processes fetch a state over one link, in
+ * virtual time. */
 class hall_model
 {
 public:
     static constexpr std::chrono::milliseconds step{10};
 
-    /*! @brief Until a process of the hall hears of another's news: a datagram
-     * that is sent at once, and the loop of a busy process. */
+    /*! @brief Time until a process of the hall learns of a change at another
+     * one: a datagram and the event loop of a busy process. */
     static constexpr std::chrono::milliseconds propagation{20};
 
-    /*! @param starts When each process begins to lack the state.
-     * @param state_bytes Of the whole state.
-     * @param link_rate Bytes a second of the link. */
+    /*! @param starts When each process begins, in ms.
+     * @param state_bytes Size of the whole state.
+     * @param link_rate Bytes per second of the link. */
     hall_model(const std::vector<int>& starts, double state_bytes,
                double link_rate)
         : bytes(state_bytes), rate(link_rate)
     {
         for (std::size_t at = 0; at < starts.size(); ++at)
         {
-            process made{cj::fetch_schedule(at * 97)};
-            made.start =
+            process added{cj::fetch_schedule(at * 97)};
+            added.start =
                 cj::time_point{} + std::chrono::milliseconds(starts[at]);
-            hall.push_back(made);
+            hall.push_back(added);
         }
     }
 
-    /*! @brief The processes knew each other before. */
+    /*! @brief Makes all processes know each other from the start. */
     void mark_peers_known() { known = true; }
 
-    /*! @brief Cuts the link: what is under way fails after its patience. */
+    /*! @brief Cuts the link; pending fetches fail after their stall timeout. */
     void cut(cj::time_point from, cj::time_point until)
     {
         cut_from = from;
         cut_until = until;
     }
 
-    /*! @brief Plays until all have the state.
+    /*! @brief Runs until all processes have the state.
      * @return When that was, or the limit. */
     cj::time_point run(cj::time_point limit)
     {
@@ -225,10 +226,10 @@
 
     [[nodiscard]] cj::hall_fetch_state fetch_state(std::size_t at) const
     {
-        cj::hall_fetch_state made;
-        // The first is a seed; the others let it go first while they are new.
+        cj::hall_fetch_state state;
+        // The first process is a seed; new processes let it go first.
         if (!known && at > 0 && now < hall[at].start + 1s)
-            made.rank = 1;
+            state.rank = 1;
         std::size_t before = 0;
         for (std::size_t other = 0; other < hall.size(); ++other)
         {
@@ -236,11 +237,11 @@
             if (other == at || (!known && now < one.start + propagation))
                 continue;
             before += other < at ? 1 : 0;
-            made.fetching +=
+            state.fetching +=
                 one.fetching && now - one.began >= propagation ? 1 : 0;
         }
-        made.rank = std::max(made.rank, before);
-        return made;
+        state.rank = std::max(state.rank, before);
+        return state;
     }
 
     std::vector<process> hall;
@@ -254,22 +255,23 @@
 
 } // namespace
 
-TEST_CASE("a hall is whole soon after its trouble, in whatever order it starts",
+TEST_CASE("a hall completes its state soon after a start or a partition",
           "[fleet]")
 {
-    // 2.3 MB, as a store tells 4,200 routes, and a link of 24 Mbit/s.
+    // 2.3 MB is the size of a store with 4,200 routes; the link has 24 Mbit/s.
     constexpr double bytes = 2.3e6;
     constexpr double rate = 3e6;
     const auto copy = cj::from_seconds(bytes / rate);
 
-    rc::prop("after a start of all within 0.3 s",
+    rc::prop("all processes start within 0.3 s",
              [&]
              {
                  const auto count = *rc::gen::inRange<std::size_t>(1, 25);
                  const auto starts = *rc::gen::container<std::vector<int>>(
                      count, rc::gen::inRange(0, 300));
                  hall_model hall(starts, bytes, rate);
-                 // The last start, a turn, and at worst a second reader.
+                 // The last start, one delay by rank, and at worst a second
+                 // fetch.
                  const auto bound = cj::time_point{} + 300ms +
                                     cj::fetch_schedule::rank_delay + copy * 2 +
                                     hall_model::propagation * 2;
@@ -277,7 +279,7 @@
                  RC_ASSERT(hall.transferred <= bytes * 3);
              });
 
-    rc::prop("after a cut of the link",
+    rc::prop("the link was cut",
              [&]
              {
                  const auto count = *rc::gen::inRange<std::size_t>(2, 25);
@@ -287,8 +289,9 @@
                      cj::time_point{} +
                      std::chrono::milliseconds(*rc::gen::inRange(100, 20'000));
                  hall.cut(cj::time_point{}, end);
-                 // At most the longest pause, a second reader beside the first,
-                 // and for each one that began before it heard that they ended.
+                 // At most the maximum back-off, two concurrent fetches, and
+                 // for each of them one more that began before it heard of the
+                 // end.
                  const auto bound = end +
                                     cj::fetch_schedule::max_backoff * 3 / 2 +
                                     copy * 4 + hall_model::propagation;
--- a/tests/fleet/fleet_node.cpp
+++ b/tests/fleet/fleet_node.cpp
@@ -18,19 +18,19 @@
 namespace
 {
 
-/*! @brief A store that turns this process away by silence. */
-class silent_store
+/*! @brief A store that never answers this process. */
+class unreachable_store
 {
 public:
     using callback = std::function<void(cj::result<cj::store_page>)>;
 
-    explicit silent_store(cj::event_loop& owner) : loop(owner) {}
+    explicit unreachable_store(cj::event_loop& owner) : loop(owner) {}
 
-    void list(const callback& done) { give_up_after(patience, done); }
+    void list(const callback& done) { fail_after(answer_timeout, done); }
 
     void watch(std::uint64_t, cj::milliseconds wait, const callback& done)
     {
-        give_up_after(wait + patience, done);
+        fail_after(wait + answer_timeout, done);
     }
 
     void cancel() { call.stop(); }
@@ -38,9 +38,9 @@
     [[nodiscard]] static std::chrono::microseconds distance() { return {}; }
 
 private:
-    static constexpr cj::milliseconds patience{700};
+    static constexpr cj::milliseconds answer_timeout{700};
 
-    void give_up_after(cj::milliseconds wait, const callback& done)
+    void fail_after(cj::milliseconds wait, const callback& done)
     {
         call = loop.after(
             wait, [done]
@@ -51,29 +51,29 @@
     cj::timer call;
 };
 
-using node = cj::fleet_node<silent_store>;
+using node_type = cj::fleet_node<unreachable_store>;
 
-/*! @brief One process of a hall that the store turns away. */
-struct member
+/*! @brief One process of a hall that has no access to the store. */
+struct hall_process
 {
-    member(cj::event_loop& loop, cj::fleet_options options)
-        : store(loop),
-          self(std::move(
-              node::create(loop, store, counters, std::move(options)).value()))
+    hall_process(cj::event_loop& loop, cj::fleet_options options)
+        : store(loop), node(std::move(node_type::create(loop, store, counters,
+                                                        std::move(options))
+                                          .value()))
     {
     }
 
     cj::metrics counters;
-    silent_store store;
-    std::unique_ptr<node> self;
+    unreachable_store store;
+    std::unique_ptr<node_type> node;
 };
 
-/*! @brief An entry of another hall that hears the store. */
-class far_entry
+/*! @brief An entry of another hall that watches the store. */
+class remote_entry
 {
 public:
-    far_entry(cj::event_loop& owner, const std::string& address,
-              std::vector<std::string> hearers)
+    remote_entry(cj::event_loop& owner, const std::string& address,
+                 std::vector<std::string> addresses)
         : loop(owner),
           server(std::move(cj::stream_server::create(
                                owner, address, 0, {},
@@ -85,21 +85,22 @@
                                owner, address, server->port(),
                                [](const std::string&, std::string_view) {})
                                .value())),
-          told(std::move(hearers))
+          receivers(std::move(addresses))
     {
-        beats = loop.every(200ms, [this] { beat(); });
+        heartbeat_timer = loop.every(200ms, [this] { send_heartbeats(); });
     }
 
     [[nodiscard]] std::uint16_t port() const { return server->port(); }
 
-    /*! @brief The store tells it of a change. */
+    /*! @brief Simulates a change that it read from the store.
+     * @return The new revision. */
     std::uint64_t change()
     {
-        const auto revision = known.position().revision + 1;
-        known.apply(
+        const auto revision = mirror.position().revision + 1;
+        mirror.apply(
             {{"a", std::to_string(revision), revision, 0, false, {}, 0}},
             revision, cj::event_loop::now());
-        beat();
+        send_heartbeats();
         return revision;
     }
 
@@ -110,81 +111,85 @@
             request.target.substr(request.target.find('=') + 1));
         reply.send(
             200, {},
-            cj::encode(known.changes_since(after, cj::event_loop::now())));
+            cj::encode(mirror.changes_since(after, cj::event_loop::now())));
     }
 
-    void beat()
+    void send_heartbeats()
     {
-        cj::message::fleet_heartbeat made;
-        made.incarnation = 1;
-        made.sequence = ++sequence;
-        made.mirrored = known.position();
-        made.hall = "here";
-        made.entry = true;
-        made.watching = true;
-        made.store_distance = 300;
-        for (const auto& one : told)
-            socket->send(one + ":" + std::to_string(port()), cj::encode(made));
+        cj::message::fleet_heartbeat heartbeat;
+        heartbeat.incarnation = 1;
+        heartbeat.sequence = ++sequence;
+        heartbeat.mirrored = mirror.position();
+        heartbeat.hall = "here";
+        heartbeat.entry = true;
+        heartbeat.watching = true;
+        heartbeat.store_distance = 300;
+        for (const auto& one : receivers)
+            socket->send(one + ":" + std::to_string(port()),
+                         cj::encode(heartbeat));
     }
 
     cj::event_loop& loop;
-    cj::store_mirror known;
+    cj::store_mirror mirror;
     std::unique_ptr<cj::stream_server> server;
     std::unique_ptr<cj::datagram_socket> socket;
-    std::vector<std::string> told;
-    cj::timer beats;
+    std::vector<std::string> receivers;
+    cj::timer heartbeat_timer;
     std::uint64_t sequence{0};
 };
 
 } // namespace
 
-SCENARIO("a hall that the store turns away hears of changes from other halls",
-         "[fleet]")
+SCENARIO(
+    "a hall without access to the store learns of changes from other halls",
+    "[fleet]")
 {
     constexpr int first = 10;
     constexpr int entries = 5;
     constexpr int changes = 12;
     loopback::running_loop running;
-    std::vector<std::unique_ptr<member>> hall;
-    std::unique_ptr<far_entry> far;
+    std::vector<std::unique_ptr<hall_process>> hall;
+    std::unique_ptr<remote_entry> remote;
     std::vector<std::string> addresses;
     for (int at = 0; at < entries; ++at)
         addresses.push_back(loopback::own_address(first + at));
     running.on_loop(
         [&]
         {
-            far = std::make_unique<far_entry>(
+            remote = std::make_unique<remote_entry>(
                 running.loop, loopback::own_address(1), addresses);
             for (const auto& address : addresses)
             {
                 cj::fleet_options options;
                 options.address = address;
-                options.port = far->port();
+                options.port = remote->port();
                 options.hall = cj::hall_id("there");
                 options.entry = true;
                 options.seeds = {addresses.front()};
-                hall.push_back(std::make_unique<member>(running.loop, options));
+                hall.push_back(
+                    std::make_unique<hall_process>(running.loop, options));
             }
             for (const auto& one : hall)
-                one->self->start({});
+                one->node->start({});
         });
-    // Who knows nothing lists the whole store, and a listing is waited for.
-    running.on_loop([&] { far->change(); });
+    // A process with an empty mirror lists the whole store, and the others wait
+    // for that listing.
+    running.on_loop([&] { remote->change(); });
     std::this_thread::sleep_for(4s);
 
-    // Peers of the hall have 80 ms, and the page comes at once; now and then a
-    // busy machine takes longer.
-    constexpr auto soon = 400ms;
-    constexpr int most_late = 2;
-    int late = 0;
+    // Peers of the hall have 80 ms to answer, and the page arrives at once. A
+    // busy machine sometimes takes longer.
+    constexpr auto max_delay = 400ms;
+    constexpr int max_late = 2;
+    int late_count = 0;
     for (int at = 0; at < changes; ++at)
     {
         std::uint64_t revision = 0;
-        running.on_loop([&] { revision = far->change(); });
+        running.on_loop([&] { revision = remote->change(); });
         const auto begin = std::chrono::steady_clock::now();
-        auto took = 0ms;
+        auto delay = 0ms;
         bool all = false;
-        while (!all && took < 4s)
+        while (!all && delay < 4s)
         {
             std::this_thread::sleep_for(5ms);
             running.on_loop(
@@ -193,18 +198,18 @@
                     all = std::all_of(
                         hall.begin(), hall.end(),
                         [&](const auto& one)
-                        { return one->self->mirror().position() >= revision; });
+                        { return one->node->mirror().position() >= revision; });
                 });
-            took = std::chrono::duration_cast<std::chrono::milliseconds>(
+            delay = std::chrono::duration_cast<std::chrono::milliseconds>(
                 std::chrono::steady_clock::now() - begin);
         }
-        UNSCOPED_INFO("change " << at << ": " << took.count() << " ms");
-        late += took > soon ? 1 : 0;
-        // Other moments of their calls to the store each time.
+        UNSCOPED_INFO("change " << at << ": " << delay.count() << " ms");
+        late_count += delay > max_delay ? 1 : 0;
+        // Makes each change fall into another phase of the calls to the store.
         std::this_thread::sleep_for(370ms);
     }
-    CHECK(late <= most_late);
+    CHECK(late_count <= max_late);
     running.stop();
     hall.clear();
-    far.reset();
+    remote.reset();
 }
--- a/tests/fleet/hall_digest.cpp
+++ b/tests/fleet/hall_digest.cpp
@@ -15,8 +15,8 @@
 
 const cj::hall_id here("here");
 
-void hear(cj::peer_directory& peers, const std::string& address,
-          const std::string& hall, bool entry, cj::time_point now)
+void receive(cj::peer_directory& peers, const std::string& address,
+             const std::string& hall, bool entry, cj::time_point now)
 {
     cj::message::fleet_heartbeat heartbeat;
     heartbeat.incarnation = 1;
@@ -32,32 +32,33 @@
 
 } // namespace
 
-SCENARIO("a hall's entries pass on what its sides tell", "[fleet]")
+SCENARIO("entries relay the statuses of their hall's sidecars", "[fleet]")
 {
     const cj::time_point now{100s};
     cj::peer_directory peers;
     constexpr int sides = 40;
     for (int at = 0; at < sides; ++at)
-        hear(peers, "10.1.0." + std::to_string(100 + at), "here", false, now);
-    hear(peers, "10.2.0.1", "there", false, now);
-    hear(peers, "10.1.0.9", "here", false, now - 3s);
+        receive(peers, "10.1.0." + std::to_string(100 + at), "here", false,
+                now);
+    receive(peers, "10.2.0.1", "there", false, now);
+    receive(peers, "10.1.0.9", "here", false, now - 3s);
 
-    THEN("every live side of the hall is in one part, and nothing else")
+    THEN("every live sidecar of the hall is in exactly one digest")
     {
-        std::set<std::uint32_t> told;
-        for (const auto& part : cj::make_digests(peers, here, now + 70ms))
+        std::set<std::uint32_t> seen;
+        for (const auto& digest : cj::make_digests(peers, here, now + 70ms))
         {
             cj::message::fleet_heartbeat heartbeat;
             heartbeat.entry = true;
-            heartbeat.digest = part;
-            // A packet of 1,500 bytes without the heads of IP and UDP.
+            heartbeat.digest = digest;
+            // A packet of 1,500 bytes without the IP and UDP headers.
             CHECK(cj::encode(heartbeat).size() <= 1472);
             const auto read =
                 cj::decode<cj::message::fleet_heartbeat>(cj::encode(heartbeat));
             REQUIRE(read);
             for (const auto& one : read.value().digest.sides)
             {
-                CHECK(told.insert(one.address).second);
+                CHECK(seen.insert(one.address).second);
                 CHECK(one.age_ms == 70);
                 const auto status = cj::status_in(read.value().digest, one);
                 CHECK(status.running == 3);
@@ -67,38 +68,38 @@
                 CHECK_FALSE(status.reachable);
             }
         }
-        CHECK(told.size() == sides);
+        CHECK(seen.size() == sides);
     }
     GIVEN("four entries in the hall")
     {
         for (int at = 2; at <= 4; ++at)
-            hear(peers, "10.1.0." + std::to_string(at), "here", true, now);
-        const std::vector<std::string> own{"10.1.0.1", "10.1.0.2", "10.1.0.3",
-                                           "10.1.0.4"};
-        const auto told_by = [&](const std::string& receiver)
+            receive(peers, "10.1.0." + std::to_string(at), "here", true, now);
+        const std::vector<std::string> addresses{"10.1.0.1", "10.1.0.2",
+                                                 "10.1.0.3", "10.1.0.4"};
+        const auto senders_to = [&](const std::string& receiver)
         {
-            std::map<std::string, int> made;
-            for (const auto& address : own)
+            std::map<std::string, int> counts;
+            for (const auto& address : addresses)
             {
-                // Each knows the others, not itself.
+                // The directory of an entry does not contain itself.
                 cj::peer_directory others;
-                for (const auto& other : own)
+                for (const auto& other : addresses)
                     if (other != address)
-                        hear(others, other, "here", true, now);
+                        receive(others, other, "here", true, now);
                 const auto rank = cj::relay_rank_of(others, address, here, now);
                 for (std::uint64_t number = 0; number < 8; ++number)
                     if (cj::relays_digest_to(rank, receiver, number))
-                        ++made[address];
+                        ++counts[address];
             }
-            return made;
+            return counts;
         };
-        THEN("each entry elsewhere hears two of them, by turns")
+        THEN("each entry elsewhere receives from two of them in turn")
         {
             for (int at = 1; at < 50; ++at)
             {
-                const auto by = told_by("10.3.0." + std::to_string(at));
-                REQUIRE(by.size() == 2);
-                for (const auto& [address, times] : by)
+                const auto senders = senders_to("10.3.0." + std::to_string(at));
+                REQUIRE(senders.size() == 2);
+                for (const auto& [address, times] : senders)
                     CHECK(times == 2);
             }
         }
@@ -106,7 +107,7 @@
     GIVEN("one entry alone")
     {
         const auto rank = cj::relay_rank_of(peers, "10.1.0.1", here, now);
-        THEN("it tells everybody each time")
+        THEN("it sends every digest to everybody")
         {
             CHECK(cj::relays_digest_to(rank, "10.3.0.1", 4));
             CHECK(cj::relays_digest_to(rank, "10.3.0.1", 6));
--- a/tests/fleet/heartbeat_plan.cpp
+++ b/tests/fleet/heartbeat_plan.cpp
@@ -9,11 +9,11 @@
 
 heartbeat_context context_for(heartbeat_reason reason, bool from_entry)
 {
-    heartbeat_context made;
-    made.reason = reason;
-    made.from_entry = from_entry;
-    made.regular_number = remote_side_period;
-    return made;
+    heartbeat_context context;
+    context.reason = reason;
+    context.from_entry = from_entry;
+    context.regular_number = remote_side_period;
+    return context;
 }
 
 constexpr heartbeat_receiver local_entry{true, true, false};
@@ -23,44 +23,44 @@
 
 } // namespace
 
-TEST_CASE("a side tells few")
+TEST_CASE("who receives the heartbeats of a sidecar")
 {
-    SECTION("its load: the entries of its hall")
+    SECTION("a changed load goes to the entries of its hall")
     {
         const auto load = context_for(heartbeat_reason::load, false);
         REQUIRE(receives(load, local_entry));
         REQUIRE_FALSE(receives(load, remote_entry));
         REQUIRE_FALSE(receives(load, local_side));
     }
-    SECTION("that its upstream closes: every entry, and its hall")
+    SECTION("a closing upstream is reported to every entry and to the hall")
     {
         const auto closed = context_for(heartbeat_reason::state, false);
         REQUIRE(receives(closed, remote_entry));
         REQUIRE(receives(closed, local_side));
         REQUIRE_FALSE(receives(closed, remote_side));
     }
-    SECTION("that it fetches for its hall: those that wait for their turn")
+    SECTION("a fetch is reported to the processes of the hall")
     {
-        const auto fetches = context_for(heartbeat_reason::fetch, false);
-        REQUIRE(receives(fetches, local_entry));
-        REQUIRE(receives(fetches, local_side));
-        REQUIRE_FALSE(receives(fetches, remote_entry));
-        REQUIRE_FALSE(receives(fetches, remote_side));
+        const auto fetch = context_for(heartbeat_reason::fetch, false);
+        REQUIRE(receives(fetch, local_entry));
+        REQUIRE(receives(fetch, local_side));
+        REQUIRE_FALSE(receives(fetch, remote_entry));
+        REQUIRE_FALSE(receives(fetch, remote_side));
     }
-    SECTION("an entry tells whom it sent away: where they come back")
+    SECTION("an entry reports refused callers to the entries of its hall")
     {
         const auto refused = context_for(heartbeat_reason::refusals, true);
         REQUIRE(receives(refused, local_entry));
         REQUIRE_FALSE(receives(refused, remote_entry));
         REQUIRE_FALSE(receives(refused, local_side));
     }
-    SECTION("nothing of its mirror: its regular heartbeat carries that")
+    SECTION("a mirror's progress is left to the regular heartbeat")
     {
         const auto advanced = context_for(heartbeat_reason::mirror, false);
         REQUIRE_FALSE(receives(advanced, local_entry));
         REQUIRE_FALSE(receives(advanced, remote_entry));
     }
-    SECTION("regularly the entries, those of other halls less often")
+    SECTION("entries of other halls receive fewer regular heartbeats")
     {
         auto regular = context_for(heartbeat_reason::regular, false);
         regular.regular_number = remote_entry_period + 1;
@@ -69,8 +69,8 @@
         regular.regular_number = remote_entry_period;
         REQUIRE(receives(regular, remote_entry));
     }
-    SECTION("entries of other halls not at all where its hall's entries pass "
-            "on what it tells")
+    SECTION("entries of other halls receive no regular heartbeat if "
+            "entries relay the status")
     {
         auto regular = context_for(heartbeat_reason::regular, false);
         regular.regular_number = remote_entry_period;
@@ -81,7 +81,7 @@
         closed.relayed_by_entries = true;
         REQUIRE(receives(closed, remote_entry));
     }
-    SECTION("sides of other halls only while weights spread")
+    SECTION("sidecars of other halls receive one only during a download")
     {
         auto regular = context_for(heartbeat_reason::regular, false);
         REQUIRE_FALSE(receives(regular, remote_side));
@@ -90,7 +90,7 @@
         ++regular.regular_number;
         REQUIRE_FALSE(receives(regular, remote_side));
     }
-    SECTION("of chunks those on their way, and now and then all")
+    SECTION("every few regular heartbeats list all chunks")
     {
         auto regular = context_for(heartbeat_reason::regular, false);
         regular.regular_number = full_report_period;
@@ -103,7 +103,7 @@
         REQUIRE(chunk_detail_for(context_for(heartbeat_reason::load, false)) ==
                 chunk_detail::none);
     }
-    SECTION("in a large hall only its neighbours among the sides")
+    SECTION("in a large hall only ring neighbours among the sidecars do")
     {
         auto regular = context_for(heartbeat_reason::regular, false);
         REQUIRE(receives(regular, local_side));
@@ -113,19 +113,19 @@
     }
 }
 
-TEST_CASE("all entries hear at once that a request crashes upstreams")
+TEST_CASE("a crash of upstreams is reported to all entries at once")
 {
-    const auto news = context_for(heartbeat_reason::crash, true);
-    CHECK(receives(news, local_entry));
-    CHECK(receives(news, remote_entry));
-    CHECK_FALSE(receives(news, local_side));
-    CHECK_FALSE(receives(news, remote_side));
+    const auto crash = context_for(heartbeat_reason::crash, true);
+    CHECK(receives(crash, local_entry));
+    CHECK(receives(crash, remote_entry));
+    CHECK_FALSE(receives(crash, local_side));
+    CHECK_FALSE(receives(crash, remote_side));
     CHECK(carries_crash_records(heartbeat_reason::crash));
     CHECK(carries_crash_records(heartbeat_reason::regular));
     CHECK_FALSE(carries_crash_records(heartbeat_reason::load));
 }
 
-TEST_CASE("a change of the store goes from entry to entry to hall")
+TEST_CASE("a change of the store goes to all entries, then to their halls")
 {
     auto advanced = context_for(heartbeat_reason::mirror, true);
     advanced.from_store = true;
@@ -133,7 +133,7 @@
     REQUIRE(receives(advanced, local_side));
     REQUIRE_FALSE(receives(advanced, remote_side));
 
-    SECTION("and an entry that heard it from another tells its hall")
+    SECTION("an entry that pulled it from another informs its own hall only")
     {
         advanced.from_store = false;
         REQUIRE(receives(advanced, local_entry));
@@ -142,7 +142,7 @@
     }
 }
 
-TEST_CASE("news on a ring reach everybody in few steps")
+TEST_CASE("an update on the ring reaches everybody in few steps")
 {
     for (const std::size_t size : {1U, 2U, 3U, 12U, 25U, 417U})
     {
--- a/tests/fleet/installation.cpp
+++ b/tests/fleet/installation.cpp
@@ -4,7 +4,7 @@
 
 namespace cj = coursejunction;
 
-SCENARIO("a route is the longest prefix of its host", "[fleet]")
+SCENARIO("the route with the longest matching prefix is selected", "[fleet]")
 {
     cj::installation rules;
     const auto add = [&](const char* host, const char* prefix)
@@ -26,8 +26,7 @@
     CHECK(rules.route("c", "/x/") == nullptr);
 }
 
-SCENARIO("a split route gives every attempt of a request one service",
-         "[fleet]")
+SCENARIO("all attempts of a request get the same service", "[fleet]")
 {
     cj::route_rule route;
     CHECK(cj::service_for(route, 1) == nullptr);
--- a/tests/fleet/mirror_puller.cpp
+++ b/tests/fleet/mirror_puller.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/*! @brief A process that pulls from peers which a test plays. */
+/*! @brief A process that pulls from peers simulated by the test. */
 class pulling_process
 {
 public:
@@ -25,8 +25,8 @@
         : calls(running.loop),
           puller(running.loop, calls, counters, mirror, directory, 1)
     {
-        known.apply({{"a", "1", newest, 0, false, {}, 0}}, newest,
-                    cj::event_loop::now());
+        peer_mirror.apply({{"a", "1", newest, 0, false, {}, 0}}, newest,
+                          cj::event_loop::now());
         running.on_loop([this] { open(); });
     }
 
@@ -34,53 +34,55 @@
     pulling_process& operator=(const pulling_process&) = delete;
     ~pulling_process() { running.stop(); }
 
-    /*! @brief Both peers tell each 200 ms that they know more, the one whose
-     * link is squeezed first. */
-    void hear_of(const std::string& hall)
+    /*! @brief Both peers report every 200 ms that they are ahead, the one with
+     * the throttled link first. */
+    void receive_heartbeats_of(const std::string& hall)
     {
         running.on_loop(
-            [&, hall] {
-                beats = running.loop.every(200ms,
-                                           [this, hall] { hear_both(hall); });
+            [&, hall]
+            {
+                heartbeat_timer = running.loop.every(
+                    200ms, [this, hall] { receive_from_both(hall); });
             });
     }
 
-    /*! @brief Waits until the mirror has what the peers know. */
-    bool whole_within(std::chrono::milliseconds limit)
+    /*! @brief Waits until the mirror has caught up with the peers. */
+    bool catches_up_within(std::chrono::milliseconds limit)
     {
         const auto end = std::chrono::steady_clock::now() + limit;
-        bool whole = false;
-        while (!whole && std::chrono::steady_clock::now() < end)
+        bool caught_up = false;
+        while (!caught_up && std::chrono::steady_clock::now() < end)
         {
             std::this_thread::sleep_for(20ms);
-            running.on_loop([&] { whole = mirror.position() == newest; });
+            running.on_loop([&] { caught_up = mirror.position() == newest; });
         }
-        return whole;
+        return caught_up;
     }
 
 private:
     static constexpr std::uint64_t newest = 9;
-    static constexpr int squeezed = 1;
-    static constexpr int sound = 2;
+    static constexpr int throttled = 1;
+    static constexpr int healthy = 2;
 
     void open()
     {
-        squeezed_server =
-            serve(squeezed, 0,
+        throttled_server =
+            serve(throttled, 0,
                   [this](cj::stream_reply reply)
                   {
                       reply.begin(200, {});
-                      drips.push_back(running.loop.every(
+                      trickle_timers.push_back(running.loop.every(
                           100ms, [reply]() mutable { reply.write("x"); }));
                   });
-        const auto port = squeezed_server->port();
-        sound_server = serve(sound, port,
-                             [this](cj::stream_reply reply)
-                             {
-                                 reply.send(200, {},
-                                            cj::encode(known.changes_since(
-                                                0, cj::event_loop::now())));
-                             });
+        const auto port = throttled_server->port();
+        healthy_server =
+            serve(healthy, port,
+                  [this](cj::stream_reply reply)
+                  {
+                      reply.send(200, {},
+                                 cj::encode(peer_mirror.changes_since(
+                                     0, cj::event_loop::now())));
+                  });
         puller.start(
             cj::hall_id("here"), ":" + std::to_string(port),
             {[] { return cj::hall_fetch_state{}; },
@@ -103,10 +105,10 @@
                 .value());
     }
 
-    void hear_both(const std::string& hall)
+    void receive_from_both(const std::string& hall)
     {
         ++sequence;
-        for (const int number : {squeezed, sound})
+        for (const int number : {throttled, healthy})
         {
             cj::message::fleet_heartbeat heartbeat;
             heartbeat.incarnation = 1;
@@ -125,32 +127,31 @@
     cj::stream_client calls;
     cj::metrics counters;
     cj::store_mirror mirror;
-    cj::store_mirror known;
+    cj::store_mirror peer_mirror;
     cj::peer_directory directory;
     cj::mirror_puller puller;
-    std::unique_ptr<cj::stream_server> squeezed_server;
-    std::unique_ptr<cj::stream_server> sound_server;
-    std::vector<cj::timer> drips;
-    cj::timer beats;
+    std::unique_ptr<cj::stream_server> throttled_server;
+    std::unique_ptr<cj::stream_server> healthy_server;
+    std::vector<cj::timer> trickle_timers;
+    cj::timer heartbeat_timer;
     std::uint64_t sequence{0};
 };
 
 } // namespace
 
-SCENARIO("a peer whose page only trickles does not keep the others' away",
-         "[fleet]")
+SCENARIO("a pull that never finishes does not block other pulls", "[fleet]")
 {
-    // A squeezed link still moves a little: no limit on progress ends the pull,
-    // and a change has 2 s to be in force.
+    // A throttled link still moves a few bytes, so that no stall timeout ends
+    // the pull, but a change must take effect within 2 s.
     pulling_process process;
     WHEN("both peers are of the own hall")
     {
-        process.hear_of("here");
-        CHECK(process.whole_within(1800ms));
+        process.receive_heartbeats_of("here");
+        CHECK(process.catches_up_within(1800ms));
     }
-    WHEN("both are of another hall, and nobody else could fetch")
+    WHEN("both are of another hall, and no other process could fetch")
     {
-        process.hear_of("there");
-        CHECK(process.whole_within(1800ms));
+        process.receive_heartbeats_of("there");
+        CHECK(process.catches_up_within(1800ms));
     }
 }
--- a/tests/fleet/named_platform.hpp
+++ b/tests/fleet/named_platform.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief A platform whose store names versions of a model, for views of it.
+ * @brief A platform whose store publishes versions of a model, for tests of
+ * `fleet_view`.
  */
 #ifndef COURSEJUNCTION_TESTS_FLEET_NAMED_PLATFORM_HPP
 #define COURSEJUNCTION_TESTS_FLEET_NAMED_PLATFORM_HPP
@@ -13,14 +14,14 @@
 
 namespace cj = coursejunction;
 
-/*! @brief Key under which versions of a model are named; the payload is the
- * number. */
+/*! @brief Key under which a version of a model is published; the payload is the
+ * version number. */
 inline std::string name_key(const std::string& model)
 {
     return "named/" + model;
 }
 
-/*! @brief Knows names and records of versions. */
+/*! @brief Recognises published versions and version records. */
 struct catalogue
 {
     static cj::item_kind kind(const std::string& key)
--- a/tests/fleet/peer_directory.cpp
+++ b/tests/fleet/peer_directory.cpp
@@ -5,7 +5,7 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("peers are named, heard and forgotten", "[fleet]")
+SCENARIO("peers are added, heard and removed", "[fleet]")
 {
     cj::peer_directory peers;
     cj::time_point now{100s};
@@ -19,26 +19,26 @@
     CHECK(peers.record_heartbeat("10.0.0.2", heartbeat, now));
     CHECK(peers.alive("10.0.0.2", now));
 
-    WHEN("a heartbeat comes twice or late")
+    WHEN("a heartbeat arrives twice or out of order")
     {
         CHECK_FALSE(peers.record_heartbeat("10.0.0.2", heartbeat, now));
         heartbeat.sequence = 2;
         CHECK_FALSE(peers.record_heartbeat("10.0.0.2", heartbeat, now));
     }
-    WHEN("the peer starts again")
+    WHEN("the peer restarts")
     {
         heartbeat.incarnation = 8;
         heartbeat.sequence = 1;
-        THEN("its count begins anew")
+        THEN("its sequence numbers start again")
         {
             CHECK(peers.record_heartbeat("10.0.0.2", heartbeat, now));
         }
     }
-    WHEN("nobody names it for long")
+    WHEN("nobody gives its address for a long time")
     {
         now += 30s;
         peers.expire(now);
-        THEN("it is forgotten, a seed is not")
+        THEN("it is removed, a seed is not")
         {
             CHECK(peers.find("10.0.0.2") == nullptr);
             CHECK(peers.find("10.0.0.1") != nullptr);
@@ -46,11 +46,11 @@
     }
 }
 
-SCENARIO("a few entries watch the store for all", "[fleet]")
+SCENARIO("a few entries watch the store on behalf of all", "[fleet]")
 {
     cj::peer_directory peers;
     const cj::time_point now{100s};
-    const auto hear = [&](const char* address, bool watching, bool leaving)
+    const auto receive = [&](const char* address, bool watching, bool leaving)
     {
         cj::message::fleet_heartbeat heartbeat;
         heartbeat.incarnation = 1;
@@ -60,20 +60,21 @@
         heartbeat.leaving = leaving;
         peers.record_heartbeat(address, heartbeat, now);
     };
-    hear("10.0.0.1", true, false);
-    hear("10.0.0.2", false, false);
-    hear("10.0.0.3", true, true);
-    hear("10.0.0.4", true, false);
+    receive("10.0.0.1", true, false);
+    receive("10.0.0.2", false, false);
+    receive("10.0.0.3", true, true);
+    receive("10.0.0.4", true, false);
 
     CHECK(peers.watchers_before("10.0.0.5", 0, now) == 2);
     CHECK(peers.watchers_before("10.0.0.2", 0, now) == 1);
-    THEN("those that fall silent are replaced")
+    THEN("silent ones no longer count")
     {
         CHECK(peers.watchers_before("10.0.0.5", 0, now + 5s) == 0);
     }
 }
 
-SCENARIO("who was cut off learns that the store was not away", "[fleet]")
+SCENARIO("a process that was cut off learns that the store had no outage",
+         "[fleet]")
 {
     cj::peer_directory peers;
     const cj::time_point now{100s};
@@ -85,40 +86,41 @@
     heartbeat.store_returned = true;
     peers.record_heartbeat("10.0.0.1", heartbeat, now);
 
-    GIVEN("others that saw the same outage")
+    GIVEN("a peer that saw the same outage")
     {
         CHECK_FALSE(peers.has_undisturbed_watcher(now));
     }
-    GIVEN("one that watched all the while")
+    GIVEN("one that watched without interruption")
     {
         heartbeat.store_returned = false;
         peers.record_heartbeat("10.0.0.2", heartbeat, now);
         CHECK(peers.has_undisturbed_watcher(now));
-        THEN("but not when it is silent itself")
+        THEN("it does not count once it is silent")
         {
             CHECK_FALSE(peers.has_undisturbed_watcher(now + 5s));
         }
     }
 }
 
-SCENARIO("a process knows where it stands in its hall", "[fleet]")
+SCENARIO("a process knows its rank in the hall and who is ahead", "[fleet]")
 {
     cj::peer_directory peers;
     const cj::time_point now{100s};
     const cj::hall_id hall("a");
     cj::message::fleet_heartbeat heartbeat;
     heartbeat.incarnation = 1;
-    const auto hear = [&](const char* address, const char* where, bool entry)
+    const auto receive =
+        [&](const char* address, const char* hall_name, bool entry)
     {
         ++heartbeat.sequence;
-        heartbeat.hall = where;
+        heartbeat.hall = hall_name;
         heartbeat.entry = entry;
         peers.record_heartbeat(address, heartbeat, now);
     };
-    hear("10.0.0.1", "a", true);
-    hear("10.0.0.5", "a", true);
-    hear("10.0.0.2", "a", false);
-    hear("10.0.0.0", "b", true);
+    receive("10.0.0.1", "a", true);
+    receive("10.0.0.5", "a", true);
+    receive("10.0.0.2", "a", false);
+    receive("10.0.0.0", "b", true);
 
     CHECK(peers.fetch_state("10.0.0.3", hall, true, now).rank == 1);
     CHECK(peers.fetch_state("10.0.0.3", hall, false, now).rank == 3);
@@ -127,38 +129,38 @@
     WHEN("one of the hall fetches")
     {
         heartbeat.fetching = true;
-        hear("10.0.0.5", "a", true);
-        THEN("the others know, those of other halls don't count")
+        receive("10.0.0.5", "a", true);
+        THEN("it counts in its own hall only")
         {
             CHECK(peers.fetch_state("10.0.0.3", hall, true, now).fetching == 1);
             CHECK(peers.fetch_state("10.0.0.3", cj::hall_id("b"), true, now)
                       .fetching == 0);
         }
     }
-    WHEN("nobody is heard any more")
+    WHEN("all peers are silent")
     {
         CHECK(peers.fetch_state("10.0.0.3", hall, false, now + 5s).rank == 0);
     }
-    WHEN("some know more")
+    WHEN("the mirrors of some peers are ahead")
     {
         heartbeat.mirrored = 9;
-        hear("10.0.0.2", "a", false);
-        hear("10.0.0.0", "b", true);
-        THEN("they are found by hall, and what is older is not")
+        receive("10.0.0.2", "a", false);
+        receive("10.0.0.0", "b", true);
+        THEN("they are found by hall, unless they are no longer ahead")
         {
             CHECK(peers.find_peer_ahead(8, hall, true, 0, now) == "10.0.0.2");
             CHECK(peers.find_peer_ahead(8, hall, false, 0, now) == "10.0.0.0");
             CHECK(peers.find_peer_ahead(9, hall, false, 0, now).empty());
         }
-        AND_WHEN("an entry of the hall does, too")
+        AND_WHEN("the mirror of an entry of the hall is ahead, too")
         {
-            hear("10.0.0.1", "a", true);
+            receive("10.0.0.1", "a", true);
             CHECK(peers.find_peer_ahead(8, hall, true, 3, now) == "10.0.0.1");
         }
     }
 }
 
-SCENARIO("those nearest to the store watch it", "[fleet]")
+SCENARIO("the entries nearest to the store watch it", "[fleet]")
 {
     cj::peer_directory peers;
     const cj::time_point now{100s};
@@ -166,7 +168,7 @@
     heartbeat.incarnation = 1;
     heartbeat.entry = true;
     heartbeat.watching = true;
-    const auto hear =
+    const auto receive =
         [&](const char* address, const char* hall, std::uint32_t distance)
     {
         ++heartbeat.sequence;
@@ -174,8 +176,8 @@
         heartbeat.store_distance = distance;
         peers.record_heartbeat(address, heartbeat, now);
     };
-    hear("10.0.0.1", "far", 5600);
-    hear("10.0.0.9", "near", 300);
+    receive("10.0.0.1", "far", 5600);
+    receive("10.0.0.9", "near", 300);
 
     CHECK(peers.watchers_before("10.0.0.5", 5700, now) == 2);
     CHECK(peers.watchers_before("10.0.0.5", 400, now) == 0);
--- a/tests/fleet/restore_schedule.cpp
+++ b/tests/fleet/restore_schedule.cpp
@@ -5,7 +5,7 @@
 using namespace coursejunction;
 using namespace std::chrono_literals;
 
-TEST_CASE("entries write again one after the other what a store lost",
+TEST_CASE("entries rewrite keys lost in a rollback one after the other",
           "[fleet]")
 {
     const time_point now{100s};
@@ -17,14 +17,14 @@
         CHECK_FALSE(schedule.due({3, 9}, 0, now));
         CHECK_FALSE(schedule.due({3, 10}, 0, now + 9s));
     }
-    SECTION("the first at once, and once for each new era")
+    SECTION("the first in rank at once, and once for each new era")
     {
         CHECK_FALSE(schedule.due({1, 9}, 0, now));
         CHECK(schedule.due({2, 4}, 0, now));
         CHECK_FALSE(schedule.due({2, 5}, 0, now + 9s));
         CHECK(schedule.due({3, 2}, 0, now + 9s));
     }
-    SECTION("the others later")
+    SECTION("the others after a delay by rank")
     {
         CHECK_FALSE(schedule.due({1, 9}, 2, now));
         CHECK_FALSE(schedule.due({2, 4}, 2, now));
@@ -32,7 +32,7 @@
             schedule.due({2, 4}, 2, now + restore_schedule::rank_delay));
         CHECK(schedule.due({2, 4}, 2, now + 2 * restore_schedule::rank_delay));
     }
-    SECTION("a store that told no era before")
+    SECTION("a store that reported no era before")
     {
         CHECK_FALSE(schedule.due({0, 9}, 0, now));
         CHECK(schedule.due({1, 4}, 0, now));
--- a/tests/fleet/store_mirror.cpp
+++ b/tests/fleet/store_mirror.cpp
@@ -7,13 +7,13 @@
 using namespace std::chrono_literals;
 using item = cj::message::mirror_item;
 
-SCENARIO("a mirror only goes forward", "[fleet]")
+SCENARIO("a mirror never goes back to an older value", "[fleet]")
 {
     cj::store_mirror mirror;
     const cj::time_point now{100s};
     mirror.apply({{"a", "1", 5, 0, false}, {"b", "1", 6, 0, false}}, 6, now);
 
-    WHEN("an older state of a key is told")
+    WHEN("a peer sends an older value of a key")
     {
         const auto changed = mirror.apply({{"a", "0", 4, 0, false}}, 4, now);
         THEN("nothing changes")
@@ -26,7 +26,7 @@
     WHEN("a listing lacks a key")
     {
         const auto changed = mirror.replace({{"a", "1", 5, 0, false}}, 9, now);
-        THEN("it is gone, and peers that missed it learn so")
+        THEN("it is removed, and peers learn of the removal")
         {
             CHECK(changed == std::vector<std::string>{"b"});
             CHECK(mirror.find("b") == nullptr);
@@ -34,7 +34,7 @@
             REQUIRE(page.items.size() == 1);
             CHECK(page.items[0].removed);
         }
-        AND_WHEN("it comes back")
+        AND_WHEN("it is written again")
         {
             mirror.apply({{"b", "2", 11, 0, false}}, 11, now);
             THEN("it is there")
@@ -43,7 +43,7 @@
             }
         }
     }
-    WHEN("a listing is older than a key that a peer told")
+    WHEN("a listing is older than a key that a peer sent")
     {
         mirror.apply({{"c", "1", 12, 0, false}}, 12, now);
         mirror.replace({{"a", "1", 5, 0, false}}, 9, now);
@@ -52,11 +52,10 @@
             CHECK(mirror.find("c") != nullptr);
         }
     }
-    WHEN("an item is passed on")
+    WHEN("an item is relayed")
     {
         const auto page = mirror.changes_since(0, now + 3s);
-        THEN(
-            "its age goes with it, so that time limits run from the first news")
+        THEN("its age is relayed, so that time limits run from the first sight")
         {
             CHECK(page.items[0].age_ms == 3000);
             cj::store_mirror other;
@@ -66,7 +65,7 @@
     }
 }
 
-SCENARIO("a large value is packed once and passed on", "[fleet]")
+SCENARIO("a large value is compressed once and relayed", "[fleet]")
 {
     const cj::time_point now{100s};
     const std::string large(100'000, 'r');
@@ -86,28 +85,29 @@
         REQUIRE(read);
         cj::store_mirror other;
         other.apply(read.value().items, read.value().position, now);
-        THEN("it has the value, and passes it on as it came")
+        THEN("it has the value and relays the same compressed bytes")
         {
             CHECK(other.find("a")->payload == large);
             CHECK(other.changes_since(0, now).items[0].packed ==
                   page.items[0].packed);
         }
     }
-    WHEN("a page tells a size that is not the value's")
+    WHEN("a page states a wrong size of a value")
     {
         auto wrong = page;
         wrong.items[0].plain_bytes += 1;
-        THEN("it is refused as a whole")
+        THEN("the whole page is refused")
         {
             CHECK_FALSE(cj::unpack_page(wrong));
         }
     }
 }
 
-SCENARIO("an older page does not bring back what a listing lacked", "[fleet]")
+SCENARIO("an older page does not restore a key that a listing removed",
+         "[fleet]")
 {
-    // An entry that starts lists the store and, at the same moment, pulls from
-    // a peer that has not heard of the last removal yet.
+    // An entry that starts lists the store and at the same moment pulls from a
+    // peer that has not yet learned of the last removal.
     cj::store_mirror mirror;
     const cj::time_point now{100s};
     mirror.replace({{"a", "1", 5, 0, false}}, 113, now);
@@ -115,7 +115,7 @@
     CHECK(changed.empty());
     CHECK(mirror.find("gone") == nullptr);
 
-    WHEN("the key is really made anew")
+    WHEN("the key is created again")
     {
         mirror.apply({{"gone", "2", 114, 0, false}}, 114, now);
         THEN("it is there")
@@ -128,21 +128,21 @@
 namespace
 {
 
-/*! @brief What a store whose every change raises the revision by one tells of
- * the changes after one revision up to another. */
+/*! @brief Returns the changes after one revision up to another, as a store
+ * whose every change increments the revision would. */
 std::vector<item> page(const std::vector<item>& history, std::uint64_t after,
                        std::uint64_t upto)
 {
-    std::vector<item> told;
+    std::vector<item> changes;
     for (const auto& one : history)
     {
         if (one.revision <= after || one.revision > upto)
             continue;
-        std::erase_if(told,
+        std::erase_if(changes,
                       [&](const item& older) { return older.key == one.key; });
-        told.push_back(one);
+        changes.push_back(one);
     }
-    return told;
+    return changes;
 }
 
 std::vector<item> random_history()
@@ -159,55 +159,54 @@
 
 } // namespace
 
-TEST_CASE("a mirror shows what the store held, whatever pages it took",
-          "[fleet]")
+TEST_CASE("a mirror equals the store, whatever pages it applied", "[fleet]")
 {
-    rc::prop("same as the store",
-             []
-             {
-                 const auto history = random_history();
-                 const auto last = static_cast<std::uint64_t>(history.size());
-                 const cj::time_point now{100s};
-                 cj::store_mirror mirror;
-                 // Pages of the past and of now, late, twice and overlapping;
-                 // each asked for when the mirror was no further than it
-                 // begins.
-                 const auto count = *rc::gen::inRange(0, 8);
-                 for (int step = 0; step < count; ++step)
-                 {
-                     const auto after = *rc::gen::inRange<std::uint64_t>(
-                         0, mirror.position().revision + 1);
-                     const auto upto =
-                         *rc::gen::inRange<std::uint64_t>(after, last + 1);
-                     if (after == 0 && *rc::gen::arbitrary<bool>())
-                     {
-                         auto all = page(history, 0, upto);
-                         std::erase_if(all, [](const item& one)
-                                       { return one.removed; });
-                         mirror.replace(all, upto, now);
-                     }
-                     else
-                         mirror.apply(page(history, after, upto), upto, now);
-                 }
-                 mirror.apply(page(history, mirror.position().revision, last),
-                              last, now);
-                 const auto truth = page(history, 0, last);
-                 for (const char* key : {"a", "b", "c", "d", "e"})
-                 {
-                     const auto held =
-                         std::find_if(truth.begin(), truth.end(),
-                                      [&](const item& one) {
-                                          return one.key == key && !one.removed;
-                                      });
-                     const auto* shown = mirror.find(key);
-                     RC_ASSERT((held != truth.end()) == (shown != nullptr));
-                     if (shown != nullptr)
-                         RC_ASSERT(shown->payload == held->payload);
-                 }
-             });
+    rc::prop(
+        "same as the store",
+        []
+        {
+            const auto history = random_history();
+            const auto last = static_cast<std::uint64_t>(history.size());
+            const cj::time_point now{100s};
+            cj::store_mirror mirror;
+            // Pages of the past and the present: late, repeated and
+            // overlapping. Each was requested when the mirror was at least
+            // at the page's start.
+            const auto count = *rc::gen::inRange(0, 8);
+            for (int round = 0; round < count; ++round)
+            {
+                const auto after = *rc::gen::inRange<std::uint64_t>(
+                    0, mirror.position().revision + 1);
+                const auto upto =
+                    *rc::gen::inRange<std::uint64_t>(after, last + 1);
+                if (after == 0 && *rc::gen::arbitrary<bool>())
+                {
+                    auto all = page(history, 0, upto);
+                    std::erase_if(all,
+                                  [](const item& one) { return one.removed; });
+                    mirror.replace(all, upto, now);
+                }
+                else
+                    mirror.apply(page(history, after, upto), upto, now);
+            }
+            mirror.apply(page(history, mirror.position().revision, last), last,
+                         now);
+            const auto expected = page(history, 0, last);
+            for (const char* key : {"a", "b", "c", "d", "e"})
+            {
+                const auto wanted =
+                    std::find_if(expected.begin(), expected.end(),
+                                 [&](const item& one)
+                                 { return one.key == key && !one.removed; });
+                const auto* actual = mirror.find(key);
+                RC_ASSERT((wanted != expected.end()) == (actual != nullptr));
+                if (actual != nullptr)
+                    RC_ASSERT(actual->payload == wanted->payload);
+            }
+        });
 }
 
-SCENARIO("a store comes back from an older copy", "[fleet]")
+SCENARIO("a store is rolled back to an older snapshot", "[fleet]")
 {
     using item = cj::message::mirror_item;
     const cj::time_point now{100s};
@@ -216,25 +215,26 @@
             return cj::item_order{0, std::stoull(payload)};
         },
         [](const std::string& key) { return key == "operator"; }};
-    const auto at = [](std::uint64_t era, const char* key, const char* payload,
-                       std::uint64_t revision, bool removed = false)
+    const auto make_item = [](std::uint64_t era, const char* key,
+                              const char* payload, std::uint64_t revision,
+                              bool removed = false)
     {
-        item made{key, payload, revision, 0, removed, {}, 0};
-        made.era = era;
-        return made;
+        item result{key, payload, revision, 0, removed, {}, 0};
+        result.era = era;
+        return result;
     };
     cj::store_mirror mirror(rules);
-    mirror.apply({at(1, "operator", "2", 8), at(1, "a", "5", 9),
-                  at(1, "b", "3", 6), at(1, "c", "7", 7)},
+    mirror.apply({make_item(1, "operator", "2", 8), make_item(1, "a", "5", 9),
+                  make_item(1, "b", "3", 6), make_item(1, "c", "7", 7)},
                  {1, 9}, now);
-    mirror.apply({at(1, "c", "", 10, true)}, {1, 10}, now);
+    mirror.apply({make_item(1, "c", "", 10, true)}, {1, 10}, now);
 
-    WHEN("its copy holds older values, and lacks some")
+    WHEN("the snapshot has older values, and lacks some")
     {
-        mirror.replace(
-            {at(2, "operator", "1", 2), at(2, "a", "4", 3), at(2, "c", "7", 4)},
-            {2, 5}, now);
-        THEN("what is known stands, what was removed stays so")
+        mirror.replace({make_item(2, "operator", "1", 2),
+                        make_item(2, "a", "4", 3), make_item(2, "c", "7", 4)},
+                       {2, 5}, now);
+        THEN("known values stay valid, and removed keys stay removed")
         {
             CHECK(mirror.find("operator")->payload == "2");
             CHECK(mirror.find("a")->payload == "5");
@@ -242,39 +242,42 @@
             CHECK(mirror.position() == cj::store_position{2, 5});
             CHECK(mirror.carried() == 2);
         }
-        THEN("a record that it lacks comes back as it was, by any writer")
+        THEN("a lost record is accepted again unchanged")
         {
             CHECK(mirror.find("b") == nullptr);
-            mirror.apply({at(2, "b", "3", 6)}, {2, 6}, now);
+            mirror.apply({make_item(2, "b", "3", 6)}, {2, 6}, now);
             CHECK(mirror.find("b") != nullptr);
         }
-        THEN("what is written anew at a lower revision is taken")
+        THEN("a new write at a lower revision is accepted")
         {
             const auto changed = mirror.apply(
-                {at(2, "operator", "3", 6), at(2, "c", "8", 7)}, {2, 7}, now);
+                {make_item(2, "operator", "3", 6), make_item(2, "c", "8", 7)},
+                {2, 7}, now);
             CHECK(changed.size() == 2);
             CHECK(mirror.find("operator")->payload == "3");
             CHECK(mirror.find("c") != nullptr);
         }
-        THEN("the same value written anew is no change")
+        THEN("rewriting the same value is no change")
         {
-            CHECK(
-                mirror.apply({at(2, "operator", "2", 6)}, {2, 6}, now).empty());
+            CHECK(mirror.apply({make_item(2, "operator", "2", 6)}, {2, 6}, now)
+                      .empty());
             CHECK(mirror.carried() == 1);
         }
-        THEN("a process that started in the middle learns what stands")
+        THEN("a process that started after it learns the carried values")
         {
             cj::store_mirror other(rules);
-            other.replace({at(2, "operator", "1", 2), at(2, "a", "4", 3)},
-                          {2, 5}, now);
+            other.replace(
+                {make_item(2, "operator", "1", 2), make_item(2, "a", "4", 3)},
+                {2, 5}, now);
             const auto page = mirror.changes_since(other.position(), now);
             other.apply(page.items, page.position, now);
             CHECK(other.find("operator")->payload == "2");
         }
-        THEN("a process that missed the new era takes all of it")
+        THEN("a process that missed the new era replaces everything")
         {
             cj::store_mirror other(rules);
-            other.apply({at(1, "b", "3", 6), at(1, "d", "1", 7)}, {1, 7}, now);
+            other.apply({make_item(1, "b", "3", 6), make_item(1, "d", "1", 7)},
+                        {1, 7}, now);
             const auto page = mirror.changes_since(other.position(), now);
             CHECK(page.whole);
             other.replace(page.items, page.position, now);
@@ -282,19 +285,20 @@
             CHECK(other.find("d") == nullptr);
             CHECK(other.find("operator")->payload == "2");
         }
-        THEN("news of the earlier era bring nothing back")
+        THEN("changes of the earlier era restore nothing")
         {
-            mirror.apply({at(1, "b", "3", 6), at(1, "a", "4", 4)}, {1, 10},
-                         now);
+            mirror.apply({make_item(1, "b", "3", 6), make_item(1, "a", "4", 4)},
+                         {1, 10}, now);
             CHECK(mirror.find("b") == nullptr);
             CHECK(mirror.find("a")->payload == "5");
             CHECK(mirror.position() == cj::store_position{2, 5});
         }
     }
-    WHEN("two eras follow each other unseen")
+    WHEN("an era was missed entirely")
     {
-        mirror.replace({at(3, "operator", "1", 2), at(3, "a", "6", 3)}, {3, 3},
-                       now);
+        mirror.replace(
+            {make_item(3, "operator", "1", 2), make_item(3, "a", "6", 3)},
+            {3, 3}, now);
         CHECK(mirror.find("operator")->payload == "2");
         CHECK(mirror.find("a")->payload == "6");
     }
--- a/tests/fleet/store_outage.cpp
+++ b/tests/fleet/store_outage.cpp
@@ -5,7 +5,7 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("only an outage lets records lapse", "[fleet]")
+SCENARIO("records may expire during an outage only", "[fleet]")
 {
     cj::store_outage outage;
     const cj::time_point now{100s};
@@ -15,12 +15,12 @@
     {
         outage.record_failure(now);
         outage.record_success(now + 200ms);
-        THEN("what is missing has left")
+        THEN("what is missing was removed")
         {
             CHECK_FALSE(outage.recently_ended(now));
         }
     }
-    WHEN("calls fail for long")
+    WHEN("calls fail for a long time")
     {
         outage.record_failure(now);
         outage.record_failure(now + 2s);
