--- a/src/coursejunction/fleet/fleet_hooks.hpp
+++ b/src/coursejunction/fleet/fleet_hooks.hpp
@@ -22,7 +22,7 @@
  */
 struct fleet_options
 {
-    std::string address;
+    std::string address;   /*!< IP address of this process. */
     std::uint16_t port{0}; /*!< UDP and TCP port; the same on every instance of
                               an installation. */
     hall_id hall;
@@ -44,11 +44,14 @@
     /*! @brief A page of the store holds this value and a newer one of the same
      * key; called before `keys_changed` reports the key. */
     std::function<void(const message::mirror_item&)> value_overwritten;
+    /*! @brief A peer sent a heartbeat; called after the node has handled it.
+     * @param from IP address of the peer. */
     std::function<void(const std::string& from,
                        const message::fleet_heartbeat&)>
         heartbeat_received;
     /*! @brief Adds the role's own fields to an outgoing heartbeat. */
     std::function<void(message::fleet_heartbeat&, chunk_detail)> fill_heartbeat;
+    /*! @brief Answers a peer's request for anything but the mirror. */
     std::function<void(stream_request, stream_reply)> handle_request;
     /*! @brief Returns records of requests that crash upstreams, for other
      * entries; only an entry has any. */
