--- a/src/coursejunction/fleet/fetch_schedule.hpp
+++ b/src/coursejunction/fleet/fetch_schedule.hpp
@@ -27,9 +27,8 @@
 /*! @brief Lets the processes of a hall take turns at the link that they share.
  * One process fetches what the hall lacks, and the others get it from that one.
  * If it does not begin in time, the next in rank takes over, and after a
- * failure nobody retries at once. Without turns, 24 processes that each
- * fetched 1.7 MB over a 24 Mbit/s link kept it saturated, and none of them
- * finished. */
+ * failure nobody retries at once. Without turns, 24 processes that each fetched
+ * 1.7 MB over a 24 Mbit/s link kept it saturated, and none of them finished. */
 class fetch_schedule
 {
 public:
@@ -62,9 +61,9 @@
     static constexpr milliseconds restart_stagger{25};
 
     /*! @brief Back-off after the first failure, doubled after each further one
-     * up to the maximum. When the store returns after an outage of some seconds
-     * this must be noticed within 1 s, since a leaving upstream is gone after 2
-     * s. */
+     * up to the maximum; a random part of up to half is added. The return of
+     * the store after an outage of some seconds must be noticed within about 1
+     * s, since a leaving upstream is gone after 2 s. */
     static constexpr milliseconds initial_backoff{150};
     static constexpr milliseconds max_backoff{1000};
 
@@ -81,7 +80,9 @@
             needed_since = now;
     }
 
-    /*! @brief Tells whether this process should begin to fetch now. */
+    /*! @brief Tells whether this process should begin to fetch now. Must be
+     * called regularly, even when nothing is needed: it notes when the number
+     * of fetching processes changes. */
     [[nodiscard]] bool due(const hall_fetch_state& hall, time_point now)
     {
         if (hall.fetching != last_fetching)
@@ -127,6 +128,7 @@
     }
 
 private:
+    /*! @brief Keeps the shift in range; the maximum is reached earlier. */
     static constexpr std::size_t max_doublings = 8;
     static constexpr std::int64_t jitter_parts = 1024;
 
--- a/src/coursejunction/fleet/fleet_hooks.hpp
+++ b/src/coursejunction/fleet/fleet_hooks.hpp
@@ -36,15 +36,17 @@
 struct fleet_hooks
 {
     /*! @brief Keys of the mirror changed.
-     * @param store_returned True shortly after an outage of the store, when
-     * missing records may only have expired during it. */
+     * @param store_returned True shortly after an outage or rollback of the
+     * store, when missing records may only have expired meanwhile. */
     std::function<void(const std::vector<std::string>& keys,
                        bool store_returned)>
         keys_changed;
     /*! @brief A page of the store holds this value and a newer one of the same
-     * key; called before `keys_changed` reports the key. */
+     * key, and the mirror has none as recent; called before `keys_changed`
+     * reports the key. Not called for removals. */
     std::function<void(const message::mirror_item&)> value_overwritten;
-    /*! @brief A peer sent a heartbeat; called after the node has handled it.
+    /*! @brief A peer sent a heartbeat that is newer than its last one; called
+     * after the node has handled it.
      * @param from IP address of the peer. */
     std::function<void(const std::string& from,
                        const message::fleet_heartbeat&)>
--- a/src/coursejunction/fleet/fleet_node.hpp
+++ b/src/coursejunction/fleet/fleet_node.hpp
@@ -64,9 +64,9 @@
      * and those of the sidecar's own hall are nearer. */
     static constexpr milliseconds remote_lag_grace{1000};
 
-    /*! @brief For this long after its start a process that is no seed lets
-     * others of its hall go first, since it may not know them yet. */
-    static constexpr milliseconds newcomer_delay{1000};
+    /*! @brief For this long after its start a process that is no seed ranks at
+     * least second in its hall, since it may not know the others yet. */
+    static constexpr milliseconds newcomer_period{1000};
 
     /*! @brief Opens the UDP and the TCP port.
      * @return The node, or `unavailable`. */
@@ -110,16 +110,16 @@
     void announce() { send_heartbeat(context_for(heartbeat_reason::state)); }
 
     /*! @brief Reports a changed load to the entries of the own hall. Other
-     * halls learn of it from the next regular heartbeat: they send here only
-     * what their own upstreams cannot take, and traffic between regions costs
-     * most. */
+     * halls learn of it from the next regular heartbeat or digest: they send
+     * here only what their own upstreams cannot take, and traffic between
+     * regions costs most. */
     void announce_load()
     {
         send_heartbeat(context_for(heartbeat_reason::load));
     }
 
-    /*! @brief Reports the chunks held here to the ring neighbours in the own
-     * hall; called while a version is being downloaded. */
+    /*! @brief Reports the chunks held here, of versions that are being
+     * downloaded, to the ring neighbours in the own hall. */
     void announce_chunks()
     {
         send_heartbeat(context_for(heartbeat_reason::chunks));
@@ -153,8 +153,8 @@
             directory.add_side(address, hall, event_loop::now());
     }
 
-    /*! @brief Returns for how long some peer's mirror has been ahead of this
-     * one; zero if none is known to be ahead. */
+    /*! @brief Returns how long the mirror has lacked a position that a peer
+     * reported; zero if it lacks none. See `lag_tracker::lag`. */
     [[nodiscard]] milliseconds mirror_lag(time_point now) const
     {
         return tracker.lag(local_mirror.position(), now);
@@ -167,6 +167,7 @@
     [[nodiscard]] Store& store_client() { return store; }
     [[nodiscard]] const peer_directory& peers() const { return directory; }
     [[nodiscard]] stream_client& client() { return calls; }
+    /*! @brief Returns the options given to `create`. */
     [[nodiscard]] const fleet_options& settings() const { return options; }
 
     /*! @brief Returns `IP:port` of a peer for calls between processes of the
@@ -177,9 +178,9 @@
     }
 
 private:
-    fleet_node(event_loop& owner, Store& service, metrics& counted,
+    fleet_node(event_loop& owner, Store& platform_store, metrics& counted,
                fleet_options given)
-        : loop(owner), store(service), counters(counted),
+        : loop(owner), store(platform_store), counters(counted),
           options(std::move(given)), calls(owner),
           port_suffix(":" + std::to_string(options.port)),
           incarnation(static_cast<std::uint64_t>(
@@ -187,7 +188,7 @@
                   std::chrono::system_clock::now().time_since_epoch())
                   .count())),
           local_mirror(options.items),
-          reader(owner, service, counted, local_mirror, jitter_seed()),
+          reader(owner, platform_store, counted, local_mirror, jitter_seed()),
           puller(owner, calls, counted, local_mirror, directory, jitter_seed()),
           heartbeats(
               options, directory, counted,
@@ -322,7 +323,7 @@
         heartbeat.fetching = reader.fetching() || puller.fetching();
         heartbeat.probing = reader.probing();
         heartbeat.store_returned = store_returned(now);
-        heartbeat.store_distance = own_distance();
+        heartbeat.store_distance = own_distance_us();
         for (const auto& [address, peer] : directory.all())
         {
             const auto number = parse_ipv4(address);
@@ -407,20 +408,22 @@
     {
         const auto now = event_loop::now();
         return options.entry && !leaving &&
-               directory.watchers_before(options.address, store_distance(now),
-                                         now) < max_watchers;
+               directory.watchers_before(
+                   options.address, store_distance_us(now), now) < max_watchers;
     }
 
     /*! @brief Returns the time to connect to the store in microseconds, as
      * measured here or else by the nearest process of the own hall; 0 if
      * unknown. */
-    [[nodiscard]] std::uint32_t store_distance(time_point now) const
+    [[nodiscard]] std::uint32_t store_distance_us(time_point now) const
     {
-        const auto own = own_distance();
-        return own > 0 ? own : directory.store_distance(options.hall, now);
+        const auto own = own_distance_us();
+        return own > 0 ? own : directory.store_distance_us(options.hall, now);
     }
 
-    [[nodiscard]] std::uint32_t own_distance() const
+    /*! @brief Returns the time to connect to the store as measured here; 0 if
+     * unknown. */
+    [[nodiscard]] std::uint32_t own_distance_us() const
     {
         const std::chrono::microseconds own = store.distance();
         return static_cast<std::uint32_t>(own.count());
@@ -434,7 +437,7 @@
         const bool is_seed =
             std::find(options.seeds.begin(), options.seeds.end(),
                       options.address) != options.seeds.end();
-        if (!is_seed && now - started_at < newcomer_delay)
+        if (!is_seed && now - started_at < newcomer_period)
             state.rank = std::max<std::size_t>(state.rank, 1);
         return state;
     }
@@ -591,8 +594,8 @@
     std::uint64_t regular_number{0};
     time_point advanced_at{}; /*!< When the mirror last changed. */
     store_mirror local_mirror;
-    /*! @brief Largest count of carried values in a page that was taken from
-     * a peer in this era. */
+    /*! @brief Largest count of carried values in a page that was taken from a
+     * peer in this era. */
     std::uint32_t carried_seen{0};
     lag_tracker tracker;
     suspension_meter suspension;
--- a/src/coursejunction/fleet/hall_digest.hpp
+++ b/src/coursejunction/fleet/hall_digest.hpp
@@ -62,7 +62,7 @@
 
 /*! @brief Tells whether an entry relays its hall's statuses to an entry of
  * another hall along with a regular heartbeat. For each receiver, two entries
- * of the hall take turns.
+ * of the hall take turns; an entry that is alone takes both.
  * @param receiver IP address of the receiving entry.
  * @param regular_number Count of the sender's regular heartbeats. */
 [[nodiscard]] inline bool relays_digest_to(const relay_rank& own,
@@ -72,9 +72,9 @@
     constexpr auto half_period = digest_period / 2;
     if (regular_number % half_period != 0)
         return false;
-    const auto first = std::hash<std::string>()(receiver);
-    const auto later = regular_number % digest_period / half_period;
-    return (first + later) % own.entries == own.rank;
+    const auto receiver_hash = std::hash<std::string>()(receiver);
+    const auto turn = regular_number % digest_period / half_period;
+    return (receiver_hash + turn) % own.entries == own.rank;
 }
 
 namespace internal
--- a/src/coursejunction/fleet/heartbeat_plan.hpp
+++ b/src/coursejunction/fleet/heartbeat_plan.hpp
@@ -70,8 +70,8 @@
     bool from_store{false}; /*!< The mirror advanced by a read of the store, not
                                by a pull from a peer. */
     bool transfers_active{false}; /*!< Some sidecar is downloading weights. */
-    /*! @brief The sender is a sidecar whose hall's entries relay its status
-     * to entries of other halls. */
+    /*! @brief The sender is a sidecar whose hall's entries relay its status to
+     * entries of other halls. */
     bool relayed_by_entries{false};
     std::size_t hall_sides{0}; /*!< Sidecars of the sender's hall. */
 };
@@ -95,9 +95,10 @@
                                 of its hall's sidecars. */
 };
 
-/*! @brief Up to this many sidecars of a hall all exchange regular heartbeats;
- * in a larger hall only ring neighbours do. 32 heartbeats of 200 bytes, five
- * times a second, take a thirtieth of a 7.6 Mbit/s link. */
+/*! @brief In a hall of at most this many sidecars, all of them exchange regular
+ * heartbeats; in a larger one only ring neighbours do. Even if sent at every
+ * interval, five times a second, 32 heartbeats of 200 bytes take only a
+ * thirtieth of a 7.6 Mbit/s link. */
 inline constexpr std::size_t full_mesh_limit = 32;
 
 /*! @brief Entries of other halls receive one in this many regular heartbeats of
@@ -165,6 +166,7 @@
         return !to.entry && to.same_hall && to.ring_neighbour;
     case heartbeat_reason::digest:
     case heartbeat_reason::behind:
+        // `heartbeat_sender` selects the receivers of these.
         return false;
     case heartbeat_reason::regular:
         break;
--- a/src/coursejunction/fleet/heartbeat_sender.hpp
+++ b/src/coursejunction/fleet/heartbeat_sender.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Builds heartbeats and sends them to the peers that receive them.
+ * @brief Sends heartbeats to the peers that receive them, and digests to
+ * entries of other halls.
  */
 #ifndef COURSEJUNCTION_FLEET_HEARTBEAT_SENDER_HPP
 #define COURSEJUNCTION_FLEET_HEARTBEAT_SENDER_HPP
@@ -53,6 +54,8 @@
         const auto relay_rank =
             relay_rank_of(directory, options.address, options.hall, now);
         context.hall_sides = ring.size();
+        // The count includes this process, here a sidecar: more than 1 means
+        // that its hall has a live entry.
         context.relayed_by_entries = !options.entry && relay_rank.entries > 1;
         const auto datagram = encode(make_heartbeat(now, context));
         std::vector<std::string> digest_receivers;
@@ -68,15 +71,16 @@
                 options.entry && peer.entry && !to.same_hall &&
                 context.reason == heartbeat_reason::regular &&
                 relays_digest_to(relay_rank, address, context.regular_number);
-            // Entries of other halls send nothing to a sidecar. It tries them
-            // only while its own hall has no live entry.
-            const bool never_heard =
+            // An entry that was never heard is tried at each regular heartbeat.
+            // A sidecar does so only while its own hall has no live entry,
+            // since entries of other halls send it nothing.
+            const bool tries_unheard_entry =
                 peer.entry && peer.heard_at == time_point{} &&
                 context.reason == heartbeat_reason::regular &&
                 !context.relayed_by_entries;
             if (to.gets_digest)
                 digest_receivers.push_back(address);
-            if (!receives(context, to) && !never_heard)
+            if (!receives(context, to) && !tries_unheard_entry)
                 continue;
             send(address, datagram);
             ++(to.same_hall ? local : remote);
@@ -95,6 +99,8 @@
         const auto datagram =
             encode(make_heartbeat(now, context_for(heartbeat_reason::mirror)));
         send(address, datagram);
+        // The heartbeat is one of reason `mirror`; `behind` only separates its
+        // bytes in the metric.
         count_bytes(heartbeat_reason::behind,
                     peer != nullptr && in_own_hall(*peer), datagram.size());
     }
@@ -143,6 +149,8 @@
     {
         for (auto& digest : make_digests(directory, options.hall, now))
         {
+            // A heartbeat of reason `load` lists no entries, chunks, crashes or
+            // terms, which leaves room for the digest.
             auto heartbeat =
                 make_heartbeat(now, context_for(heartbeat_reason::load));
             heartbeat.digest = std::move(digest);
--- a/src/coursejunction/fleet/installation.hpp
+++ b/src/coursejunction/fleet/installation.hpp
@@ -46,14 +46,17 @@
     request_kind kind{request_kind::at_most_once};
     /*! @brief A broken stream can be resumed after its last event. */
     bool resumable{false};
-    bool keyless{false}; /*!< Needs no API key. */
-    milliseconds timeout{0};
-    /*! @brief Latency target of the first event of the answer. */
+    bool keyless{false};     /*!< Needs no API key. */
+    milliseconds timeout{0}; /*!< From the arrival of a request. */
+    /*! @brief Latency target of the first byte that counts: for a stream, of
+     * its first event. */
     milliseconds first_event_target{0};
-    /*! @brief Latency target between two events; zero if not set. */
+    /*! @brief Latency target between two events; zero if not set. Currently
+     * unused. */
     milliseconds event_gap_target{0};
+    /*! @brief Maximum executions of a repeatable request. */
     std::size_t max_attempts{1};
-    std::int32_t priority{0};
+    std::int32_t priority{0}; /*!< Currently unused. */
     std::vector<service_share> services;
 
     /*! @brief Tells whether a request of this route may be executed more than
@@ -95,11 +98,12 @@
 struct service_profile
 {
     service_name name;
-    std::size_t max_connections{0};
+    std::size_t max_connections{0}; /*!< Currently unused. */
     std::optional<engine_profile> engine;
     std::string origin; /*!< `IP:port` of an origin of weights; empty if there
                            is none. */
     hall_id origin_hall;
+    /*! @brief Rate of the origin's link; zero if unknown. */
     byte_rate origin_rate{0};
 };
 
@@ -107,7 +111,7 @@
 struct organisation
 {
     organisation_id id;
-    std::int32_t priority{0};
+    std::int32_t priority{0}; /*!< Currently unused. */
 };
 
 /*! @brief One version of the operators' configuration. */
--- a/src/coursejunction/fleet/item_rules.hpp
+++ b/src/coursejunction/fleet/item_rules.hpp
@@ -15,8 +15,8 @@
 /*! @brief Rules for values that other programs write. */
 struct item_rules
 {
-    /*! @brief Returns the position of a value in the order that its writer gave
-     * it. */
+    /*! @brief Returns a value's order among the values of its key, as its
+     * writer numbers them; `item_order{}` if it has none. */
     std::function<item_order(const std::string& key,
                              const std::string& payload)>
         order;
--- a/src/coursejunction/fleet/mirror_puller.hpp
+++ b/src/coursejunction/fleet/mirror_puller.hpp
@@ -67,8 +67,8 @@
      * Mbit/s. */
     static constexpr milliseconds hedge_delay{800};
 
-    /*! @brief Concurrent pulls of each group (own hall, pending halls). The
-     * first is not cancelled, as all links may be slow. */
+    /*! @brief Concurrent pulls of each group (own hall, other halls). The first
+     * is not cancelled, as all links may be slow. */
     static constexpr std::size_t max_parallel_pulls = 2;
 
     /*! @param seed Seed of the jitter, so that processes that fail together do
@@ -77,7 +77,7 @@
                   const store_mirror& held, const peer_directory& known,
                   std::uint64_t seed)
         : loop(owner), calls(client), counters(counted), mirror(held),
-          directory(known), local(seed), remote(~seed), pull_count(seed)
+          directory(known), local(seed), remote(~seed), tie_breaker(seed)
     {
     }
 
@@ -97,7 +97,7 @@
         if (same_hall)
             return pull_local(from, now);
         remote.schedule.set_needed(true, now);
-        if (!check_pending && (remote.active.empty() || may_hedge_remote(now)))
+        if (!check_pending && (remote.pending.empty() || may_hedge_remote(now)))
             schedule_check(local_grace);
     }
 
@@ -105,14 +105,14 @@
      * process still needs. */
     [[nodiscard]] bool fetching() const
     {
-        return std::any_of(remote.active.begin(), remote.active.end(),
-                           [this](const open_pull& pending)
-                           { return pending.expected > mirror.position(); });
+        return std::any_of(remote.pending.begin(), remote.pending.end(),
+                           [this](const pending_pull& each)
+                           { return each.expected > mirror.position(); });
     }
 
 private:
     /*! @brief A pending pull. */
-    struct open_pull
+    struct pending_pull
     {
         std::string from;
         stream_client::call_id call{0};
@@ -129,26 +129,26 @@
 
         [[nodiscard]] bool pulls_from(const std::string& peer) const
         {
-            return std::any_of(active.begin(), active.end(),
-                               [&](const open_pull& pending)
-                               { return pending.from == peer; });
+            return std::any_of(pending.begin(), pending.end(),
+                               [&](const pending_pull& each)
+                               { return each.from == peer; });
         }
 
         [[nodiscard]] bool may_hedge(milliseconds wait, time_point now) const
         {
-            return !active.empty() && active.size() < max_parallel_pulls &&
-                   now - active.back().began >= wait;
+            return !pending.empty() && pending.size() < max_parallel_pulls &&
+                   now - pending.back().began >= wait;
         }
 
         fetch_schedule schedule;
-        std::vector<open_pull> active;
+        std::vector<pending_pull> pending;
     };
 
     void pull_local(const std::string& from, time_point now)
     {
         if (local.may_hedge(hedge_delay, now) && !local.pulls_from(from))
             return pull(local, from, "near");
-        if (!local.active.empty())
+        if (!local.pending.empty())
             return;
         local.schedule.set_needed(true, now);
         if (local.schedule.due({}, now))
@@ -179,14 +179,14 @@
     {
         const auto now = event_loop::now();
         auto from = directory.find_peer_ahead(mirror.position(), hall, false,
-                                              pull_count, now);
+                                              tie_breaker, now);
         remote.schedule.set_needed(!from.empty(), now);
         const bool hedging = may_hedge_remote(now);
         if (hedging && remote.pulls_from(from))
             from = directory.find_peer_ahead(mirror.position(), hall, false,
-                                             pull_count + 1, now);
+                                             tie_breaker + 1, now);
         if (from.empty() || remote.pulls_from(from) ||
-            (!remote.active.empty() && !hedging))
+            (!remote.pending.empty() && !hedging))
             return;
         if (!hedging && !remote.schedule.due(hooks.fetch_state(), now))
             return schedule_check(recheck_interval);
@@ -196,7 +196,7 @@
 
     void pull(pull_group& group, const std::string& from, const char* where)
     {
-        ++pull_count;
+        ++tie_breaker;
         counters.count("fleet_mirror_pulls_total", 1, {{"from", where}});
         stream_call call;
         call.address = from + port_suffix;
@@ -204,7 +204,7 @@
         call.connect_time = connect_timeout(group);
         call.stall_time = stall_timeout;
         const auto* peer = directory.find(from);
-        open_pull started{
+        pending_pull started{
             from, 0, peer ? peer->last_heartbeat.mirrored : store_position{},
             event_loop::now()};
         started.call = calls.gather(
@@ -212,22 +212,22 @@
             [this, &group, from, where,
              began = started.began](const stream_client::answer& answer)
             {
-                std::erase_if(group.active, [&](const open_pull& other)
+                std::erase_if(group.pending, [&](const pending_pull& other)
                               { return other.from == from; });
                 on_pulled(group, from, where, began, answer);
             });
-        group.active.push_back(std::move(started));
+        group.pending.push_back(std::move(started));
     }
 
     /*! @brief Cancels pulls from peers that the mirror has caught up with. */
     void cancel_outdated(pull_group& group)
     {
-        std::erase_if(group.active,
-                      [this](const open_pull& pending)
+        std::erase_if(group.pending,
+                      [this](const pending_pull& each)
                       {
-                          if (pending.expected > mirror.position())
+                          if (each.expected > mirror.position())
                               return false;
-                          calls.cancel(pending.call);
+                          calls.cancel(each.call);
                           return true;
                       });
     }
@@ -304,8 +304,9 @@
     pull_group remote;
     timer check_timer;
     bool check_pending{false};
-    std::size_t pull_count; /*!< Starts at a random number, so that processes
-                               choose different peers. */
+    /*! @brief Incremented with each pull; starts at the seed, so that processes
+     * choose different peers. */
+    std::size_t tie_breaker;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/node_address.hpp
+++ b/src/coursejunction/fleet/node_address.hpp
@@ -35,9 +35,9 @@
 }
 
 /*! @brief Returns the part of `IP:port` before the last colon. */
-[[nodiscard]] inline std::string host_of(const std::string& address)
+[[nodiscard]] inline std::string host_of(const std::string& endpoint)
 {
-    return address.substr(0, address.rfind(':'));
+    return endpoint.substr(0, endpoint.rfind(':'));
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/peer_directory.hpp
+++ b/src/coursejunction/fleet/peer_directory.hpp
@@ -165,12 +165,13 @@
     }
 
     /*! @brief Returns the number of live, not leaving entries that watch the
-     * store and are nearer to it, or equally near with a lower address.
+     * store and are nearer to it than this process, or equally near with a
+     * lower address.
      * @param address IP address of this process.
-     * @param distance Time to connect to the store from here in microseconds; 0
-     * if unknown. */
+     * @param distance_us Time to connect to the store from here; 0 if unknown,
+     * which ranks as nearest. */
     [[nodiscard]] std::size_t watchers_before(const std::string& address,
-                                              std::uint32_t distance,
+                                              std::uint32_t distance_us,
                                               time_point now) const
     {
         std::size_t count = 0;
@@ -181,16 +182,16 @@
                 last.leaving)
                 continue;
             const auto theirs = distance_bucket(last.store_distance);
-            const auto ours = distance_bucket(distance);
+            const auto ours = distance_bucket(distance_us);
             count += theirs < ours || (theirs == ours && other < address);
         }
         return count;
     }
 
-    /*! @brief Returns the lowest distance to the store, in microseconds, that a
-     * live process of a hall reports; 0 if none knows it. */
-    [[nodiscard]] std::uint32_t store_distance(const hall_id& hall,
-                                               time_point now) const
+    /*! @brief Returns the lowest distance to the store that a live process of a
+     * hall reports; 0 if none knows it. */
+    [[nodiscard]] std::uint32_t store_distance_us(const hall_id& hall,
+                                                  time_point now) const
     {
         std::uint32_t nearest = 0;
         for (const auto& [other, peer] : peers)
@@ -204,9 +205,9 @@
         return nearest;
     }
 
-    /*! @brief Returns the rank of a process in its hall and what the others
-     * there fetch. Entries rank before sidecars, then the lower address goes
-     * first. */
+    /*! @brief Returns the rank of a process in its hall and how many of the
+     * others there fetch or probe. Entries rank before sidecars, then the lower
+     * address goes first. */
     [[nodiscard]] hall_fetch_state fetch_state(const std::string& address,
                                                const hall_id& hall, bool entry,
                                                time_point now) const
@@ -285,10 +286,10 @@
     /*! @brief Returns a distance in whole milliseconds, within which distances
      * count as equal. Halls of a region are about 2 ms apart, regions 4 ms and
      * more. */
-    static std::uint32_t distance_bucket(std::uint32_t distance)
+    static std::uint32_t distance_bucket(std::uint32_t distance_us)
     {
-        constexpr std::uint32_t bucket_width = 1000;
-        return distance / bucket_width;
+        constexpr std::uint32_t bucket_width_us = 1000;
+        return distance_us / bucket_width_us;
     }
 
     std::map<std::string, peer_state> peers;
--- a/src/coursejunction/fleet/store_mirror.hpp
+++ b/src/coursejunction/fleet/store_mirror.hpp
@@ -78,7 +78,8 @@
     store_mirror() = default;
     explicit store_mirror(item_rules given) : rules(std::move(given)) {}
 
-    /*! @brief Applies the changes up to a position of the same era.
+    /*! @brief Applies a page of changes. Items may be of an earlier era than
+     * the position of the page, and that of a later era than the mirror.
      * @param complete_to Position up to which the mirror is complete
      * afterwards.
      * @return The keys that changed, each once. */
@@ -91,7 +92,8 @@
         for (const auto& item : changes)
         {
             // The mirror is complete up to its position, so an unknown key with
-            // an older position has been removed by then.
+            // an older position has been removed by then. An exception are
+            // values of an earlier era that survive a rollback.
             const bool outdated =
                 item.position() <= mirrored_to && !values.contains(item.key) &&
                 !(item.era < mirrored_to.era && survives_rollback(item.key));
@@ -180,8 +182,8 @@
         return values;
     }
 
-    /*! @brief Returns the position up to which the mirror is complete; the
-     * start if nothing was read yet. */
+    /*! @brief Returns the position up to which the mirror is complete; `{0, 0}`
+     * if nothing was read yet. */
     [[nodiscard]] store_position position() const noexcept
     {
         return mirrored_to;
@@ -198,9 +200,9 @@
     {
         carried_count = static_cast<std::uint32_t>(
             std::count_if(values.begin(), values.end(),
-                          [&](const auto& entry) {
-                              return !entry.second.removed &&
-                                     entry.second.era < mirrored_to.era;
+                          [&](const auto& known) {
+                              return !known.second.removed &&
+                                     known.second.era < mirrored_to.era;
                           }));
     }
 
@@ -238,10 +240,12 @@
         return next == before ? later : next > before;
     }
 
+    /*! @brief Applies an item if it is newer.
+     * @return Whether the value of the key changed. */
     bool put(const message::mirror_item& item, time_point now)
     {
-        const auto [entry, added] = values.try_emplace(item.key);
-        auto& value = entry->second;
+        const auto [found, added] = values.try_emplace(item.key);
+        auto& value = found->second;
         const bool is_newer =
             added || (item.era == value.era ? item.revision > value.revision
                                             : replaces(item, value));
--- a/src/coursejunction/fleet/store_outage.hpp
+++ b/src/coursejunction/fleet/store_outage.hpp
@@ -13,18 +13,19 @@
 
 /*! @brief Upstreams cannot renew their records during an outage of the store;
  * records that expired then come back soon after it ends. A single failed call,
- * or a watch whose history is gone, is no outage: what is missing after it has
- * really been removed. */
+ * or a watch from a position whose history the store has dropped, is no outage:
+ * what is missing after it has really been removed. */
 class store_outage
 {
 public:
     /*! @brief Calls must fail for at least this long to count as an outage. A
-     * record expires after three missed heartbeats of its upstream, of which
-     * the first may be due at once. */
+     * record expires after three missed renewals by its upstream, of which the
+     * first may be due at once. */
     static constexpr milliseconds min_duration{1000};
 
     /*! @brief For this long after an outage missing records may still come
-     * back. The platform counts no errors against us during the same time. */
+     * back. The platform does not count failed requests of the installation
+     * during the same time. */
     static constexpr milliseconds settle_time{3000};
 
     /*! @brief Records a failed call. */
--- a/src/coursejunction/fleet/store_reader.hpp
+++ b/src/coursejunction/fleet/store_reader.hpp
@@ -90,9 +90,9 @@
 
     /*! @param seed Seed of the jitter, so that processes that fail together do
      * not retry together. */
-    store_reader(event_loop& owner, Store& service, metrics& counted,
+    store_reader(event_loop& owner, Store& platform_store, metrics& counted,
                  const store_mirror& held, std::uint64_t seed)
-        : loop(owner), store(service), counters(counted), mirror(held),
+        : loop(owner), store(platform_store), counters(counted), mirror(held),
           schedule(seed)
     {
     }
@@ -138,6 +138,7 @@
     void begin(const hall_fetch_state& hall)
     {
         busy = true;
+        // Also true for an empty mirror: both positions are zero.
         listing = mirror.position() <= history_gone_until;
         log::state(
             "store_read_begun",
@@ -172,7 +173,7 @@
 
     void watch(milliseconds wait)
     {
-        watch_timeout = wait;
+        current_wait = wait;
         begin_call("watch");
         store.watch(mirror.position().revision, wait,
                     [this](result<store_page> answer)
@@ -280,7 +281,7 @@
     {
         const bool mirror_advanced = mirror.position() > call_position;
         const auto limit =
-            listing ? listing_time_limit : watch_timeout + watch_overrun_limit;
+            listing ? listing_time_limit : current_wait + watch_overrun_limit;
         if (!call_pending || now - call_began < limit ||
             (listing && !mirror_advanced))
             return;
@@ -329,10 +330,10 @@
     time_point call_began{};      /*!< When the last call began. */
     store_position call_position; /*!< Position of the mirror at that time. */
     /*! @brief How long the last watch waits for a change. */
-    milliseconds watch_timeout{0};
+    milliseconds current_wait{0};
     bool call_pending{false}; /*!< The last call has not ended. */
-    /*! @brief Up to here the store has no history; no watch may continue
-     * from such a position. */
+    /*! @brief Up to here the store has no history; no watch may continue from
+     * such a position. */
     store_position history_gone_until;
     bool reachable{false}; /*!< The last call was answered. */
     /*! @brief A call or the pause between two watches is pending. */
--- a/tests/fleet/fetch_schedule.cpp
+++ b/tests/fleet/fetch_schedule.cpp
@@ -103,7 +103,7 @@
      * one: a datagram and the event loop of a busy process. */
     static constexpr std::chrono::milliseconds propagation{20};
 
-    /*! @param starts When each process begins, in ms.
+    /*! @param starts When each process starts, in ms.
      * @param state_bytes Size of the whole state.
      * @param link_rate Bytes per second of the link. */
     hall_model(const std::vector<int>& starts, double state_bytes,
@@ -199,10 +199,10 @@
 
     void continue_fetch(process& one)
     {
-        constexpr auto patience = 700ms;
+        constexpr auto stall_timeout = 700ms;
         if (one.left <= 0)
             return mark_complete(one);
-        if (now - one.moved < patience)
+        if (now - one.moved < stall_timeout)
             return;
         one.fetching = false;
         one.schedule.record_failure(now);
@@ -263,7 +263,7 @@
     constexpr double rate = 3e6;
     const auto copy = cj::from_seconds(bytes / rate);
 
-    rc::prop("all processes start within 0.3 s",
+    rc::prop("after a start of all within 0.3 s",
              [&]
              {
                  const auto count = *rc::gen::inRange<std::size_t>(1, 25);
@@ -279,7 +279,7 @@
                  RC_ASSERT(hall.transferred <= bytes * 3);
              });
 
-    rc::prop("the link was cut",
+    rc::prop("after a cut of the link",
              [&]
              {
                  const auto count = *rc::gen::inRange<std::size_t>(2, 25);
@@ -290,8 +290,8 @@
                      std::chrono::milliseconds(*rc::gen::inRange(100, 20'000));
                  hall.cut(cj::time_point{}, end);
                  // At most the maximum back-off, two concurrent fetches, and
-                 // for each of them one more that began before it heard of the
-                 // end.
+                 // for each of these a further one that began before it learned
+                 // that the earlier one had ended.
                  const auto bound = end +
                                     cj::fetch_schedule::max_backoff * 3 / 2 +
                                     copy * 4 + hall_model::propagation;
--- a/tests/fleet/fleet_node.cpp
+++ b/tests/fleet/fleet_node.cpp
@@ -120,7 +120,7 @@
         heartbeat.incarnation = 1;
         heartbeat.sequence = ++sequence;
         heartbeat.mirrored = mirror.position();
-        heartbeat.hall = "here";
+        heartbeat.hall = "other";
         heartbeat.entry = true;
         heartbeat.watching = true;
         heartbeat.store_distance = 300;
@@ -163,7 +163,7 @@
                 cj::fleet_options options;
                 options.address = address;
                 options.port = remote->port();
-                options.hall = cj::hall_id("there");
+                options.hall = cj::hall_id("own");
                 options.entry = true;
                 options.seeds = {addresses.front()};
                 hall.push_back(
@@ -177,8 +177,8 @@
     running.on_loop([&] { remote->change(); });
     std::this_thread::sleep_for(4s);
 
-    // Peers of the hall have 80 ms to answer, and the page arrives at once. A
-    // busy machine sometimes takes longer.
+    // A process waits 80 ms in case a peer of its hall gets the change first,
+    // and the page arrives at once. A busy machine sometimes takes longer.
     constexpr auto max_delay = 400ms;
     constexpr int max_late = 2;
     int late_count = 0;
--- a/tests/fleet/heartbeat_plan.cpp
+++ b/tests/fleet/heartbeat_plan.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("who receives the heartbeats of a sidecar")
+TEST_CASE("a heartbeat reaches only the peers that need it")
 {
     SECTION("a changed load goes to the entries of its hall")
     {
@@ -81,7 +81,7 @@
         closed.relayed_by_entries = true;
         REQUIRE(receives(closed, remote_entry));
     }
-    SECTION("sidecars of other halls receive one only during a download")
+    SECTION("sidecars of other halls receive some during a download only")
     {
         auto regular = context_for(heartbeat_reason::regular, false);
         REQUIRE_FALSE(receives(regular, remote_side));
@@ -103,7 +103,7 @@
         REQUIRE(chunk_detail_for(context_for(heartbeat_reason::load, false)) ==
                 chunk_detail::none);
     }
-    SECTION("in a large hall only ring neighbours among the sidecars do")
+    SECTION("sidecars of a large hall receive those of ring neighbours")
     {
         auto regular = context_for(heartbeat_reason::regular, false);
         REQUIRE(receives(regular, local_side));
@@ -161,9 +161,9 @@
             knows = next;
             REQUIRE(++steps <= 6);
         }
-        std::size_t most = 0;
+        std::size_t neighbours = 0;
         for (std::size_t to = 0; to < size; ++to)
-            most += is_ring_neighbour(0, to, size) ? 1 : 0;
-        REQUIRE(most <= 18);
+            neighbours += is_ring_neighbour(0, to, size) ? 1 : 0;
+        REQUIRE(neighbours <= 18);
     }
 }
--- a/tests/fleet/installation.cpp
+++ b/tests/fleet/installation.cpp
@@ -26,7 +26,7 @@
     CHECK(rules.route("c", "/x/") == nullptr);
 }
 
-SCENARIO("all attempts of a request get the same service", "[fleet]")
+SCENARIO("requests are split between services by weight", "[fleet]")
 {
     cj::route_rule route;
     CHECK(cj::service_for(route, 1) == nullptr);
--- a/tests/fleet/peer_directory.cpp
+++ b/tests/fleet/peer_directory.cpp
@@ -146,7 +146,7 @@
         heartbeat.mirrored = 9;
         receive("10.0.0.2", "a", false);
         receive("10.0.0.0", "b", true);
-        THEN("they are found by hall, unless they are no longer ahead")
+        THEN("they are found by hall, as long as they are ahead")
         {
             CHECK(peers.find_peer_ahead(8, hall, true, 0, now) == "10.0.0.2");
             CHECK(peers.find_peer_ahead(8, hall, false, 0, now) == "10.0.0.0");
@@ -183,6 +183,6 @@
     CHECK(peers.watchers_before("10.0.0.5", 400, now) == 0);
     CHECK(peers.watchers_before("10.0.0.10", 400, now) == 0);
     CHECK(peers.watchers_before("10.0.0.99", 400, now) == 1);
-    CHECK(peers.store_distance(cj::hall_id("near"), now) == 300);
-    CHECK(peers.store_distance(cj::hall_id("other"), now) == 0);
+    CHECK(peers.store_distance_us(cj::hall_id("near"), now) == 300);
+    CHECK(peers.store_distance_us(cj::hall_id("other"), now) == 0);
 }
--- a/tests/fleet/restore_schedule.cpp
+++ b/tests/fleet/restore_schedule.cpp
@@ -32,7 +32,7 @@
             schedule.due({2, 4}, 2, now + restore_schedule::rank_delay));
         CHECK(schedule.due({2, 4}, 2, now + 2 * restore_schedule::rank_delay));
     }
-    SECTION("a store that reported no era before")
+    SECTION("a first era after era 0 counts as a new one")
     {
         CHECK_FALSE(schedule.due({0, 9}, 0, now));
         CHECK(schedule.due({1, 4}, 0, now));
--- a/tests/fleet/store_mirror.cpp
+++ b/tests/fleet/store_mirror.cpp
@@ -170,8 +170,8 @@
             const cj::time_point now{100s};
             cj::store_mirror mirror;
             // Pages of the past and the present: late, repeated and
-            // overlapping. Each was requested when the mirror was at least
-            // at the page's start.
+            // overlapping. Each was requested when the mirror was at least at
+            // the page's start.
             const auto count = *rc::gen::inRange(0, 8);
             for (int round = 0; round < count; ++round)
             {
@@ -206,7 +206,7 @@
         });
 }
 
-SCENARIO("a store is rolled back to an older snapshot", "[fleet]")
+SCENARIO("known values outlive a rollback of the store", "[fleet]")
 {
     using item = cj::message::mirror_item;
     const cj::time_point now{100s};
@@ -294,7 +294,7 @@
             CHECK(mirror.position() == cj::store_position{2, 5});
         }
     }
-    WHEN("an era was missed entirely")
+    WHEN("the mirror missed an era in between")
     {
         mirror.replace(
             {make_item(3, "operator", "1", 2), make_item(3, "a", "6", 3)},
--- a/tests/fleet/store_outage.cpp
+++ b/tests/fleet/store_outage.cpp
@@ -5,7 +5,7 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("records may expire during an outage only", "[fleet]")
+SCENARIO("missing records may come back only after an outage", "[fleet]")
 {
     cj::store_outage outage;
     const cj::time_point now{100s};
