--- a/src/coursejunction/fleet/fleet_node.hpp
+++ b/src/coursejunction/fleet/fleet_node.hpp
@@ -1,7 +1,8 @@
 /*! @file
- * @brief What every process of an installation does whatever its role: it
- * mirrors the platform's store, directly or through its peers, and tells its
- * peers that it lives and how far its mirror is.
+ * @brief The part of every process of an installation that does not depend on
+ * its role. It mirrors the platform's store, directly or by pulling from its
+ * peers, and exchanges heartbeats with them. A process is either an entry,
+ * which accepts requests from callers, or a sidecar of one upstream.
  */
 #ifndef COURSEJUNCTION_FLEET_FLEET_NODE_HPP
 #define COURSEJUNCTION_FLEET_FLEET_NODE_HPP
@@ -19,10 +20,10 @@
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/core/result.hpp"
 #include "coursejunction/core/suspension.hpp"
-#include "coursejunction/fleet/beat_plan.hpp"
-#include "coursejunction/fleet/beat_sender.hpp"
 #include "coursejunction/fleet/fleet_hooks.hpp"
-#include "coursejunction/fleet/mirror_age.hpp"
+#include "coursejunction/fleet/heartbeat_plan.hpp"
+#include "coursejunction/fleet/heartbeat_sender.hpp"
+#include "coursejunction/fleet/lag_tracker.hpp"
 #include "coursejunction/fleet/mirror_puller.hpp"
 #include "coursejunction/fleet/node_address.hpp"
 #include "coursejunction/fleet/peer_directory.hpp"
@@ -39,199 +40,223 @@
 namespace coursejunction
 {
 
-/*! @brief One process among its peers.
+/*! @brief One process of the fleet.
  * @tparam Store A `Readable_store`. */
 template <typename Store>
 class fleet_node
 {
 public:
-    /*! @brief Heartbeats between two changes; a leaving upstream has 2 s, so
-     * that several may be lost. */
-    static constexpr milliseconds beat_interval{200};
+    /*! @brief Interval of regular heartbeats. A leaving upstream is gone after
+     * 2 s, so several may be lost before that matters. */
+    static constexpr milliseconds heartbeat_interval{200};
 
-    /*! @brief Entries that watch the store; all others hear from them. One may
-     * be cut from the store and one more stopped at the same time. */
-    static constexpr std::size_t most_watchers = 3;
+    /*! @brief Entries that watch the store; all others learn of changes from
+     * them. With three, one may be cut off from the store while another one is
+     * stopped. */
+    static constexpr std::size_t max_watchers = 3;
 
-    /*! @brief A side that is behind for this long is told so by an entry of
-     * any hall: its own hall may have no entry left. */
-    static constexpr milliseconds behind_grace{300};
+    /*! @brief An entry notifies sidecars of its own hall whose mirrors are
+     * behind once its own mirror has not changed for this long. */
+    static constexpr milliseconds lag_grace{300};
 
-    /*! @brief An entry of another hall does so after this long: each tells
-     * each side that is behind, and a side's own hall is nearer. */
-    static constexpr milliseconds far_behind_grace{1000};
+    /*! @brief The same for sidecars of other halls, which may have no entry
+     * left. It is longer because every entry notifies every lagging sidecar,
+     * and those of the sidecar's own hall are nearer. */
+    static constexpr milliseconds remote_lag_grace{1000};
 
-    /*! @brief A process that has just started and is no seed goes after others
-     * of its hall, which it has not heard of yet. */
-    static constexpr milliseconds newcomer_time{1000};
+    /*! @brief For this long after its start a process that is no seed ranks at
+     * least second in its hall, since it may not know the others yet. */
+    static constexpr milliseconds newcomer_period{1000};
 
-    /*! @brief Opens the ports.
+    /*! @brief Opens the UDP and the TCP port.
      * @return The node, or `unavailable`. */
     [[nodiscard]] static result<std::unique_ptr<fleet_node>>
     create(event_loop& loop, Store& store, metrics& counters,
            fleet_options options)
     {
-        std::unique_ptr<fleet_node> made(
+        std::unique_ptr<fleet_node> node(
             new fleet_node(loop, store, counters, std::move(options)));
-        auto opened = made->open();
+        auto opened = node->open();
         if (!opened)
             return failure(opened.error().kind, opened.error().message);
-        return made;
+        return node;
     }
 
-    /*! @brief Starts to act; called once when the role is ready. */
+    /*! @brief Starts heartbeats and mirroring; called once, when the role is
+     * ready. */
     void start(fleet_hooks given)
     {
         hooks = std::move(given);
         const auto now = event_loop::now();
         started_at = now;
-        start_fetching();
+        start_mirroring();
         for (const auto& seed : options.seeds)
         {
             if (seed != options.address)
                 directory.add_seed(seed, now);
         }
         announce();
-        beat_timer = loop.every(beat_interval,
-                                [this]
-                                {
-                                    beat_on();
-                                    read_store();
-                                });
-        read_store();
+        heartbeat_timer = loop.every(heartbeat_interval,
+                                     [this]
+                                     {
+                                         send_regular_heartbeat();
+                                         poll_store();
+                                     });
+        poll_store();
     }
 
-    /*! @brief Tells at once that the state of this process changed. */
-    void announce() { tell(moment(beat_reason::state)); }
+    /*! @brief Sends a heartbeat at once because the state of this process
+     * changed. */
+    void announce() { send_heartbeat(context_for(heartbeat_reason::state)); }
 
-    /*! @brief Tells the entries of the own hall that a load changed. Others
-     * hear of it with the next heartbeat: they send here only what their own
-     * hall cannot take, and bytes between regions cost most. */
-    void announce_load() { tell(moment(beat_reason::load)); }
+    /*! @brief Reports a changed load to the entries of the own hall. Other
+     * halls learn of it from the next regular heartbeat or digest: they send
+     * here only what their own upstreams cannot take, and traffic between
+     * regions costs most. */
+    void announce_load()
+    {
+        send_heartbeat(context_for(heartbeat_reason::load));
+    }
 
-    /*! @brief Tells neighbours of the own hall which chunks are here; called
-     * while chunks spread. */
-    void announce_chunks() { tell(moment(beat_reason::chunks)); }
+    /*! @brief Reports the chunks held here, of versions that are being
+     * downloaded, to the ring neighbours in the own hall. */
+    void announce_chunks()
+    {
+        send_heartbeat(context_for(heartbeat_reason::chunks));
+    }
 
-    /*! @brief Tells all entries that upstreams ended under a request. */
-    void announce_crashes() { tell(moment(beat_reason::crash)); }
+    /*! @brief Reports to all entries that upstreams crashed under a request. */
+    void announce_crashes()
+    {
+        send_heartbeat(context_for(heartbeat_reason::crash));
+    }
 
-    /*! @brief Tells the entries of the own hall which callers were sent away:
-     * that is where they come back. */
-    void announce_refusals() { tell(moment(beat_reason::refusals)); }
+    /*! @brief Reports refused callers to the entries of the own hall, where
+     * their retries arrive. */
+    void announce_refusals()
+    {
+        send_heartbeat(context_for(heartbeat_reason::refusals));
+    }
 
-    /*! @brief Marks the node as leaving in its heartbeats. */
+    /*! @brief Marks this process as leaving in its heartbeats. */
     void leave()
     {
         leaving = true;
         announce();
     }
 
-    /*! @brief Notes a side that the role knows of, and its hall. */
+    /*! @brief Adds a sidecar that the role read from an upstream's record.
+     * @param address IP address of the sidecar. */
     void add_side(const std::string& address, const hall_id& hall)
     {
         if (address != options.address)
             directory.add_side(address, hall, event_loop::now());
     }
 
-    /*! @brief Returns for how long peers have known more than this process;
-     * zero when none is known to. */
+    /*! @brief Returns how long the mirror has lacked a position that a peer
+     * reported; zero if it lacks none. See `lag_tracker::lag`. */
     [[nodiscard]] milliseconds mirror_lag(time_point now) const
     {
-        return age.behind_for(copy.position(), now);
+        return tracker.lag(local_mirror.position(), now);
     }
 
     /*! @brief Returns how often changes of the store may have been missed. */
     [[nodiscard]] std::uint64_t gaps() const { return reader.gaps(); }
 
-    [[nodiscard]] const store_mirror& mirror() const { return copy; }
+    [[nodiscard]] const store_mirror& mirror() const { return local_mirror; }
     [[nodiscard]] Store& store_client() { return store; }
     [[nodiscard]] const peer_directory& peers() const { return directory; }
     [[nodiscard]] stream_client& client() { return calls; }
+    /*! @brief Returns the options given to `create`. */
     [[nodiscard]] const fleet_options& settings() const { return options; }
 
-    /*! @brief Returns the address of a peer's port for the system's own. */
+    /*! @brief Returns `IP:port` of a peer for calls between processes of the
+     * fleet. */
     [[nodiscard]] std::string peer_endpoint(const std::string& address) const
     {
         return address + port_suffix;
     }
 
 private:
-    fleet_node(event_loop& owner, Store& service, metrics& counted,
-               fleet_options set)
-        : loop(owner), store(service), counters(counted),
-          options(std::move(set)), calls(owner),
+    fleet_node(event_loop& owner, Store& platform_store, metrics& counted,
+               fleet_options given)
+        : loop(owner), store(platform_store), counters(counted),
+          options(std::move(given)), calls(owner),
           port_suffix(":" + std::to_string(options.port)),
           incarnation(static_cast<std::uint64_t>(
               std::chrono::duration_cast<milliseconds>(
                   std::chrono::system_clock::now().time_since_epoch())
                   .count())),
-          copy(options.items), reader(owner, service, counted, copy, seed()),
-          puller(owner, calls, counted, copy, directory, seed()),
-          beats(
+          local_mirror(options.items),
+          reader(owner, platform_store, counted, local_mirror, jitter_seed()),
+          puller(owner, calls, counted, local_mirror, directory, jitter_seed()),
+          heartbeats(
               options, directory, counted,
-              [this](time_point now, const beat_moment& sent)
-              { return beat(now, sent); },
+              [this](time_point now, const heartbeat_context& context)
+              { return make_heartbeat(now, context); },
               [this](const std::string& address, const std::string& datagram)
               { socket->send(address + port_suffix, datagram); })
     {
     }
 
-    /*! @brief Returns a number that differs between processes. */
-    [[nodiscard]] std::uint64_t seed() const
+    /*! @brief Returns a number that differs between processes and their
+     * restarts. */
+    [[nodiscard]] std::uint64_t jitter_seed() const
     {
         return std::hash<std::string>()(options.address) + incarnation;
     }
 
-    void start_fetching()
+    void start_mirroring()
     {
-        reader.start({[this] { return reads_store(); },
-                      [this](const store_page& page, bool whole)
-                      { read_page(page, whole); },
-                      [this] { tell(moment(beat_reason::fetch)); }});
+        reader.start(
+            {[this] { return should_watch_store(); },
+             [this](const store_page& page, bool whole)
+             { on_store_page(page, whole); },
+             [this] { send_heartbeat(context_for(heartbeat_reason::fetch)); }});
         puller.start(
             options.hall, port_suffix,
-            {[this] { return standing(); },
+            {[this] { return fetch_state(); },
              [this](const message::mirror_page& page, const std::string& from)
-             { take_page(page, from); },
-             [this] { tell(moment(beat_reason::fetch)); }});
+             { on_peer_page(page, from); },
+             [this] { send_heartbeat(context_for(heartbeat_reason::fetch)); }});
     }
 
     result<bool> open()
     {
-        auto made = datagram_socket::create(
+        auto opened = datagram_socket::create(
             loop, options.address, options.port,
             [this](const std::string& from, std::string_view bytes)
-            { datagram(host_of(from), bytes); });
-        if (!made)
-            return failure(made.error().kind, made.error().message);
-        socket = std::move(made.value());
-        auto served = stream_server::create(
+            { on_datagram(host_of(from), bytes); });
+        if (!opened)
+            return failure(opened.error().kind, opened.error().message);
+        socket = std::move(opened.value());
+        auto listening = stream_server::create(
             loop, options.address, options.port, {},
             [this](stream_request request, stream_reply reply)
-            { request_of_peer(std::move(request), std::move(reply)); });
-        if (!served)
-            return failure(served.error().kind, served.error().message);
-        server = std::move(served.value());
+            { on_peer_request(std::move(request), std::move(reply)); });
+        if (!listening)
+            return failure(listening.error().kind, listening.error().message);
+        server = std::move(listening.value());
         return true;
     }
 
-    [[nodiscard]] bool own_hall(const peer_state& one) const
+    [[nodiscard]] bool in_own_hall(const peer_state& peer) const
     {
-        return one.last_heartbeat.hall == options.hall.value();
+        return peer.last_heartbeat.hall == options.hall.value();
     }
 
-    [[nodiscard]] beat_moment moment(beat_reason why) const
+    [[nodiscard]] heartbeat_context context_for(heartbeat_reason reason) const
     {
-        beat_moment made;
-        made.reason = why;
-        made.number = beat_number;
-        made.from_entry = options.entry;
-        return made;
+        heartbeat_context context;
+        context.reason = reason;
+        context.regular_number = regular_number;
+        context.from_entry = options.entry;
+        return context;
     }
 
-    /*! @brief What was heard before a suspension is as old as it lasted; here
-     * it is only told, since every age is taken from a clock that went on. */
+    /*! @brief Reports that this machine was suspended. Nothing has to be
+     * corrected: ages are taken from a clock that runs on during a suspension.
+     */
     void note_suspension()
     {
         const auto lasted = suspension.note(
@@ -242,122 +267,128 @@
         log::warning("suspended", {{"ms", std::to_string(lasted.count())}});
     }
 
-    void beat_on()
+    void send_regular_heartbeat()
     {
         note_suspension();
-        ++beat_number;
-        auto regular = moment(beat_reason::regular);
-        regular.spreading = hooks.transfers_active && hooks.transfers_active();
-        tell(regular);
-        if (beat_number % measuring_beat == 0)
-            measure(event_loop::now());
+        ++regular_number;
+        auto regular = context_for(heartbeat_reason::regular);
+        regular.transfers_active =
+            hooks.transfers_active && hooks.transfers_active();
+        send_heartbeat(regular);
+        if (regular_number % gauge_period == 0)
+            update_gauges(event_loop::now());
     }
 
-    /*! @brief Shows what this process decides by, and who reads the store. */
-    void measure(time_point now)
+    /*! @brief Sets the gauges that show the mirror's position and lag, and how
+     * many processes read the store. */
+    void update_gauges(time_point now)
     {
         counters.set("fleet_mirror_revision",
-                     static_cast<double>(copy.position().revision));
+                     static_cast<double>(local_mirror.position().revision));
         counters.set("fleet_mirror_era",
-                     static_cast<double>(copy.position().era));
+                     static_cast<double>(local_mirror.position().era));
         counters.set("fleet_mirror_carried",
-                     static_cast<double>(copy.carried()));
+                     static_cast<double>(local_mirror.carried()));
         counters.set("fleet_mirror_behind_seconds",
                      to_seconds(mirror_lag(now)));
         counters.set("fleet_store_watchers",
                      static_cast<double>(directory.watchers(now) +
                                          (reader.watching() ? 1 : 0)));
         counters.set("fleet_hall_fetchers",
-                     static_cast<double>(standing().fetching));
+                     static_cast<double>(fetch_state().fetching));
     }
 
-    void tell(const beat_moment& sent)
+    void send_heartbeat(const heartbeat_context& context)
     {
         const auto now = event_loop::now();
         directory.expire(now);
-        beats.tell(sent, now);
-    }
-
-    message::fleet_heartbeat beat(time_point now, const beat_moment& sent)
-    {
-        const bool names = sent.reason == beat_reason::regular &&
-                           sent.number % naming_beat == 0;
-        message::fleet_heartbeat made;
-        made.incarnation = incarnation;
-        made.sequence = ++sequence;
-        made.mirrored = copy.position();
-        made.carried = copy.carried();
-        made.hall = options.hall.value();
-        made.entry = options.entry;
-        made.leaving = leaving;
-        made.watching = reader.watching();
-        made.fetching = reader.fetching() || puller.fetching();
-        made.probing = reader.probing();
-        made.store_returned = store_returned(now);
-        made.store_distance = own_distance();
-        for (const auto& [address, one] : directory.all())
+        heartbeats.send_heartbeat(context, now);
+    }
+
+    message::fleet_heartbeat make_heartbeat(time_point now,
+                                            const heartbeat_context& context)
+    {
+        const bool lists_entries =
+            context.reason == heartbeat_reason::regular &&
+            context.regular_number % full_report_period == 0;
+        message::fleet_heartbeat heartbeat;
+        heartbeat.incarnation = incarnation;
+        heartbeat.sequence = ++sequence;
+        heartbeat.mirrored = local_mirror.position();
+        heartbeat.carried = local_mirror.carried();
+        heartbeat.hall = options.hall.value();
+        heartbeat.entry = options.entry;
+        heartbeat.leaving = leaving;
+        heartbeat.watching = reader.watching();
+        heartbeat.fetching = reader.fetching() || puller.fetching();
+        heartbeat.probing = reader.probing();
+        heartbeat.store_returned = store_returned(now);
+        heartbeat.store_distance = own_distance_us();
+        for (const auto& [address, peer] : directory.all())
         {
             const auto number = parse_ipv4(address);
-            if (names && one.entry && number &&
-                peer_directory::alive(one, now) &&
-                made.entries.size() < most_named)
-                made.entries.push_back(*number);
+            if (lists_entries && peer.entry && number &&
+                peer_directory::alive(peer, now) &&
+                heartbeat.entries.size() < max_listed_entries)
+                heartbeat.entries.push_back(*number);
         }
         if (hooks.fill_heartbeat)
-            hooks.fill_heartbeat(made, chunks_told(sent));
-        if (hooks.crash_records && tells_crashes(sent.reason))
-            made.crashes = hooks.crash_records();
-        if (hooks.refused_callers && sent.reason == beat_reason::refusals)
-            made.refusals = hooks.refused_callers();
-        if (hooks.recent_terms && sent.reason == beat_reason::regular)
-            made.terms = hooks.recent_terms();
-        made.upstream.side = incarnation;
-        return made;
+            hooks.fill_heartbeat(heartbeat, chunk_detail_for(context));
+        if (hooks.crash_records && carries_crash_records(context.reason))
+            heartbeat.crashes = hooks.crash_records();
+        if (hooks.refused_callers &&
+            context.reason == heartbeat_reason::refusals)
+            heartbeat.refusals = hooks.refused_callers();
+        if (hooks.recent_terms && context.reason == heartbeat_reason::regular)
+            heartbeat.terms = hooks.recent_terms();
+        heartbeat.upstream.side = incarnation;
+        return heartbeat;
     }
 
-    void datagram(const std::string& from, std::string_view bytes)
+    void on_datagram(const std::string& from, std::string_view bytes)
     {
-        const auto read = decode<message::fleet_heartbeat>(bytes);
-        if (!read)
+        const auto decoded = decode<message::fleet_heartbeat>(bytes);
+        if (!decoded)
         {
             counters.count("fleet_datagrams_refused_total");
             return;
         }
         const auto now = event_loop::now();
         const bool known = directory.alive(from, now);
-        if (!directory.record_heartbeat(from, read.value(), now))
+        if (!directory.record_heartbeat(from, decoded.value(), now))
             return;
         if (!known)
             log::state("peer_heard",
                        {{"peer", from},
-                        {"entry", read.value().entry ? "true" : "false"}});
-        for (const auto number : read.value().entries)
+                        {"entry", decoded.value().entry ? "true" : "false"}});
+        for (const auto ip : decoded.value().entries)
         {
-            const auto address = format_ipv4(number);
+            const auto address = format_ipv4(ip);
             if (address != options.address &&
                 directory.find(address) == nullptr)
                 directory.add_entry(address, now);
         }
-        const bool own = read.value().hall == options.hall.value();
-        if (options.entry && !read.value().entry &&
-            read.value().mirrored < copy.position() &&
-            now - advanced_at >= (own ? behind_grace : far_behind_grace))
-            beats.tell_behind(from, now);
-        if (own && carries_more(read.value()))
-            puller.heard(from, own);
-        if (read.value().mirrored > copy.position())
+        const bool same_hall = decoded.value().hall == options.hall.value();
+        if (options.entry && !decoded.value().entry &&
+            decoded.value().mirrored < local_mirror.position() &&
+            now - advanced_at >= (same_hall ? lag_grace : remote_lag_grace))
+            heartbeats.send_mirror_position(from, now);
+        if (same_hall && has_more_carried_values(decoded.value()))
+            puller.peer_ahead(from, same_hall);
+        if (decoded.value().mirrored > local_mirror.position())
         {
-            age.told(read.value().mirrored, copy.position(), now);
-            puller.heard(from, own);
+            tracker.report_ahead(decoded.value().mirrored,
+                                 local_mirror.position(), now);
+            puller.peer_ahead(from, same_hall);
         }
         if (hooks.heartbeat_received)
-            hooks.heartbeat_received(from, read.value());
+            hooks.heartbeat_received(from, decoded.value());
     }
 
-    void request_of_peer(stream_request request, stream_reply reply)
+    void on_peer_request(stream_request request, stream_reply reply)
     {
-        constexpr auto mirror_target = mirror_puller::target;
-        if (!request.target.starts_with(mirror_target))
+        constexpr auto target_prefix = mirror_puller::target_prefix;
+        if (!request.target.starts_with(target_prefix))
         {
             if (hooks.handle_request)
                 return hooks.handle_request(std::move(request),
@@ -365,148 +396,165 @@
             return reply.send(404, {}, "no such resource\n");
         }
         const auto text =
-            std::string_view(request.target).substr(mirror_target.size());
+            std::string_view(request.target).substr(target_prefix.size());
         reply.send(200, {},
-                   encode(copy.changes_since(store_position::parse(text),
-                                             event_loop::now())));
+                   encode(local_mirror.changes_since(
+                       store_position::parse(text), event_loop::now())));
     }
 
-    /*! @brief Tells whether this entry is among those that read the store. */
-    [[nodiscard]] bool reads_store() const
+    /*! @brief Tells whether this entry is among the `max_watchers` that watch
+     * the store. */
+    [[nodiscard]] bool should_watch_store() const
     {
         const auto now = event_loop::now();
         return options.entry && !leaving &&
-               directory.watchers_before(options.address, store_distance(now),
-                                         now) < most_watchers;
+               directory.watchers_before(
+                   options.address, store_distance_us(now), now) < max_watchers;
     }
 
-    /*! @brief Returns the distance to the store in microseconds, of this
-     * process or else of its hall; 0 when it is not known. */
-    [[nodiscard]] std::uint32_t store_distance(time_point now) const
+    /*! @brief Returns the time to connect to the store in microseconds, as
+     * measured here or else by the nearest process of the own hall; 0 if
+     * unknown. */
+    [[nodiscard]] std::uint32_t store_distance_us(time_point now) const
     {
-        const auto own = own_distance();
-        return own > 0 ? own : directory.store_distance(options.hall, now);
+        const auto own = own_distance_us();
+        return own > 0 ? own : directory.store_distance_us(options.hall, now);
     }
 
-    [[nodiscard]] std::uint32_t own_distance() const
+    /*! @brief Returns the time to connect to the store as measured here; 0 if
+     * unknown. */
+    [[nodiscard]] std::uint32_t own_distance_us() const
     {
         const std::chrono::microseconds own = store.distance();
         return static_cast<std::uint32_t>(own.count());
     }
 
-    [[nodiscard]] hall_standing standing() const
+    [[nodiscard]] hall_fetch_state fetch_state() const
     {
         const auto now = event_loop::now();
-        auto made = directory.standing(options.address, options.hall,
-                                       options.entry, now);
-        const bool seeded =
+        auto state = directory.fetch_state(options.address, options.hall,
+                                           options.entry, now);
+        const bool is_seed =
             std::find(options.seeds.begin(), options.seeds.end(),
                       options.address) != options.seeds.end();
-        if (!seeded && now - started_at < newcomer_time)
-            made.rank = std::max<std::size_t>(made.rank, 1);
-        return made;
+        if (!is_seed && now - started_at < newcomer_period)
+            state.rank = std::max<std::size_t>(state.rank, 1);
+        return state;
     }
 
-    /*! @brief Probes of the store are taken in turns too; pulls from other
-     * halls do not wait for them, as the store may turn this hall away. */
-    void read_store()
+    /*! @brief Lets the store reader begin if it is this process's turn. For the
+     * store, probes count as fetches, so that they are taken in turns too.
+     * Pulls from other halls do not wait for probes, since the store may be
+     * unreachable from this hall. */
+    void poll_store()
     {
-        auto turn = standing();
-        turn.fetching += turn.probing;
-        reader.consider(turn, event_loop::now());
+        auto state = fetch_state();
+        state.fetching += state.probing;
+        reader.poll(state, event_loop::now());
     }
 
-    /*! @brief Tells the role of values that a later one of the page hides.
+    /*! @brief Reports values to the role that a later item of the same page
+     * overwrites.
      * @return Their keys. */
-    std::set<std::string> tell_overwritten(const store_mirror::items& items)
+    std::set<std::string> report_overwritten(const store_mirror::items& items)
     {
         std::set<std::string> keys;
         if (!hooks.value_overwritten)
             return keys;
-        std::map<std::string_view, std::size_t> last;
-        for (std::size_t place = 0; place < items.size(); ++place)
-            last[items[place].key] = place;
-        for (std::size_t place = 0; place < items.size(); ++place)
+        std::map<std::string_view, std::size_t> last_index;
+        for (std::size_t index = 0; index < items.size(); ++index)
+            last_index[items[index].key] = index;
+        for (std::size_t index = 0; index < items.size(); ++index)
         {
-            const auto& one = items[place];
-            if (last[one.key] == place || one.removed || known(one))
+            const auto& item = items[index];
+            if (last_index[item.key] == index || item.removed || is_known(item))
                 continue;
-            hooks.value_overwritten(one);
-            keys.insert(one.key);
+            hooks.value_overwritten(item);
+            keys.insert(item.key);
         }
         return keys;
     }
 
-    /*! @brief Tells whether the mirror has a value of a key that is as new. */
-    [[nodiscard]] bool known(const message::mirror_item& one) const
+    /*! @brief Tells whether the mirror has a value of the key at least as
+     * recent. */
+    [[nodiscard]] bool is_known(const message::mirror_item& item) const
     {
-        const auto found = copy.all().find(one.key);
-        return found != copy.all().end() &&
-               found->second.position() >= one.position();
+        const auto found = local_mirror.all().find(item.key);
+        return found != local_mirror.all().end() &&
+               found->second.position() >= item.position();
     }
 
-    void read_page(const store_page& page, bool whole)
+    void on_store_page(const store_page& page, bool whole)
     {
         const auto now = event_loop::now();
-        const auto era = copy.position().era;
-        const auto passed = tell_overwritten(page.items);
-        auto changed = whole ? copy.replace(page.items, page.position, now)
-                             : copy.apply(page.items, page.position, now);
-        // A peer may have told the last value of a key before.
-        for (const auto& key : passed)
+        const auto era = local_mirror.position().era;
+        const auto overwritten_keys = report_overwritten(page.items);
+        auto changed =
+            whole ? local_mirror.replace(page.items, page.position, now)
+                  : local_mirror.apply(page.items, page.position, now);
+        // A peer may already have sent the last value of a key, so that the
+        // mirror saw no change.
+        for (const auto& key : overwritten_keys)
         {
-            if (copy.find(key) != nullptr &&
+            if (local_mirror.find(key) != nullptr &&
                 std::find(changed.begin(), changed.end(), key) == changed.end())
                 changed.push_back(key);
         }
-        took(changed, "store", era);
+        on_mirror_changed(changed, "store", era);
     }
 
-    void take_page(const message::mirror_page& page, const std::string& from)
+    void on_peer_page(const message::mirror_page& page, const std::string& from)
     {
         const auto now = event_loop::now();
-        const auto era = copy.position().era;
+        const auto era = local_mirror.position().era;
         if (page.position.era == era)
             carried_seen = std::max(carried_seen, page.carried);
-        took(page.whole ? copy.replace(page.items, page.position, now)
-                        : copy.apply(page.items, page.position, now),
-             from, era);
+        on_mirror_changed(
+            page.whole ? local_mirror.replace(page.items, page.position, now)
+                       : local_mirror.apply(page.items, page.position, now),
+            from, era);
     }
 
-    /*! @brief Tells whether a peer knows values of earlier eras of the store
-     * which this process may lack: it started in the middle. */
-    [[nodiscard]] bool carries_more(const message::fleet_heartbeat& told) const
+    /*! @brief Tells whether a peer of the same era holds more values of earlier
+     * eras, which this process may lack if it started after the rollback. */
+    [[nodiscard]] bool
+    has_more_carried_values(const message::fleet_heartbeat& heartbeat) const
     {
-        return told.mirrored.era == copy.position().era &&
-               told.carried > std::max(copy.carried(), carried_seen);
+        return heartbeat.mirrored.era == local_mirror.position().era &&
+               heartbeat.carried >
+                   std::max(local_mirror.carried(), carried_seen);
     }
 
-    /*! @brief Tells whether the store itself, not only the way to it from here,
-     * was away until just now. */
+    /*! @brief Tells whether the store itself, and not only the connection to it
+     * from here, had an outage that ended a moment ago. */
     [[nodiscard]] bool store_returned(time_point now) const
     {
-        return reader.returned(now) && !directory.steady_watcher(now);
+        return reader.outage_recently_ended(now) &&
+               !directory.has_undisturbed_watcher(now);
     }
 
-    /*! @param era Of the mirror before. Records that a new era lacks may only
-     * have lapsed. */
-    void took(const std::vector<std::string>& changed, const std::string& from,
-              std::uint64_t era)
+    /*! @brief Logs and reports a change of the mirror, and announces it to
+     * peers.
+     * @param from Address of the peer that sent the page, or `store`.
+     * @param era Era of the mirror before the change. Records missing in a new
+     * era may only have expired during the outage. */
+    void on_mirror_changed(const std::vector<std::string>& changed,
+                           const std::string& from, std::uint64_t era)
     {
-        const bool crossed = era != 0 && copy.position().era != era;
-        if (crossed)
+        const bool era_changed = era != 0 && local_mirror.position().era != era;
+        if (era_changed)
         {
             carried_seen = 0;
             log::state("mirror_era_changed",
                        {{"from", from},
-                        {"position", copy.position().text()},
-                        {"carried", std::to_string(copy.carried())}});
+                        {"position", local_mirror.position().text()},
+                        {"carried", std::to_string(local_mirror.carried())}});
         }
         if (changed.empty())
             return;
         for (const auto& key : changed)
         {
-            const auto found = copy.all().find(key);
+            const auto found = local_mirror.all().find(key);
             log::state("mirror_changed",
                        {{"key", key},
                         {"from", from},
@@ -518,19 +566,21 @@
                                   ? peer->last_heartbeat.store_returned
                                   : store_returned(event_loop::now());
         advanced_at = event_loop::now();
-        age.advanced(copy.position(), advanced_at);
+        tracker.advance(local_mirror.position(), advanced_at);
         if (hooks.keys_changed)
-            hooks.keys_changed(changed, returned || crossed);
-        auto sent = moment(beat_reason::mirror);
-        sent.from_store = peer == nullptr;
-        tell(sent);
+            hooks.keys_changed(changed, returned || era_changed);
+        auto context = context_for(heartbeat_reason::mirror);
+        context.from_store = peer == nullptr;
+        send_heartbeat(context);
     }
 
-    /*! @brief Each this many heartbeats the gauges are set: once a second. */
-    static constexpr std::uint64_t measuring_beat = 5;
+    /*! @brief The gauges are set once in this many regular heartbeats: once a
+     * second. */
+    static constexpr std::uint64_t gauge_period = 5;
 
-    /*! @brief Entries named in one heartbeat, so that it fits a datagram. */
-    static constexpr std::size_t most_named = 64;
+    /*! @brief Maximum number of entries listed in one heartbeat, so that it
+     * fits into a datagram. */
+    static constexpr std::size_t max_listed_entries = 64;
 
     event_loop& loop;
     Store& store;
@@ -541,19 +591,21 @@
     std::string port_suffix;
     std::uint64_t incarnation;
     std::uint64_t sequence{0};
-    std::uint64_t beat_number{0};
+    std::uint64_t regular_number{0};
     time_point advanced_at{}; /*!< When the mirror last changed. */
-    store_mirror copy;
-    std::uint32_t carried_seen{0}; /*!< By a peer of this era, and taken. */
-    mirror_age age;
+    store_mirror local_mirror;
+    /*! @brief Largest count of carried values in a page that was taken from a
+     * peer in this era. */
+    std::uint32_t carried_seen{0};
+    lag_tracker tracker;
     suspension_meter suspension;
     peer_directory directory;
     std::unique_ptr<datagram_socket> socket;
     std::unique_ptr<stream_server> server;
-    timer beat_timer;
+    timer heartbeat_timer;
     store_reader<Store> reader;
     mirror_puller puller;
-    beat_sender beats;
+    heartbeat_sender heartbeats;
     time_point started_at{};
     bool leaving{false};
 };
--- a/src/coursejunction/fleet/item_rules.hpp
+++ b/src/coursejunction/fleet/item_rules.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief How values of the store are compared across its eras; pure.
+ * @brief How values of the store's keys are compared across its eras; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_ITEM_RULES_HPP
 #define COURSEJUNCTION_FLEET_ITEM_RULES_HPP
@@ -12,17 +12,18 @@
 namespace coursejunction
 {
 
-/*! @brief What is known of keys that others write. */
+/*! @brief Rules for values that other programs write. */
 struct item_rules
 {
-    /*! @brief Returns a value's place in its writer's own order. */
+    /*! @brief Returns a value's order among the values of its key, as its
+     * writer numbers them; `item_order{}` if it has none. */
     std::function<item_order(const std::string& key,
                              const std::string& payload)>
         order;
 
-    /*! @brief Tells whether a value stands that a store which came back from
-     * an older copy lacks, until its writer writes it again. */
-    std::function<bool(const std::string& key)> stands;
+    /*! @brief Tells whether a known value stays valid after a rollback of the
+     * store that lost it, until its writer writes the key again. */
+    std::function<bool(const std::string& key)> survives_rollback;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/store_outage.hpp
+++ b/src/coursejunction/fleet/store_outage.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Remembers outages of the platform's store; pure.
+ * @brief Detects outages of the platform's store; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_STORE_OUTAGE_HPP
 #define COURSEJUNCTION_FLEET_STORE_OUTAGE_HPP
@@ -11,44 +11,47 @@
 namespace coursejunction
 {
 
-/*! @brief Records of upstreams may lapse while the store is away and are back
- * soon after its return. A single failed call, or a history that is gone, is no
- * such outage: what is missing after it has really left. */
+/*! @brief Upstreams cannot renew their records during an outage of the store;
+ * records that expired then come back soon after it ends. A single failed call,
+ * or a watch from a position whose history the store has dropped, is no outage:
+ * what is missing after it has really been removed. */
 class store_outage
 {
 public:
-    /*! @brief Failures for at least this long are an outage; a record lapses
-     * after three heartbeats, of which the first may be due at once. */
-    static constexpr milliseconds least{1000};
-
-    /*! @brief After its return the store counts as unsettled for this long;
-     * the platform's rules count nothing against us for as long. */
-    static constexpr milliseconds settling{3000};
-
-    /*! @brief A call failed. */
-    void failed(time_point now)
+    /*! @brief Calls must fail for at least this long to count as an outage. A
+     * record expires after three missed renewals by its upstream, of which the
+     * first may be due at once. */
+    static constexpr milliseconds min_duration{1000};
+
+    /*! @brief For this long after an outage missing records may still come
+     * back. The platform does not count failed requests of the installation
+     * during the same time. */
+    static constexpr milliseconds settle_time{3000};
+
+    /*! @brief Records a failed call. */
+    void record_failure(time_point now)
     {
-        if (!began)
-            began = now;
+        if (!failing_since)
+            failing_since = now;
     }
 
-    /*! @brief A call was answered. */
-    void answered(time_point now)
+    /*! @brief Records an answered call, which ends an outage. */
+    void record_success(time_point now)
     {
-        if (began && now - *began >= least)
-            ended = now;
-        began.reset();
+        if (failing_since && now - *failing_since >= min_duration)
+            ended_at = now;
+        failing_since.reset();
     }
 
-    /*! @brief Tells whether an outage ended just now. */
-    [[nodiscard]] bool returned(time_point now) const
+    /*! @brief Tells whether an outage ended less than `settle_time` ago. */
+    [[nodiscard]] bool recently_ended(time_point now) const
     {
-        return ended && now - *ended < settling;
+        return ended_at && now - *ended_at < settle_time;
     }
 
 private:
-    std::optional<time_point> began;
-    std::optional<time_point> ended;
+    std::optional<time_point> failing_since;
+    std::optional<time_point> ended_at;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/store_reader.hpp
+++ b/src/coursejunction/fleet/store_reader.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Reads the platform's store for this process's mirror.
+ * @brief Reads the platform's store into this process's mirror.
  */
 #ifndef COURSEJUNCTION_FLEET_STORE_READER_HPP
 #define COURSEJUNCTION_FLEET_STORE_READER_HPP
@@ -12,7 +12,7 @@
 
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/core/result.hpp"
-#include "coursejunction/fleet/fetch_turn.hpp"
+#include "coursejunction/fleet/fetch_schedule.hpp"
 #include "coursejunction/fleet/store_mirror.hpp"
 #include "coursejunction/fleet/store_outage.hpp"
 #include "coursejunction/net/event_loop.hpp"
@@ -21,15 +21,16 @@
 namespace coursejunction
 {
 
-/*! @brief Keys that a store showed, as of a position; all of its era. */
+/*! @brief Keys read from the store; all positions are of the same era. */
 struct store_page
 {
     store_mirror::items items;
     store_position position;
 };
 
-/*! @brief Reads the platform's store; answers come on the loop's thread. An
- * error `not_found` of a watch says that its history is gone. */
+/*! @brief Client of the platform's store. The callbacks run on the event loop's
+ * thread. A watch fails with `not_found` if the store no longer has the history
+ * after the given revision. */
 template <typename Store>
 concept Readable_store = requires(Store& store, std::uint64_t after,
                                   milliseconds wait,
@@ -37,106 +38,114 @@
 {
     store.list(done);
     store.watch(after, wait, done);
-    store.cancel(); /*!< Ends the call under way; it is not answered. */
-    /*! Time that a connection takes; zero when not known. */
+    store.cancel(); /*!< Cancels the pending call; its callback is not run. */
+    /*! Time to open a connection; zero if unknown. */
     {
         store.distance()
         } -> std::convertible_to<std::chrono::microseconds>;
 };
 
-/*! @brief What a `store_reader` needs of its process. */
+/*! @brief Callbacks of a `store_reader`. */
 struct store_reader_hooks
 {
-    /*! @brief Whether this process is among those that read the store. */
-    std::function<bool()> wanted;
-    /*! @brief Changes came, or the whole store. */
-    std::function<void(const store_page&, bool whole)> took;
-    std::function<void()> begun; /*!< Reads for its hall from now on. */
+    /*! @brief Tells whether this process should watch the store. */
+    std::function<bool()> should_watch;
+    /*! @brief Receives changes, or all keys if `whole`. */
+    std::function<void(const store_page&, bool whole)> page_received;
+    std::function<void()> started; /*!< A call on behalf of the hall begins. */
 };
 
-/*! @brief Watches the store. It goes on after the position of the mirror,
- * whoever brought it that far: the whole store is listed only by a process that
- * knows nothing, whose revision the store has forgotten, or whose watch brings
- * more than a listing would.
+/*! @brief Watches the store. Each watch continues from the position of the
+ * mirror, whether it got there from the store or from peers. All keys are
+ * listed only if the mirror is empty, if the store has dropped the history
+ * after the mirror's position, or if a watch returns more than a listing would.
  * @tparam Store A `Readable_store`. */
 template <typename Store>
 class store_reader
 {
 public:
-    /*! @brief How long one watch waits. A watch that hangs on a dead
-     * connection is noticed this late, and a change has 2 s to be in force
-     * once the store has been calm for 3 s. */
+    /*! @brief How long one watch waits for a change. A watch on a dead
+     * connection is noticed only after this time, and a change must take effect
+     * within 2 s once the store has been available for 3 s. */
     static constexpr milliseconds watch_wait{1500};
 
-    /*! @brief How long the first watch waits, so that one that gets through
-     * tells so at once. */
+    /*! @brief How long the first watch waits, so that a reachable store is
+     * noticed at once. */
     static constexpr milliseconds probe_wait{100};
 
-    /*! @brief Pause between two watches, so that changes that come together
-     * cost one call; a leaving upstream has 2 s. */
+    /*! @brief Pause between two watches, so that changes in quick succession
+     * cost one call. It is short since a leaving upstream is gone after 2 s. */
     static constexpr milliseconds watch_pause{100};
 
-    /*! @brief Longest answer of a watch beyond its wait. It holds every value
-     * that was written since: after some twenty changes of 2 MB it filled a
-     * link of 24 Mbit/s for 15 s. A listing holds the last ones only. */
-    static constexpr milliseconds slow_watch{1200};
+    /*! @brief A watch that takes this much longer than its wait is cancelled.
+     * Its answer holds every value written since its start: after some twenty
+     * changes of 2 MB it filled a 24 Mbit/s link for 15 s. A listing holds only
+     * the last value of each key. */
+    static constexpr milliseconds watch_overrun_limit{1200};
 
-    /*! @brief A listing that lasts this long is given up when peers have told
-     * more meanwhile; otherwise it goes on, however large it is. */
-    static constexpr milliseconds slow_listing{2500};
+    /*! @brief A listing that takes longer is cancelled if the mirror has
+     * advanced from peers meanwhile. Otherwise it continues, however large it
+     * is. */
+    static constexpr milliseconds listing_time_limit{2500};
 
-    /*! @param seed Spreads the pauses of processes that fail together. */
-    store_reader(event_loop& owner, Store& service, metrics& counted,
+    /*! @param seed Seed of the jitter, so that processes that fail together do
+     * not retry together. */
+    store_reader(event_loop& owner, Store& platform_store, metrics& counted,
                  const store_mirror& held, std::uint64_t seed)
-        : loop(owner), store(service), counters(counted), mirror(held),
-          turns(seed)
+        : loop(owner), store(platform_store), counters(counted), mirror(held),
+          schedule(seed)
     {
     }
 
     void start(store_reader_hooks given) { hooks = std::move(given); }
 
-    /*! @brief Begins to read when it is this process's turn. */
-    void consider(const hall_standing& standing, time_point now)
+    /*! @brief Begins to read if it is this process's turn, and cancels a call
+     * that takes too long; called at each regular heartbeat. */
+    void poll(const hall_fetch_state& hall, time_point now)
     {
         if (busy)
-            return give_up_slow(now);
-        turns.lacking(hooks.wanted(), now);
-        if (turns.due(standing, now))
-            begin(standing);
+            return cancel_slow_call(now);
+        schedule.set_needed(hooks.should_watch(), now);
+        if (schedule.due(hall, now))
+            begin(hall);
     }
 
-    /*! @brief Tells whether the store answers and is watched. */
-    [[nodiscard]] bool watching() const noexcept { return up && busy; }
+    /*! @brief Tells whether the store answered the last call and is being
+     * watched. */
+    [[nodiscard]] bool watching() const noexcept { return reachable && busy; }
 
-    /*! @brief Tells whether the whole store is on its way. */
+    /*! @brief Tells whether a listing of all keys is pending. */
     [[nodiscard]] bool fetching() const noexcept { return listing; }
 
-    /*! @brief Tells whether a first call for news only is under way. */
+    /*! @brief Tells whether a first watch is pending and the store has not
+     * answered yet. */
     [[nodiscard]] bool probing() const noexcept
     {
-        return busy && !up && !listing;
+        return busy && !reachable && !listing;
     }
 
-    /*! @brief Returns how often changes may have been missed: only the last
-     * write of each key is seen after a gap. */
-    [[nodiscard]] std::uint64_t gaps() const noexcept { return missed; }
+    /*! @brief Returns how often changes may have been missed: after a gap only
+     * the last write of each key is seen. */
+    [[nodiscard]] std::uint64_t gaps() const noexcept { return gap_count; }
 
-    /*! @brief Tells whether an outage of the store ended just now. */
-    [[nodiscard]] bool returned(time_point now) const
+    /*! @brief Tells whether an outage of the store ended a moment ago. */
+    [[nodiscard]] bool outage_recently_ended(time_point now) const
     {
-        return outage.returned(now);
+        return outage.recently_ended(now);
     }
 
 private:
-    void begin(const hall_standing& standing)
+    void begin(const hall_fetch_state& hall)
     {
         busy = true;
-        listing = mirror.position() <= forgotten;
-        log::state("store_read_begun",
-                   {{"revision", mirror.position().text()},
-                    {"rank", std::to_string(standing.rank)},
-                    {"failures", std::to_string(turns.failed_in_row())}});
-        hooks.begun();
+        // Also true for an empty mirror: both positions are zero.
+        listing = mirror.position() <= history_gone_until;
+        log::state(
+            "store_read_begun",
+            {{"revision", mirror.position().text()},
+             {"rank", std::to_string(hall.rank)},
+             {"failures", std::to_string(schedule.consecutive_failures())}});
+        hooks.started();
         if (listing)
             list();
         else
@@ -145,51 +154,55 @@
 
     void list()
     {
-        counted_call("list");
+        begin_call("list");
         store.list(
             [this](result<store_page> answer)
             {
                 listing = false;
-                under_way = false;
+                call_pending = false;
                 if (!answer)
-                    return failed("list", answer.error().message);
+                    return record_failure("list", answer.error().message);
                 if (answer.value().position.era < mirror.position().era)
-                    return failed("list", "an earlier era of the store");
-                answered();
-                hooks.took(answer.value(), true);
+                    return record_failure(
+                        "list", "the store answered from an earlier era");
+                record_success();
+                hooks.page_received(answer.value(), true);
                 watch(watch_wait);
             });
     }
 
     void watch(milliseconds wait)
     {
-        waits = wait;
-        counted_call("watch");
+        current_wait = wait;
+        begin_call("watch");
         store.watch(mirror.position().revision, wait,
                     [this](result<store_page> answer)
                     {
-                        under_way = false;
+                        call_pending = false;
                         if (!answer)
-                            return watch_failed(answer.error());
-                        if (answer.value().position.era != called_at.era)
-                            return era_changed(answer.value().position);
-                        answered();
-                        gone_in_row = 0;
-                        hooks.took(answer.value(), false);
-                        watch_on(!answer.value().items.empty());
+                            return on_watch_failed(answer.error());
+                        if (answer.value().position.era != call_position.era)
+                            return on_era_changed(answer.value().position);
+                        record_success();
+                        consecutive_history_losses = 0;
+                        hooks.page_received(answer.value(), false);
+                        continue_watching(!answer.value().items.empty());
                     });
     }
 
-    /*! @brief Watches on, or leaves it to others.
-     * @param changed Whether more changes may follow at once. */
-    void watch_on(bool changed)
+    /*! @brief Begins the next watch, or stops if others watch the store
+     * instead.
+     * @param changed Whether the last watch brought changes, so that more may
+     * follow at once. */
+    void continue_watching(bool changed)
     {
-        if (!hooks.wanted())
+        if (!hooks.should_watch())
         {
-            // Whether the store can be reached when it is wanted again is not
-            // known: others must not count on this process before.
+            // Whether the store can still be reached is unknown when this
+            // process is next to watch it; until then it must not report that
+            // it does.
             busy = false;
-            up = false;
+            reachable = false;
             return;
         }
         if (!changed)
@@ -197,95 +210,102 @@
         pause = loop.after(watch_pause, [this] { watch(watch_wait); });
     }
 
-    /*! @brief The store came back from an older copy: what changed since a
-     * revision of the earlier era says nothing of what it lost. */
-    void era_changed(store_position now_at)
+    /*! @brief Handles a rollback of the store. Changes after a revision of the
+     * earlier era do not show what was lost, so the store is listed anew. */
+    void on_era_changed(store_position new_position)
     {
-        if (now_at.era < called_at.era)
-            return failed("watch", "an earlier era of the store");
-        forgotten = called_at;
-        ++missed;
-        log::warning("store_era_changed",
-                     {{"before", called_at.text()}, {"now", now_at.text()}});
+        if (new_position.era < call_position.era)
+            return record_failure("watch",
+                                  "the store answered from an earlier era");
+        history_gone_until = call_position;
+        ++gap_count;
+        log::warning("store_era_changed", {{"before", call_position.text()},
+                                           {"now", new_position.text()}});
         counters.count("store_eras_total");
         busy = false;
-        up = false;
+        reachable = false;
     }
 
-    void watch_failed(const error& why)
+    void on_watch_failed(const error& why)
     {
         if (why.kind != error_kind::not_found)
-            return failed("watch", why.message);
-        // One of the hall lists the store anew; those whose mirror it brings
-        // past this revision watch on from there.
-        forgotten = mirror.position();
-        ++missed;
-        log::warning("store_history_gone", {{"revision", forgotten.text()}});
+            return record_failure("watch", why.message);
+        // One process of the hall lists the store again. Those whose mirror it
+        // advances beyond this position continue to watch from there.
+        history_gone_until = mirror.position();
+        ++gap_count;
+        log::warning("store_history_gone",
+                     {{"revision", history_gone_until.text()}});
         busy = false;
-        up = false;
-        // The history may be gone again by the end of each listing.
-        if (++gone_in_row > 1)
-            turns.failed(event_loop::now());
+        reachable = false;
+        // The store may drop its history again before each listing ends, so
+        // listings back off.
+        if (++consecutive_history_losses > 1)
+            schedule.record_failure(event_loop::now());
     }
 
-    void failed(const std::string& call, const std::string& why)
+    void record_failure(const std::string& call, const std::string& why)
     {
         const auto now = event_loop::now();
         busy = false;
-        up = false;
-        ++missed;
-        outage.failed(now);
-        turns.failed(now);
+        reachable = false;
+        ++gap_count;
+        outage.record_failure(now);
+        schedule.record_failure(now);
         counters.count("store_failures_total", 1, {{"call", call}});
-        log::warning("store_lost",
-                     {{"call", call},
-                      {"why", why},
-                      {"failures", std::to_string(turns.failed_in_row())},
-                      {"after_ms", std::to_string(age_ms(called, now))},
-                      {"revision", mirror.position().text()}});
+        log::warning(
+            "store_lost",
+            {{"call", call},
+             {"why", why},
+             {"failures", std::to_string(schedule.consecutive_failures())},
+             {"after_ms", std::to_string(elapsed_ms(call_began, now))},
+             {"revision", mirror.position().text()}});
     }
 
-    void answered()
+    void record_success()
     {
-        outage.answered(event_loop::now());
-        turns.succeeded();
-        if (up)
+        outage.record_success(event_loop::now());
+        schedule.record_success();
+        if (reachable)
             return;
-        up = true;
+        reachable = true;
         log::state("store_reached",
                    {{"revision", mirror.position().text()},
                     {"distance_us", std::to_string(distance_us())}});
     }
 
-    /*! @brief Ends a call that costs more than another one: the next turn goes
-     * on from where peers brought the mirror, or lists where they did not. */
-    void give_up_slow(time_point now)
+    /*! @brief Cancels a call that costs more than its alternative. The next
+     * call watches from the position to which peers have advanced the mirror,
+     * or lists all keys if they have not. */
+    void cancel_slow_call(time_point now)
     {
-        const bool told_more = mirror.position() > called_at;
-        const auto limit = listing ? slow_listing : waits + slow_watch;
-        if (!under_way || now - called < limit || (listing && !told_more))
+        const bool mirror_advanced = mirror.position() > call_position;
+        const auto limit =
+            listing ? listing_time_limit : current_wait + watch_overrun_limit;
+        if (!call_pending || now - call_began < limit ||
+            (listing && !mirror_advanced))
             return;
         store.cancel();
-        under_way = false;
+        call_pending = false;
         listing = false;
         busy = false;
-        up = false;
-        if (!told_more)
+        reachable = false;
+        if (!mirror_advanced)
         {
-            forgotten = mirror.position();
-            ++missed;
+            history_gone_until = mirror.position();
+            ++gap_count;
         }
         counters.count("store_calls_given_up_total");
         log::state("store_call_given_up",
-                   {{"began_at", called_at.text()},
+                   {{"began_at", call_position.text()},
                     {"revision", mirror.position().text()}});
     }
 
-    void counted_call(const std::string& call)
+    void begin_call(const std::string& call)
     {
-        called = event_loop::now();
-        called_at = mirror.position();
-        under_way = true;
+        call_began = event_loop::now();
+        call_position = mirror.position();
+        call_pending = true;
         counters.count("store_calls_total", 1, {{"call", call}});
     }
 
@@ -294,7 +314,7 @@
         return std::chrono::microseconds(store.distance()).count();
     }
 
-    static std::int64_t age_ms(time_point from, time_point now)
+    static std::int64_t elapsed_ms(time_point from, time_point now)
     {
         return std::chrono::duration_cast<milliseconds>(now - from).count();
     }
@@ -304,19 +324,24 @@
     metrics& counters;
     const store_mirror& mirror;
     store_reader_hooks hooks;
-    fetch_turn turns;
+    fetch_schedule schedule;
     store_outage outage;
     timer pause;
-    time_point called{};        /*!< When the last call began. */
-    store_position called_at;   /*!< Position at that moment. */
-    milliseconds waits{0};      /*!< What the last watch waits. */
-    bool under_way{false};      /*!< That call has not ended. */
-    store_position forgotten;   /*!< No watch goes on from here or before. */
-    bool up{false};             /*!< The last call was answered. */
-    bool busy{false};           /*!< A call or a pause of the watch runs. */
-    bool listing{false};        /*!< The call lists the whole store. */
-    std::size_t gone_in_row{0}; /*!< Watches whose history was gone. */
-    std::uint64_t missed{0};    /*!< Gaps in what was heard. */
+    time_point call_began{};      /*!< When the last call began. */
+    store_position call_position; /*!< Position of the mirror at that time. */
+    /*! @brief How long the last watch waits for a change. */
+    milliseconds current_wait{0};
+    bool call_pending{false}; /*!< The last call has not ended. */
+    /*! @brief Up to here the store has no history; no watch may continue from
+     * such a position. */
+    store_position history_gone_until;
+    bool reachable{false}; /*!< The last call was answered. */
+    /*! @brief A call or the pause between two watches is pending. */
+    bool busy{false};
+    bool listing{false}; /*!< The pending call lists all keys. */
+    /*! @brief Consecutive watches whose history was gone. */
+    std::size_t consecutive_history_losses{0};
+    std::uint64_t gap_count{0}; /*!< How often changes may have been missed. */
 };
 
 } // namespace coursejunction
--- a/tests/fleet/peer_directory.cpp
+++ b/tests/fleet/peer_directory.cpp
@@ -5,40 +5,40 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("peers are named, heard and forgotten", "[fleet]")
+SCENARIO("peers are added, heard and removed", "[fleet]")
 {
     cj::peer_directory peers;
     cj::time_point now{100s};
     peers.add_seed("10.0.0.1", now);
     peers.add_side("10.0.0.2", cj::hall_id("a"), now);
-    cj::message::fleet_heartbeat beat;
-    beat.incarnation = 7;
-    beat.sequence = 3;
+    cj::message::fleet_heartbeat heartbeat;
+    heartbeat.incarnation = 7;
+    heartbeat.sequence = 3;
 
     CHECK_FALSE(peers.alive("10.0.0.2", now));
-    CHECK(peers.record_heartbeat("10.0.0.2", beat, now));
+    CHECK(peers.record_heartbeat("10.0.0.2", heartbeat, now));
     CHECK(peers.alive("10.0.0.2", now));
 
-    WHEN("a heartbeat comes twice or late")
+    WHEN("a heartbeat arrives twice or out of order")
     {
-        CHECK_FALSE(peers.record_heartbeat("10.0.0.2", beat, now));
-        beat.sequence = 2;
-        CHECK_FALSE(peers.record_heartbeat("10.0.0.2", beat, now));
+        CHECK_FALSE(peers.record_heartbeat("10.0.0.2", heartbeat, now));
+        heartbeat.sequence = 2;
+        CHECK_FALSE(peers.record_heartbeat("10.0.0.2", heartbeat, now));
     }
-    WHEN("the peer starts again")
+    WHEN("the peer restarts")
     {
-        beat.incarnation = 8;
-        beat.sequence = 1;
-        THEN("its count begins anew")
+        heartbeat.incarnation = 8;
+        heartbeat.sequence = 1;
+        THEN("its sequence numbers start again")
         {
-            CHECK(peers.record_heartbeat("10.0.0.2", beat, now));
+            CHECK(peers.record_heartbeat("10.0.0.2", heartbeat, now));
         }
     }
-    WHEN("nobody names it for long")
+    WHEN("nobody gives its address for a long time")
     {
         now += 30s;
         peers.expire(now);
-        THEN("it is forgotten, a seed is not")
+        THEN("it is removed, a seed is not")
         {
             CHECK(peers.find("10.0.0.2") == nullptr);
             CHECK(peers.find("10.0.0.1") != nullptr);
@@ -46,141 +46,143 @@
     }
 }
 
-SCENARIO("a few entries watch the store for all", "[fleet]")
+SCENARIO("a few entries watch the store on behalf of all", "[fleet]")
 {
     cj::peer_directory peers;
     const cj::time_point now{100s};
-    const auto hear = [&](const char* address, bool watching, bool leaving)
+    const auto receive = [&](const char* address, bool watching, bool leaving)
     {
-        cj::message::fleet_heartbeat beat;
-        beat.incarnation = 1;
-        beat.sequence = 1;
-        beat.entry = true;
-        beat.watching = watching;
-        beat.leaving = leaving;
-        peers.record_heartbeat(address, beat, now);
+        cj::message::fleet_heartbeat heartbeat;
+        heartbeat.incarnation = 1;
+        heartbeat.sequence = 1;
+        heartbeat.entry = true;
+        heartbeat.watching = watching;
+        heartbeat.leaving = leaving;
+        peers.record_heartbeat(address, heartbeat, now);
     };
-    hear("10.0.0.1", true, false);
-    hear("10.0.0.2", false, false);
-    hear("10.0.0.3", true, true);
-    hear("10.0.0.4", true, false);
+    receive("10.0.0.1", true, false);
+    receive("10.0.0.2", false, false);
+    receive("10.0.0.3", true, true);
+    receive("10.0.0.4", true, false);
 
     CHECK(peers.watchers_before("10.0.0.5", 0, now) == 2);
     CHECK(peers.watchers_before("10.0.0.2", 0, now) == 1);
-    THEN("those that fall silent are replaced")
+    THEN("silent ones no longer count")
     {
         CHECK(peers.watchers_before("10.0.0.5", 0, now + 5s) == 0);
     }
 }
 
-SCENARIO("who was cut off learns that the store was not away", "[fleet]")
+SCENARIO("a process that was cut off learns that the store had no outage",
+         "[fleet]")
 {
     cj::peer_directory peers;
     const cj::time_point now{100s};
-    cj::message::fleet_heartbeat beat;
-    beat.incarnation = 1;
-    beat.sequence = 1;
-    beat.entry = true;
-    beat.watching = true;
-    beat.store_returned = true;
-    peers.record_heartbeat("10.0.0.1", beat, now);
+    cj::message::fleet_heartbeat heartbeat;
+    heartbeat.incarnation = 1;
+    heartbeat.sequence = 1;
+    heartbeat.entry = true;
+    heartbeat.watching = true;
+    heartbeat.store_returned = true;
+    peers.record_heartbeat("10.0.0.1", heartbeat, now);
 
-    GIVEN("others that saw the same outage")
+    GIVEN("a peer that saw the same outage")
     {
-        CHECK_FALSE(peers.steady_watcher(now));
+        CHECK_FALSE(peers.has_undisturbed_watcher(now));
     }
-    GIVEN("one that watched all the while")
+    GIVEN("one that watched without interruption")
     {
-        beat.store_returned = false;
-        peers.record_heartbeat("10.0.0.2", beat, now);
-        CHECK(peers.steady_watcher(now));
-        THEN("but not when it is silent itself")
+        heartbeat.store_returned = false;
+        peers.record_heartbeat("10.0.0.2", heartbeat, now);
+        CHECK(peers.has_undisturbed_watcher(now));
+        THEN("it does not count once it is silent")
         {
-            CHECK_FALSE(peers.steady_watcher(now + 5s));
+            CHECK_FALSE(peers.has_undisturbed_watcher(now + 5s));
         }
     }
 }
 
-SCENARIO("a process knows where it stands in its hall", "[fleet]")
+SCENARIO("a process knows its rank in the hall and who is ahead", "[fleet]")
 {
     cj::peer_directory peers;
     const cj::time_point now{100s};
     const cj::hall_id hall("a");
-    cj::message::fleet_heartbeat beat;
-    beat.incarnation = 1;
-    const auto hear = [&](const char* address, const char* where, bool entry)
+    cj::message::fleet_heartbeat heartbeat;
+    heartbeat.incarnation = 1;
+    const auto receive =
+        [&](const char* address, const char* hall_name, bool entry)
     {
-        ++beat.sequence;
-        beat.hall = where;
-        beat.entry = entry;
-        peers.record_heartbeat(address, beat, now);
+        ++heartbeat.sequence;
+        heartbeat.hall = hall_name;
+        heartbeat.entry = entry;
+        peers.record_heartbeat(address, heartbeat, now);
     };
-    hear("10.0.0.1", "a", true);
-    hear("10.0.0.5", "a", true);
-    hear("10.0.0.2", "a", false);
-    hear("10.0.0.0", "b", true);
+    receive("10.0.0.1", "a", true);
+    receive("10.0.0.5", "a", true);
+    receive("10.0.0.2", "a", false);
+    receive("10.0.0.0", "b", true);
 
-    CHECK(peers.standing("10.0.0.3", hall, true, now).rank == 1);
-    CHECK(peers.standing("10.0.0.3", hall, false, now).rank == 3);
-    CHECK(peers.standing("10.0.0.3", hall, true, now).fetching == 0);
+    CHECK(peers.fetch_state("10.0.0.3", hall, true, now).rank == 1);
+    CHECK(peers.fetch_state("10.0.0.3", hall, false, now).rank == 3);
+    CHECK(peers.fetch_state("10.0.0.3", hall, true, now).fetching == 0);
 
     WHEN("one of the hall fetches")
     {
-        beat.fetching = true;
-        hear("10.0.0.5", "a", true);
-        THEN("the others know, those of other halls don't count")
+        heartbeat.fetching = true;
+        receive("10.0.0.5", "a", true);
+        THEN("it counts in its own hall only")
         {
-            CHECK(peers.standing("10.0.0.3", hall, true, now).fetching == 1);
-            CHECK(peers.standing("10.0.0.3", cj::hall_id("b"), true, now)
+            CHECK(peers.fetch_state("10.0.0.3", hall, true, now).fetching == 1);
+            CHECK(peers.fetch_state("10.0.0.3", cj::hall_id("b"), true, now)
                       .fetching == 0);
         }
     }
-    WHEN("nobody is heard any more")
+    WHEN("all peers are silent")
     {
-        CHECK(peers.standing("10.0.0.3", hall, false, now + 5s).rank == 0);
+        CHECK(peers.fetch_state("10.0.0.3", hall, false, now + 5s).rank == 0);
     }
-    WHEN("some know more")
+    WHEN("the mirrors of some peers are ahead")
     {
-        beat.mirrored = 9;
-        hear("10.0.0.2", "a", false);
-        hear("10.0.0.0", "b", true);
-        THEN("they are found by hall, and what is older is not")
+        heartbeat.mirrored = 9;
+        receive("10.0.0.2", "a", false);
+        receive("10.0.0.0", "b", true);
+        THEN("they are found by hall, as long as they are ahead")
         {
-            CHECK(peers.ahead_of(8, hall, true, 0, now) == "10.0.0.2");
-            CHECK(peers.ahead_of(8, hall, false, 0, now) == "10.0.0.0");
-            CHECK(peers.ahead_of(9, hall, false, 0, now).empty());
+            CHECK(peers.find_peer_ahead(8, hall, true, 0, now) == "10.0.0.2");
+            CHECK(peers.find_peer_ahead(8, hall, false, 0, now) == "10.0.0.0");
+            CHECK(peers.find_peer_ahead(9, hall, false, 0, now).empty());
         }
-        AND_WHEN("an entry of the hall does, too")
+        AND_WHEN("the mirror of an entry of the hall is ahead, too")
         {
-            hear("10.0.0.1", "a", true);
-            CHECK(peers.ahead_of(8, hall, true, 3, now) == "10.0.0.1");
+            receive("10.0.0.1", "a", true);
+            CHECK(peers.find_peer_ahead(8, hall, true, 3, now) == "10.0.0.1");
         }
     }
 }
 
-SCENARIO("those nearest to the store watch it", "[fleet]")
+SCENARIO("the entries nearest to the store watch it", "[fleet]")
 {
     cj::peer_directory peers;
     const cj::time_point now{100s};
-    cj::message::fleet_heartbeat beat;
-    beat.incarnation = 1;
-    beat.entry = true;
-    beat.watching = true;
-    const auto hear =
+    cj::message::fleet_heartbeat heartbeat;
+    heartbeat.incarnation = 1;
+    heartbeat.entry = true;
+    heartbeat.watching = true;
+    const auto receive =
         [&](const char* address, const char* hall, std::uint32_t distance)
     {
-        ++beat.sequence;
-        beat.hall = hall;
-        beat.store_distance = distance;
-        peers.record_heartbeat(address, beat, now);
+        ++heartbeat.sequence;
+        heartbeat.hall = hall;
+        heartbeat.store_distance = distance;
+        peers.record_heartbeat(address, heartbeat, now);
     };
-    hear("10.0.0.1", "far", 5600);
-    hear("10.0.0.9", "near", 300);
+    receive("10.0.0.1", "far", 5600);
+    receive("10.0.0.9", "near", 300);
 
     CHECK(peers.watchers_before("10.0.0.5", 5700, now) == 2);
     CHECK(peers.watchers_before("10.0.0.5", 400, now) == 0);
     CHECK(peers.watchers_before("10.0.0.10", 400, now) == 0);
     CHECK(peers.watchers_before("10.0.0.99", 400, now) == 1);
-    CHECK(peers.store_distance(cj::hall_id("near"), now) == 300);
-    CHECK(peers.store_distance(cj::hall_id("other"), now) == 0);
+    CHECK(peers.store_distance_us(cj::hall_id("near"), now) == 300);
+    CHECK(peers.store_distance_us(cj::hall_id("other"), now) == 0);
 }
