--- a/src/coursejunction/proxy/crash_guard.cpp
+++ b/src/coursejunction/proxy/crash_guard.cpp
@@ -8,180 +8,188 @@
 namespace coursejunction
 {
 
-crash_guard::crash_guard(stream_client& carrier, metrics& counted,
-                         quarantine_callback call)
-    : client(carrier), counters(counted), quarantined(std::move(call))
+crash_guard::crash_guard(stream_client& upstream_client, metrics& counted,
+                         quarantine_callback callback)
+    : client(upstream_client), counters(counted),
+      quarantined(std::move(callback))
 {
 }
 
-void crash_guard::on_news(news_callback call)
+void crash_guard::on_records_changed(change_callback callback)
 {
-    news = std::move(call);
+    records_changed = std::move(callback);
 }
 
-void crash_guard::on_keep(keep_callback call)
+void crash_guard::on_persist(persist_callback callback)
 {
-    kept = std::move(call);
+    persist_record = std::move(callback);
 }
 
-void crash_guard::owns_trials(trial_owner call)
+void crash_guard::set_trial_owner(trial_owner predicate)
 {
-    owns = std::move(call);
+    owns_trials = std::move(predicate);
 }
 
-crash_standing crash_guard::standing(const request_content& what,
-                                     time_point now) const
+crash_standing crash_guard::status(const request_content& content,
+                                   time_point now) const
 {
-    return ledger.standing(what, now);
+    return ledger.standing(content, now);
 }
 
-std::size_t crash_guard::most_running(const request_content& what,
-                                      time_point now) const
+std::size_t crash_guard::max_running(const request_content& content,
+                                     time_point now) const
 {
-    const bool tries_it =
-        ledger.standing(what, now) == crash_standing::on_trial && tries(what);
-    return ledger.most_running(what, tries_it, now);
+    const bool owns_trial =
+        ledger.standing(content, now) == crash_standing::on_trial &&
+        runs_trials(content);
+    return ledger.most_running(content, owns_trial, now);
 }
 
-bool crash_guard::looking_into(const request_content& what,
-                               time_point now) const
+bool crash_guard::has_unexplained_loss(const request_content& content,
+                                       time_point now) const
 {
-    return witness.waits(what, now);
+    return tracker.waits(content, now);
 }
 
-bool crash_guard::suspect(const request_content& what, time_point now) const
+bool crash_guard::is_suspect(const request_content& content,
+                             time_point now) const
 {
-    return ledger.standing(what, now) != crash_standing::clear ||
-           looking_into(what, now);
+    return ledger.standing(content, now) != crash_standing::clear ||
+           has_unexplained_loss(content, now);
 }
 
-milliseconds crash_guard::left(const request_content& what,
-                               time_point now) const
+milliseconds crash_guard::quarantine_left(const request_content& content,
+                                          time_point now) const
 {
-    return ledger.left(what, now);
+    return ledger.left(content, now);
 }
 
-void crash_guard::lost(lost_attempt one, time_point now)
+void crash_guard::attempt_lost(lost_attempt attempt, time_point now)
 {
-    const auto upstream = one.upstream;
-    const auto address = one.address;
-    if (witness.lost(std::move(one), now))
-        look_at(upstream, address);
+    const auto upstream = attempt.upstream;
+    const auto address = attempt.address;
+    if (tracker.lost(std::move(attempt), now))
+        probe_upstream(upstream, address);
 }
 
-void crash_guard::ended(const instance_id& upstream, const std::string& why)
+void crash_guard::upstream_crashed(const instance_id& upstream,
+                                   const std::string& why)
 {
-    accuse(witness.ended(upstream, end_proof::seen, event_loop::now()),
-           upstream, why);
+    record_crash(tracker.ended(upstream, end_proof::seen, event_loop::now()),
+                 upstream, why);
 }
 
-void crash_guard::record_gone(const instance_id& upstream)
+void crash_guard::record_expired(const instance_id& upstream)
 {
-    accuse(witness.ended(upstream, end_proof::record_gone, event_loop::now()),
-           upstream, "its record is gone");
-    if (const auto address = witness.address_of(upstream))
-        look_at(upstream, *address);
+    record_crash(
+        tracker.ended(upstream, end_proof::record_gone, event_loop::now()),
+        upstream, "its record is gone");
+    if (const auto address = tracker.address_of(upstream))
+        probe_upstream(upstream, *address);
 }
 
-void crash_guard::address_taken(const instance_id& by,
-                                const std::string& address)
+void crash_guard::address_reassigned(const instance_id& upstream,
+                                     const std::string& address)
 {
-    while (const auto other = witness.before(by, address))
-        ended(*other, "its address belongs to another one");
+    while (const auto previous = tracker.before(upstream, address))
+        upstream_crashed(*previous, "its address belongs to another one");
 }
 
-void crash_guard::look_at(const instance_id& upstream,
-                          const std::string& address)
+void crash_guard::probe_upstream(const instance_id& upstream,
+                                 const std::string& address)
 {
     client.probe(address,
                  [this, upstream](bool refused)
                  {
                      if (refused)
-                         ended(upstream, "its address refuses connections");
+                         upstream_crashed(upstream,
+                                          "its address refuses connections");
                  });
 }
 
-void crash_guard::accuse(const std::vector<crash_accusation>& accused,
-                         const instance_id& upstream, const std::string& why)
+void crash_guard::record_crash(const std::vector<crash_accusation>& reports,
+                               const instance_id& upstream,
+                               const std::string& why)
 {
-    if (accused.empty())
+    if (reports.empty())
         return;
     const auto now = event_loop::now();
     counters.count("upstreams_ended_under_requests_total");
     log::warning("upstream_ended",
                  {{"upstream", upstream.value()},
                   {"why", why},
-                  {"requests", std::to_string(accused.size())}});
-    for (const auto& one : accused)
+                  {"requests", std::to_string(reports.size())}});
+    for (const auto& report : reports)
     {
-        if (!ledger.accuse(one.content, one.end, one.evidence, now))
+        if (!ledger.accuse(report.content, report.end, report.evidence, now))
             continue;
-        note_quarantine(one.content, "upstreams ended under it here");
-        keep(one.content);
+        begin_quarantine(report.content, "upstreams ended under it here");
+        persist(report.content);
     }
-    if (news)
-        news();
+    if (records_changed)
+        records_changed();
 }
 
-void crash_guard::answered(const request_content& what)
+void crash_guard::record_response(const request_content& content)
 {
-    if (ledger.answered(what, event_loop::now()))
-        cleared(what, "request_cleared");
+    if (ledger.answered(content, event_loop::now()))
+        end_quarantine(content, "request_cleared");
 }
 
-void crash_guard::take(const std::vector<message::crash_record>& told,
-                       const std::string& from)
+void crash_guard::merge_records(
+    const std::vector<message::crash_record>& received, const std::string& from)
 {
     const auto now = event_loop::now();
-    for (const auto& one : told)
+    for (const auto& record : received)
     {
-        if (!ledger.merge(one, now))
+        if (!ledger.merge(record, now))
             continue;
-        note_quarantine(one.content, "told by " + from);
-        if (tries(one.content))
-            keep(one.content);
+        begin_quarantine(record.content, "told by " + from);
+        if (runs_trials(record.content))
+            persist(record.content);
     }
 }
 
-void crash_guard::restore(const message::crash_record& kept_before)
+void crash_guard::restore_quarantine(const message::crash_record& stored)
 {
-    if (ledger.merge(kept_before, event_loop::now()))
-        note_quarantine(kept_before.content, "kept in the store");
+    if (ledger.merge(stored, event_loop::now()))
+        begin_quarantine(stored.content, "kept in the store");
 }
 
-bool crash_guard::tries(const request_content& what) const
+bool crash_guard::runs_trials(const request_content& content) const
 {
-    return !owns || owns(what);
+    return !owns_trials || owns_trials(content);
 }
 
-std::vector<message::crash_record> crash_guard::told()
+std::vector<message::crash_record> crash_guard::collect_updates()
 {
     return ledger.news(crash_ledger::most_told, event_loop::now());
 }
 
-bool crash_guard::lift_quarantine(const request_content& what)
+bool crash_guard::lift_quarantine(const request_content& content)
 {
-    if (!ledger.lift(what, event_loop::now()))
+    if (!ledger.lift(content, event_loop::now()))
         return false;
-    cleared(what, "quarantine_lifted");
+    end_quarantine(content, "quarantine_lifted");
     return true;
 }
 
-void crash_guard::cleared(const request_content& what, const std::string& event)
+void crash_guard::end_quarantine(const request_content& content,
+                                 const std::string& event)
 {
-    log::state(event, {{"content", what.hex()}});
-    if (kept)
-        kept(what, nullptr);
-    if (news)
-        news();
+    log::state(event, {{"content", content.hex()}});
+    if (persist_record)
+        persist_record(content, nullptr);
+    if (records_changed)
+        records_changed();
 }
 
-void crash_guard::keep(const request_content& what)
+void crash_guard::persist(const request_content& content)
 {
-    if (!kept)
+    if (!persist_record)
         return;
-    const auto record = ledger.record(what, event_loop::now());
-    kept(what, &record);
+    const auto record = ledger.record(content, event_loop::now());
+    persist_record(content, &record);
 }
 
 void crash_guard::tick(time_point now)
@@ -193,13 +201,13 @@
                  static_cast<double>(ledger.all().size()));
 }
 
-void crash_guard::note_quarantine(const request_content& what,
-                                  const std::string& why)
+void crash_guard::begin_quarantine(const request_content& content,
+                                   const std::string& why)
 {
     counters.count("quarantines_total");
     log::warning("request_quarantined",
-                 {{"content", what.hex()}, {"why", why}});
-    quarantined(what);
+                 {{"content", content.hex()}, {"why", why}});
+    quarantined(content);
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/exchange.hpp
+++ b/src/coursejunction/proxy/exchange.hpp
@@ -24,12 +24,12 @@
 {
 
 /*! @brief How far a failed attempt got. */
-enum class attempt_reach : std::uint8_t
+enum class attempt_failure : std::uint8_t
 {
-    not_sent,    /*!< No byte was written: it never arrived. */
-    not_run,     /*!< The upstream says that it did not run it. */
-    answered,    /*!< It ran, and the answer tells of a failure. */
-    may_have_run /*!< Nothing proves that it did not run. */
+    not_sent,       /*!< No byte was written: it never arrived. */
+    not_run,        /*!< The upstream says that it did not run it. */
+    error_response, /*!< It ran, and the answer tells of a failure. */
+    may_have_run    /*!< Nothing proves that it did not run. */
 };
 
 /*! @brief A request from its arrival to its final answer, with the attempt in
@@ -37,43 +37,43 @@
 struct exchange
 {
     std::uint64_t number{0};
-    time_point arrived{};
-    time_point ends{};
-    caller_request asked;
+    time_point arrived_at{};
+    time_point deadline{};
+    caller_request decoded;
     stream_request original;
     stream_reply reply;
-    std::shared_ptr<const installation> rules;
+    std::shared_ptr<const installation> configuration;
     const route_rule* route{nullptr};
     service_name service;
-    std::optional<organisation_id> owner;
+    std::optional<organisation_id> organisation;
     request_content content;
     request_fingerprint fingerprint;
-    arrival_standing standing;
-    timer limit;
+    arrival_standing arrival;
+    timer deadline_timer;
 
     // The attempt in progress.
     stream_client::call_id call{0};
-    std::uint64_t attempt{0};
-    upstream_choice at;
-    time_point sent{};
+    std::uint64_t attempt_id{0};
+    upstream_choice choice;
+    time_point sent_at{};
     time_point failed_at{};
-    stream_head head;
-    std::string body;
-    timer silence;
-    bool progressed{false};
+    stream_head response_head;
+    std::string response_body;
+    timer silence_timer;
+    bool has_events{false};
     bool in_flight{false}; /*!< An attempt is with an upstream. */
-    bool trial{false};     /*!< It shows whether its content ends upstreams. */
+    bool is_trial{false};  /*!< It shows whether its content ends upstreams. */
 
     // An upstream's own failure, passed on when no other attempt is left.
-    std::optional<stream_head> own_failure;
-    std::string own_failure_body;
-    bool answered_failure{false}; /*!< The last attempt ended so. */
+    std::optional<stream_head> error_response_head;
+    std::string error_response_body;
+    bool upstream_errored{false}; /*!< The last attempt ended so. */
 
-    std::vector<instance_id> tried;
-    std::size_t runs{0}; /*!< Attempts that may have run. */
+    std::vector<instance_id> tried_upstreams;
+    std::size_t possible_runs{0}; /*!< Attempts that may have run. */
     event_splitter events;
-    bool streaming{false}; /*!< The caller has our head. */
-    bool in_queue{false};
+    bool response_begun{false}; /*!< The caller has our head. */
+    bool queued{false};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -18,72 +18,82 @@
 
 /*! @brief Returns what is asked and by whom: by the organisation, or by the
  * key where the configuration names no owner. */
-[[nodiscard]] inline request_content content_of(const exchange& one)
+[[nodiscard]] inline request_content content_of(const exchange& request)
 {
-    const std::string caller =
-        one.owner ? one.owner->value() : one.asked.api_key.value_or("");
-    return request_content::of(caller, one.original.target, one.original.body);
+    const std::string caller = request.organisation
+                                   ? request.organisation->value()
+                                   : request.decoded.api_key.value_or("");
+    return request_content::of(caller, request.original.target,
+                               request.original.body);
 }
 
 /*! @brief Returns by what a caller is known when it comes back: its later
  * try repeats all but the id and what is left of the deadline. */
-[[nodiscard]] inline request_fingerprint fingerprint_of(const exchange& one)
+[[nodiscard]] inline request_fingerprint fingerprint_of(const exchange& request)
 {
-    const auto& asked = one.asked;
+    const auto& decoded = request.decoded;
     return request_fingerprint(
-        stable_hash(one.content.hex() + asked.prompt_parts + "/" +
-                    std::to_string(asked.prompt_tokens) + "/" +
-                    std::to_string(asked.max_output_tokens) + "/" +
-                    std::to_string(asked.expected_output_tokens)));
+        stable_hash(request.content.hex() + decoded.prompt_parts + "/" +
+                    std::to_string(decoded.prompt_tokens) + "/" +
+                    std::to_string(decoded.max_output_tokens) + "/" +
+                    std::to_string(decoded.expected_output_tokens)));
 }
 
 /*! @brief Tells whether a status says that the configuration does not allow
  * a request. A caller believes that and does not come back, so an entry
  * that knows its configuration to be old says instead that it cannot tell.
  */
-[[nodiscard]] inline bool denies(int status)
+[[nodiscard]] inline bool is_denial(int status)
 {
     return status == 404 || status == 401;
 }
 
 /*! @brief Returns a request's service; one that the configuration doesn't
  * describe has no engine. */
-[[nodiscard]] inline const service_profile& profile_of(const exchange& one)
+[[nodiscard]] inline const service_profile&
+service_profile_of(const exchange& request)
 {
-    static const service_profile plain{};
-    const auto* found = one.rules->service(one.service);
-    return found != nullptr ? *found : plain;
+    static const service_profile no_engine{};
+    const auto* found = request.configuration->service(request.service);
+    return found != nullptr ? *found : no_engine;
 }
 
-[[nodiscard]] inline waiting_request place_in_line(const exchange& one)
+[[nodiscard]] inline waiting_request queue_entry(const exchange& request)
 {
-    return {one.standing.late,
-            one.arrived - one.standing.past.waited + one.route->target,
-            one.number};
+    return {request.arrival.late,
+            request.arrived_at - request.arrival.past.waited +
+                request.route->target,
+            request.number};
 }
 
-[[nodiscard]] inline bool passes_events(const exchange& one)
+[[nodiscard]] inline bool forwards_events(const exchange& request)
 {
-    return one.route->kind == request_kind::stream && one.head.status == 200;
+    return request.route->kind == request_kind::stream &&
+           request.response_head.status == 200;
 }
 
 /*! @brief Tells whether the request may be sent once more although an
  * attempt may have run. */
-[[nodiscard]] inline bool may_repeat(const exchange& one)
+[[nodiscard]] inline bool may_repeat(const exchange& request)
 {
-    return one.route->repeatable() && one.runs + 1 < one.route->most_upstreams;
+    return request.route->repeatable() &&
+           request.possible_runs + 1 < request.route->most_upstreams;
 }
 
 /*! @brief Returns an attempt that was lost, as evidence against its request.
  * @param life Of the upstream, as it is known. */
-[[nodiscard]] inline lost_attempt
-lost_attempt_of(const exchange& one, const incarnation& life, attempt_loss how)
+[[nodiscard]] inline lost_attempt lost_attempt_of(const exchange& request,
+                                                  const incarnation& life,
+                                                  attempt_loss cause)
 {
-    const auto evidence = one.trial        ? end_evidence::trial
-                          : one.progressed ? end_evidence::weak
-                                           : end_evidence::beginning;
-    const auto end = crash_of(one.at.upstream, life);
-    return {one.at.upstream, one.at.address, {one.content, end, evidence}, how};
+    const auto evidence = request.is_trial     ? end_evidence::trial
+                          : request.has_events ? end_evidence::weak
+                                               : end_evidence::beginning;
+    const auto crash = crash_of(request.choice.upstream, life);
+    return {request.choice.upstream,
+            request.choice.address,
+            {request.content, crash, evidence},
+            cause};
 }
 
 } // namespace coursejunction::exchange_facts
--- a/src/coursejunction/proxy/exchange_log.hpp
+++ b/src/coursejunction/proxy/exchange_log.hpp
@@ -16,7 +16,7 @@
 {
 
 /*! @brief Returns a figure without its fraction. */
-[[nodiscard]] inline std::string whole(double value)
+[[nodiscard]] inline std::string integer_text(double value)
 {
     return std::to_string(static_cast<std::int64_t>(value));
 }
@@ -25,108 +25,115 @@
 [[nodiscard]] inline std::string ms_between(time_point from, time_point to)
 {
     constexpr double ms = 1000;
-    return whole(to_seconds(to - from) * ms);
+    return integer_text(to_seconds(to - from) * ms);
 }
 
 /*! @brief Refused at once, by the configuration or the lack of one. */
-inline void rejected(const exchange& one, int status,
+inline void rejected(const exchange& request, int status,
                      const installation* configuration)
 {
     log::problem("request_rejected",
-                 {{"request", one.asked.id.value()},
+                 {{"request", request.decoded.id.value()},
                   {"status", std::to_string(status)},
                   {"configuration", configuration != nullptr
                                         ? std::to_string(configuration->version)
                                         : "none"},
-                  {"host", one.asked.host},
-                  {"path", one.asked.path}});
+                  {"host", request.decoded.host},
+                  {"path", request.decoded.path}});
 }
 
 /*! @brief Waits for a place. */
-inline void queued(const exchange& one, const no_placement& why)
+inline void enqueued(const exchange& request, const no_placement& reason)
 {
-    log::decision("request_queued", {{"request", one.asked.id.value()},
-                                     {"usable", std::to_string(why.usable)},
-                                     {"least_ms", whole(why.least_ms)}});
+    log::decision("request_queued",
+                  {{"request", request.decoded.id.value()},
+                   {"usable", std::to_string(reason.usable)},
+                   {"least_ms", integer_text(reason.least_ms)}});
 }
 
 /*! @brief Found no place in time. */
-inline void refused(const exchange& one, const no_placement& why,
-                    milliseconds come_back)
+inline void refused(const exchange& request, const no_placement& reason,
+                    milliseconds retry_after)
 {
     log::problem(
         "request_refused",
-        {{"request", one.asked.id.value()},
-         {"content", one.content.hex()},
-         {"route", one.route->name},
-         {"reason", why.opens           ? "all upstreams rest or are limited"
-                    : why.usable == 0   ? "no usable upstream"
-                    : one.standing.late ? "came back late, no place is free"
-                                        : "target would be missed"},
-         {"waited_before_ms", std::to_string(one.standing.past.waited.count())},
-         {"known_by", std::string(evidence_name(one.standing.past.known_by))},
-         {"usable", std::to_string(why.usable)},
-         {"least_ms", whole(why.least_ms)},
-         {"target_ms", std::to_string(one.route->target.count())},
-         {"retry_after_ms", std::to_string(come_back.count())}});
+        {{"request", request.decoded.id.value()},
+         {"content", request.content.hex()},
+         {"route", request.route->name},
+         {"reason", reason.opens           ? "all upstreams rest or are limited"
+                    : reason.usable == 0   ? "no usable upstream"
+                    : request.arrival.late ? "came back late, no place is free"
+                                           : "target would be missed"},
+         {"waited_before_ms",
+          std::to_string(request.arrival.past.waited.count())},
+         {"known_by",
+          std::string(evidence_name(request.arrival.past.known_by))},
+         {"usable", std::to_string(reason.usable)},
+         {"least_ms", integer_text(reason.least_ms)},
+         {"target_ms", std::to_string(request.route->target.count())},
+         {"retry_after_ms", std::to_string(retry_after.count())}});
 }
 
 /*! @brief Not sent on, since upstreams ended under it before. */
-inline void turned_away(const exchange& one, milliseconds left)
+inline void refused_quarantined(const exchange& request, milliseconds left)
 {
     log::problem("request_turned_away",
-                 {{"request", one.asked.id.value()},
-                  {"content", one.content.hex()},
-                  {"route", one.route->name},
+                 {{"request", request.decoded.id.value()},
+                  {"content", request.content.hex()},
+                  {"route", request.route->name},
                   {"reason", "quarantined: upstreams ended under it"},
                   {"quarantine_left_ms", std::to_string(left.count())}});
 }
 
 /*! @brief An attempt goes out, with what the choice was made from. */
-inline void sent(const exchange& one, milliseconds left)
+inline void sent(const exchange& request, milliseconds left)
 {
     log::decision(
         "request_sent",
-        {{"request", one.asked.id.value()},
-         {"content", one.content.hex()},
-         {"upstream", one.at.upstream.value()},
-         {"hall", one.at.hall.value()},
-         {"attempt", std::to_string(one.tried.size())},
-         {"predicted_ms", whole(one.at.predicted_ms)},
-         {"inside", whole(one.at.load.running)},
-         {"unread_tokens", whole(one.at.load.unread_tokens)},
-         {"load_age_ms", whole(one.at.load.age_ms)},
-         {"expected", whole(one.at.load.expected)},
-         {"version", std::to_string(one.at.version)},
+        {{"request", request.decoded.id.value()},
+         {"content", request.content.hex()},
+         {"upstream", request.choice.upstream.value()},
+         {"hall", request.choice.hall.value()},
+         {"attempt", std::to_string(request.tried_upstreams.size())},
+         {"predicted_ms", integer_text(request.choice.predicted_ms)},
+         {"inside", integer_text(request.choice.load.running)},
+         {"unread_tokens", integer_text(request.choice.load.unread_tokens)},
+         {"load_age_ms", integer_text(request.choice.load.age_ms)},
+         {"expected", integer_text(request.choice.load.expected)},
+         {"version", std::to_string(request.choice.version)},
          {"left_ms", std::to_string(left.count())},
-         {"waited_before_ms", std::to_string(one.standing.past.waited.count())},
-         {"known_by", std::string(evidence_name(one.standing.past.known_by))}});
+         {"waited_before_ms",
+          std::to_string(request.arrival.past.waited.count())},
+         {"known_by",
+          std::string(evidence_name(request.arrival.past.known_by))}});
 }
 
 /*! @brief The first event of an attempt came; of a stream that goes on, the
  * gap since the last attempt failed. */
-inline void first_event(const exchange& one, time_point now)
+inline void first_event(const exchange& request, time_point now)
 {
-    if (!one.streaming)
-        return log::decision("first_event",
-                             {{"request", one.asked.id.value()},
-                              {"upstream", one.at.upstream.value()},
-                              {"predicted_ms", whole(one.at.predicted_ms)},
-                              {"seen_ms", ms_between(one.sent, now)}});
+    if (!request.response_begun)
+        return log::decision(
+            "first_event",
+            {{"request", request.decoded.id.value()},
+             {"upstream", request.choice.upstream.value()},
+             {"predicted_ms", integer_text(request.choice.predicted_ms)},
+             {"seen_ms", ms_between(request.sent_at, now)}});
     log::decision("stream_resumed",
-                  {{"request", one.asked.id.value()},
-                   {"upstream", one.at.upstream.value()},
-                   {"predicted_ms", whole(one.at.predicted_ms)},
-                   {"gap_ms", ms_between(one.failed_at, now)}});
+                  {{"request", request.decoded.id.value()},
+                   {"upstream", request.choice.upstream.value()},
+                   {"predicted_ms", integer_text(request.choice.predicted_ms)},
+                   {"gap_ms", ms_between(request.failed_at, now)}});
 }
 
 /*! @brief An upstream said something of itself in an answer. */
-inline void noticed(const exchange& one, const upstream_notice& notice)
+inline void notice_received(const exchange& request,
+                            const upstream_notice& notice)
 {
     log::state("upstream_notice",
-               {{"request", one.asked.id.value()},
-                {"upstream", one.at.upstream.value()},
-                {"status", std::to_string(one.head.status)},
+               {{"request", request.decoded.id.value()},
+                {"upstream", request.choice.upstream.value()},
+                {"status", std::to_string(request.response_head.status)},
                 {"leaving", notice.leaving ? "true" : "false"},
                 {"rest_ms",
                  notice.rest ? std::to_string(notice.rest->count()) : "none"},
@@ -138,59 +145,59 @@
 }
 
 /*! @brief The terms on which an upstream takes requests changed. */
-inline void terms_changed(const known_upstream& one, time_point now)
+inline void terms_changed(const known_upstream& upstream, time_point now)
 {
-    const auto& limit = one.terms.limit();
-    log::state(
-        "upstream_terms",
-        {{"upstream", one.record.id.value()},
-         {"told_by", one.terms.told_by()},
-         {"leaving", one.leaving() ? "true" : "false"},
-         {"rest_ms", ms_between(now, std::max(now, one.terms.rest_ends()))},
-         {"requests_per_second",
-          limit ? std::to_string(limit->per_second()) : "unlimited"}});
+    const auto& limit = upstream.terms.limit();
+    log::state("upstream_terms",
+               {{"upstream", upstream.record.id.value()},
+                {"told_by", upstream.terms.told_by()},
+                {"leaving", upstream.leaving() ? "true" : "false"},
+                {"rest_ms",
+                 ms_between(now, std::max(now, upstream.terms.rest_ends()))},
+                {"requests_per_second",
+                 limit ? std::to_string(limit->per_second()) : "unlimited"}});
 }
 
 /*! @brief An attempt failed. */
-inline void attempt_failed(const exchange& one, const std::string& why,
+inline void attempt_failed(const exchange& request, const std::string& why,
                            bool may_have_run, bool sent_again, time_point now)
 {
     log::problem("attempt_failed",
-                 {{"request", one.asked.id.value()},
-                  {"content", one.content.hex()},
-                  {"upstream", one.at.upstream.value()},
+                 {{"request", request.decoded.id.value()},
+                  {"content", request.content.hex()},
+                  {"upstream", request.choice.upstream.value()},
                   {"why", why},
-                  {"events", std::to_string(one.events.size())},
+                  {"events", std::to_string(request.events.size())},
                   {"may_have_run", may_have_run ? "true" : "false"},
                   {"sent_again", sent_again ? "true" : "false"},
-                  {"after_ms", ms_between(one.sent, now)}});
+                  {"after_ms", ms_between(request.sent_at, now)}});
 }
 
 /*! @brief An upstream's answer was passed on. */
-inline void answered(const exchange& one, const std::string& how,
+inline void answered(const exchange& request, const std::string& how,
                      time_point now)
 {
     log::decision("request_answered",
-                  {{"request", one.asked.id.value()},
-                   {"upstream", one.at.upstream.value()},
-                   {"status", std::to_string(one.head.status)},
+                  {{"request", request.decoded.id.value()},
+                   {"upstream", request.choice.upstream.value()},
+                   {"status", std::to_string(request.response_head.status)},
                    {"outcome", how},
-                   {"events", std::to_string(one.events.size())},
-                   {"took_ms", ms_between(one.arrived, now)}});
+                   {"events", std::to_string(request.events.size())},
+                   {"took_ms", ms_between(request.arrived_at, now)}});
 }
 
 /*! @brief The request ended without an upstream's answer. */
-inline void failed(const exchange& one, std::string_view outcome,
+inline void failed(const exchange& request, std::string_view outcome,
                    const std::string& why, time_point now)
 {
     log::problem("request_failed",
-                 {{"request", one.asked.id.value()},
+                 {{"request", request.decoded.id.value()},
                   {"outcome", std::string(outcome)},
                   {"why", why},
-                  {"attempts", std::to_string(one.tried.size())},
-                  {"upstream", one.at.upstream.value()},
-                  {"events", std::to_string(one.events.size())},
-                  {"took_ms", ms_between(one.arrived, now)}});
+                  {"attempts", std::to_string(request.tried_upstreams.size())},
+                  {"upstream", request.choice.upstream.value()},
+                  {"events", std::to_string(request.events.size())},
+                  {"took_ms", ms_between(request.arrived_at, now)}});
 }
 
 } // namespace coursejunction::exchange_log
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -45,33 +45,36 @@
 class exchange_service
 {
 public:
-    exchange_service(event_loop& owner, stream_client& carrier,
-                     upstream_book& known, metrics& counted, placer choice,
-                     exchange_options set)
-        : loop(owner), client(carrier), book(known), counters(counted),
-          decisions(known, std::move(choice), set.dispatch), options(set),
-          crashes(carrier, counted,
-                  [this](const request_content& what) { quarantined(what); }),
-          intake(known, counted), budgets(set)
+    exchange_service(event_loop& owner, stream_client& upstream_client,
+                     upstream_book& upstreams, metrics& counted,
+                     placer placement, exchange_options set)
+        : loop(owner), client(upstream_client), book(upstreams),
+          counters(counted),
+          decisions(upstreams, std::move(placement), set.dispatch),
+          options(set), guard(upstream_client, counted,
+                              [this](const request_content& content)
+                              { on_quarantined(content); }),
+          intake(upstreams, counted), budgets(set)
     {
-        ticking = loop.every(options.tick, [this] { tick(); });
+        queue_timer = loop.every(options.queue_poll_interval,
+                                 [this] { place_waiting(); });
     }
 
     /*! @brief Puts a configuration into force. */
     void configure(std::shared_ptr<const installation> next)
     {
-        current = std::move(next);
-        decisions.configure(*current);
+        configuration = std::move(next);
+        decisions.configure(*configuration);
     }
 
     /*! @brief Returns the bounds on versions, to be kept up by the owner. */
     [[nodiscard]] version_floor& floors() { return floor; }
 
     /*! @brief Returns what is known of requests that crash upstreams. */
-    [[nodiscard]] crash_guard& crashing() { return crashes; }
+    [[nodiscard]] crash_guard& crashes() { return guard; }
 
     /*! @brief Tells how many entries share the upstreams. */
-    void entries(std::size_t count) { budgets.entries(count); }
+    void set_entry_count(std::size_t count) { budgets.set_entry_count(count); }
 
     /*! @brief Returns what callers ask of the engines here. */
     [[nodiscard]] request_rates rates(time_point now) const
@@ -80,29 +83,30 @@
     }
 
     /*! @brief Tells what callers ask of the engines at all other entries. */
-    void elsewhere(const request_rates& told, time_point now)
+    void set_other_entries_rates(const request_rates& reported, time_point now)
     {
-        decisions.elsewhere(told, now);
+        decisions.elsewhere(reported, now);
     }
 
     /*! @brief Returns callers sent away that other entries were not told of,
      * and takes them for told. */
-    [[nodiscard]] std::vector<refused_try> news_of_refusals(std::size_t most)
+    [[nodiscard]] std::vector<refused_try>
+    take_unsent_refusals(std::size_t max_count)
     {
-        return decisions.news_of_refusals(most);
+        return decisions.news_of_refusals(max_count);
     }
 
     /*! @brief Sets what is called while other entries were not told of some. It
      * is called soon: some callers come back without a pause. */
-    void on_refusals(std::function<void()> call)
+    void on_unsent_refusals(std::function<void()> callback)
     {
-        tell_refusals = std::move(call);
+        refusals_callback = std::move(callback);
     }
 
     /*! @brief Takes in that another entry sent a caller away. */
-    void sent_away_elsewhere(const refused_try& one, time_point now)
+    void record_remote_refusal(const refused_try& refusal, time_point now)
     {
-        decisions.sent_away_elsewhere(one, now);
+        decisions.sent_away_elsewhere(refusal, now);
     }
 
     /*! @brief Forgets callers that have left; called now and then. */
@@ -110,16 +114,18 @@
 
     /*! @brief Tells whether an engine takes new requests: those that do are
      * divided between the entries. */
-    [[nodiscard]] bool takes_new(const known_upstream& one,
-                                 time_point now) const
+    [[nodiscard]] bool accepts_new_requests(const known_upstream& upstream,
+                                            time_point now) const
     {
         const auto* service =
-            current ? current->service(one.record.service) : nullptr;
-        if (service == nullptr || !service->engine || one.leaving() ||
-            !one.status || !one.status->open || !one.status->reachable)
+            configuration ? configuration->service(upstream.record.service)
+                          : nullptr;
+        if (service == nullptr || !service->engine || upstream.leaving() ||
+            !upstream.status || !upstream.status->open ||
+            !upstream.status->reachable)
             return false;
-        const auto& told = *one.status;
-        return told.version >= floor.least(told.model, now);
+        const auto& status = *upstream.status;
+        return status.version >= floor.least(status.model, now);
     }
 
     /*! @brief Returns what takes in what upstreams say of themselves. */
@@ -127,376 +133,408 @@
 
     /*! @brief Tells whether others have known a newer state for long: what the
      * configuration here does not allow may be allowed by then. */
-    void outdated(bool is) { rules_outdated = is; }
+    void set_configuration_outdated(bool outdated)
+    {
+        configuration_outdated = outdated;
+    }
 
     /*! @brief Takes a request. */
-    void request(stream_request from, stream_reply reply)
+    void handle_request(stream_request from, stream_reply reply)
     {
         const auto number = ++last_number;
-        auto one = std::make_shared<exchange>();
-        one->number = number;
-        one->arrived = event_loop::now();
-        one->asked = Codec::decode_request(from);
-        one->original = std::move(from);
-        one->reply = std::move(reply);
+        auto request = std::make_shared<exchange>();
+        request->number = number;
+        request->arrived_at = event_loop::now();
+        request->decoded = Codec::decode_request(from);
+        request->original = std::move(from);
+        request->reply = std::move(reply);
         counters.count("requests_total");
-        const auto refused = admit(*one);
+        const auto refused = admit(*request);
         if (refused != 0)
-            return reject(*one,
-                          rules_outdated && exchange_facts::denies(refused)
-                              ? 503
-                              : refused);
-        open.add(one);
-        one->reply.on_left([this, number] { left(number); });
-        arm_limit(*one);
-        place(*one);
+            return reject(*request, configuration_outdated &&
+                                            exchange_facts::is_denial(refused)
+                                        ? 503
+                                        : refused);
+        open_requests.add(request);
+        request->reply.on_left([this, number] { on_caller_left(number); });
+        arm_deadline_timer(*request);
+        place(*request);
     }
 
     /*! @brief An upstream has started again: connections to its earlier life
      * are dead, and what went there may have run and is not answered any more.
      */
-    void life_ended(const ended_life& life)
+    void upstream_restarted(const ended_life& restarted)
     {
-        client.forget(life.address);
-        const auto& attempts = life.attempts;
-        const auto lost = [&](const exchange& one)
+        client.forget(restarted.address);
+        const auto& attempts = restarted.attempts;
+        const auto was_lost = [&](const exchange& request)
         {
-            return std::find(attempts.begin(), attempts.end(), one.attempt) !=
-                   attempts.end();
+            return std::find(attempts.begin(), attempts.end(),
+                             request.attempt_id) != attempts.end();
         };
-        for (const auto number : open.numbers_of(lost))
-            open.with(number,
-                      [&](exchange& one)
-                      {
-                          client.cancel(one.call);
-                          crashes.lost(
-                              exchange_facts::lost_attempt_of(
-                                  one, life.life, attempt_loss::closed),
-                              event_loop::now());
-                          failed(one, attempt_reach::may_have_run,
-                                 "upstream has started again");
-                      });
-        crashes.ended(life.upstream, "it has started again");
+        for (const auto number : open_requests.numbers_of(was_lost))
+            open_requests.with(
+                number,
+                [&](exchange& request)
+                {
+                    client.cancel(request.call);
+                    guard.attempt_lost(
+                        exchange_facts::lost_attempt_of(request, restarted.life,
+                                                        attempt_loss::closed),
+                        event_loop::now());
+                    on_attempt_failed(request, attempt_failure::may_have_run,
+                                      "upstream has started again");
+                });
+        guard.upstream_crashed(restarted.upstream, "it has started again");
     }
 
     /*! @brief Looks at waiting requests again: an upstream may be free. */
-    void tick()
+    void place_waiting()
     {
         for (const auto number : waiting.numbers())
-            open.with(number, [this](exchange& one) { place(one); });
-        if (tell_refusals && decisions.has_news_of_refusals())
-            tell_refusals();
+            open_requests.with(number,
+                               [this](exchange& request) { place(request); });
+        if (refusals_callback && decisions.has_news_of_refusals())
+            refusals_callback();
     }
 
     /*! @brief Returns how many requests are open. */
-    [[nodiscard]] std::size_t size() const { return open.size(); }
+    [[nodiscard]] std::size_t size() const { return open_requests.size(); }
 
     /*! @brief Returns how many requests wait for a place. */
-    [[nodiscard]] std::size_t queued() const { return waiting.size(); }
+    [[nodiscard]] std::size_t queued_count() const { return waiting.size(); }
 
 private:
     // --- Admission -------------------------------------------------------
 
     /*! @brief Returns 0, or the status with which the request is refused. */
-    int admit(exchange& one)
+    int admit(exchange& request)
     {
-        if (!current)
+        if (!configuration)
             return 503;
-        one.rules = current;
-        one.route = one.rules->route(one.asked.host, one.asked.path);
-        if (one.route == nullptr)
+        request.configuration = configuration;
+        request.route = request.configuration->route(request.decoded.host,
+                                                     request.decoded.path);
+        if (request.route == nullptr)
             return 404;
-        if (one.rules->keyed && !one.route->open)
+        if (request.configuration->keyed && !request.route->open)
         {
-            const auto* owner = one.asked.api_key
-                                    ? one.rules->owner(*one.asked.api_key)
-                                    : nullptr;
+            const auto* owner =
+                request.decoded.api_key
+                    ? request.configuration->owner(*request.decoded.api_key)
+                    : nullptr;
             if (owner == nullptr)
                 return 401;
-            one.owner = owner->id;
+            request.organisation = owner->id;
         }
-        if (one.asked.id.empty())
+        if (request.decoded.id.empty())
             return 400;
-        one.content = exchange_facts::content_of(one);
-        one.fingerprint = exchange_facts::fingerprint_of(one);
-        const auto hash = std::hash<std::string>{}(one.asked.id.value());
-        const auto* service = service_for(*one.route, hash);
+        request.content = exchange_facts::content_of(request);
+        request.fingerprint = exchange_facts::fingerprint_of(request);
+        const auto hash = std::hash<std::string>{}(request.decoded.id.value());
+        const auto* service = service_for(*request.route, hash);
         if (service == nullptr)
             return 503;
-        one.service = *service;
-        one.ends = one.arrived + one.route->timeout;
-        if (one.asked.deadline)
-            one.ends = std::min<time_point>(one.ends,
-                                            one.arrived + *one.asked.deadline);
-        budgets.of(one.service).request(one.arrived);
-        one.standing =
-            decisions.arrived(*one.route, exchange_facts::profile_of(one),
-                              one.fingerprint, one.asked.deadline, one.arrived);
-        if (one.standing.returned())
+        request.service = *service;
+        request.deadline = request.arrived_at + request.route->timeout;
+        if (request.decoded.deadline)
+            request.deadline = std::min<time_point>(
+                request.deadline,
+                request.arrived_at + *request.decoded.deadline);
+        budgets.of(request.service).request(request.arrived_at);
+        request.arrival = decisions.arrived(
+            *request.route, exchange_facts::service_profile_of(request),
+            request.fingerprint, request.decoded.deadline, request.arrived_at);
+        if (request.arrival.returned())
             counters.count("requests_returned_total", 1,
                            {{"known_by", std::string(evidence_name(
-                                             one.standing.past.known_by))}});
+                                             request.arrival.past.known_by))}});
         return 0;
     }
 
-    void reject(exchange& one, int status)
+    void reject(exchange& request, int status)
     {
         counters.count("requests_refused_total", 1,
                        {{"status", std::to_string(status)}});
-        exchange_log::rejected(one, status, current.get());
+        exchange_log::rejected(request, status, configuration.get());
         constexpr milliseconds soon{500};
-        one.reply.send(
+        request.reply.send(
             status,
             status == 503 ? Codec::refusal_headers(soon) : header_list{}, "");
     }
 
-    void arm_limit(exchange& one)
+    void arm_deadline_timer(exchange& request)
     {
-        one.limit =
-            loop.after(one.ends - one.arrived,
-                       [this, number = one.number] { limit_reached(number); });
+        request.deadline_timer = loop.after(
+            request.deadline - request.arrived_at,
+            [this, number = request.number] { on_deadline(number); });
     }
 
     // --- Placement -------------------------------------------------------
 
-    void place(exchange& one)
+    void place(exchange& request)
     {
         const auto now = event_loop::now();
         // After a suspension its time may have run out before its timer has.
-        if (now >= one.ends)
-            return limit_reached(one.number);
-        if (one.runs > 0 && now - one.failed_at < options.verdict_time &&
-            crashes.looking_into(one.content, now))
-            return queue(one, {});
-        if (!may_run_beside_copies(one, now))
+        if (now >= request.deadline)
+            return on_deadline(request.number);
+        if (request.possible_runs > 0 &&
+            now - request.failed_at < options.crash_probe_time &&
+            guard.has_unexplained_loss(request.content, now))
+            return enqueue(request, {});
+        if (!passes_crash_guard(request, now))
             return;
-        const auto what = decisions.decide(exchange_facts::profile_of(one),
-                                           placement_of(one, now), now);
-        if (const auto* to = std::get_if<send_to>(&what))
-            return send(one, *to);
-        if (const auto* waits = std::get_if<wait_for_place>(&what))
-            return queue(one, waits->why);
-        if (one.runs > 0)
-            return give_up(one, "no other upstream takes it");
-        refuse(one, std::get<refuse_request>(what));
+        const auto decision =
+            decisions.decide(exchange_facts::service_profile_of(request),
+                             make_placement_request(request, now), now);
+        if (const auto* target = std::get_if<send_to>(&decision))
+            return start_attempt(request, *target);
+        if (const auto* waits = std::get_if<wait_for_place>(&decision))
+            return enqueue(request, waits->why);
+        if (request.possible_runs > 0)
+            return give_up(request, "no other upstream takes it");
+        refuse(request, std::get<refuse_request>(decision));
     }
 
     /*! @brief Upstreams that end under a request get few copies of it. Sent on
      * without an end, one request ended 47 upstreams in 16 s.
      * @return Whether it may be placed now; otherwise it waits or is answered.
      */
-    bool may_run_beside_copies(exchange& one, time_point now)
+    bool passes_crash_guard(exchange& request, time_point now)
     {
-        const auto standing = crashes.standing(one.content, now);
-        one.trial = standing == crash_standing::on_trial;
-        if (standing == crash_standing::clear)
+        const auto status = guard.status(request.content, now);
+        request.is_trial = status == crash_standing::on_trial;
+        if (status == crash_standing::clear)
             return true;
-        const auto most = crashes.most_running(one.content, now);
+        const auto max_running = guard.max_running(request.content, now);
         // A trial is one attempt: that it failed may be all it was to show.
-        if (most == 0 || (one.trial && one.runs > 0))
+        if (max_running == 0 || (request.is_trial && request.possible_runs > 0))
         {
-            turn_away(one, now);
+            refuse_quarantined(request, now);
             return false;
         }
-        if (open.copies_running(one) < most)
+        if (open_requests.running_copies(request) < max_running)
             return true;
-        wait_for_run(one, now);
+        queue_suspect(request, now);
         return false;
     }
 
     /*! @brief Enough upstreams ended under a request, whoever sent it on. */
-    void turn_away(exchange& one, time_point now)
+    void refuse_quarantined(exchange& request, time_point now)
     {
         counters.count("requests_turned_away_total");
-        if (one.runs > 0)
-            return give_up(one, quarantine_reason);
-        const auto left =
-            std::max(crashes.left(one.content, now), options.trial_time);
-        exchange_log::turned_away(one, left);
-        send_refusal(one, left);
+        if (request.possible_runs > 0)
+            return give_up(request, quarantine_reason);
+        const auto left = std::max(guard.quarantine_left(request.content, now),
+                                   options.trial_retry_after);
+        exchange_log::refused_quarantined(request, left);
+        send_refusal(request, left);
     }
 
     /*! @brief Returns the upstreams of requests that may be what ended one. The
      * next end then tells which of them it was: together they would all lose
      * a second upstream, as eight requests of a crash did within 0.15 s. */
-    [[nodiscard]] std::vector<instance_id> with_suspects(const exchange& one,
-                                                         time_point now) const
+    [[nodiscard]] std::vector<instance_id>
+    upstreams_of_suspects(const exchange& request, time_point now) const
     {
-        if (!crashes.suspect(one.content, now))
+        if (!guard.is_suspect(request.content, now))
             return {};
-        return open.upstreams_beside(
-            one, [&](const exchange& other)
-            { return crashes.suspect(other.content, now); });
+        return open_requests.upstreams_of_others(
+            request, [&](const exchange& other)
+            { return guard.is_suspect(other.content, now); });
     }
 
     /*! @brief Copies of a request that is doubted run one after the other:
      * each may end an upstream, and the first one tells. */
-    void wait_for_run(exchange& one, time_point now)
+    void queue_suspect(exchange& request, time_point now)
     {
         const no_placement nowhere;
-        if (now - one.arrived < options.doubt_wait || one.runs > 0)
-            return queue(one, nowhere);
-        refuse(one, {nowhere, least_wait()});
+        if (now - request.arrived_at < options.suspect_queue_time ||
+            request.possible_runs > 0)
+            return enqueue(request, nowhere);
+        refuse(request, {nowhere, min_retry_after()});
     }
 
     /*! @brief A request was quarantined: its copies that wait at upstreams are
      * taken back before they begin. One that gives events goes on: its answer
      * would show that the request does no harm. */
-    void quarantined(const request_content& what)
+    void on_quarantined(const request_content& content)
     {
-        const auto waits = [&](const exchange& one)
-        { return one.in_flight && !one.progressed && one.content == what; };
-        for (const auto number : open.numbers_of(waits))
-            open.with(number,
-                      [this](exchange& one)
-                      {
-                          abandon_attempt(one);
-                          ++one.runs;
-                          give_up(one, quarantine_reason);
-                      });
+        const auto waits = [&](const exchange& request)
+        {
+            return request.in_flight && !request.has_events &&
+                   request.content == content;
+        };
+        for (const auto number : open_requests.numbers_of(waits))
+            open_requests.with(number,
+                               [this](exchange& request)
+                               {
+                                   cancel_attempt(request);
+                                   ++request.possible_runs;
+                                   give_up(request, quarantine_reason);
+                               });
     }
 
-    [[nodiscard]] placement_request placement_of(const exchange& one,
-                                                 time_point now) const
+    [[nodiscard]] placement_request
+    make_placement_request(const exchange& request, time_point now) const
     {
         placement_request wanted;
-        wanted.service = one.service;
-        wanted.model = one.asked.model;
-        wanted.prompt = one.asked.prompt_tokens;
-        wanted.target = one.route->target;
-        wanted.standing = one.standing;
-        wanted.since = one.runs > 0 ? one.failed_at : one.arrived;
-        wanted.ends = one.ends;
-        wanted.must = one.streaming;
-        wanted.excluded = one.tried;
-        wanted.apart = with_suspects(one, now);
-        wanted.again = one.answered_failure;
-        if (!one.asked.model.empty())
-            wanted.least_version = floor.least(one.asked.model, now);
+        wanted.service = request.service;
+        wanted.model = request.decoded.model;
+        wanted.prompt = request.decoded.prompt_tokens;
+        wanted.target = request.route->target;
+        wanted.standing = request.arrival;
+        wanted.since =
+            request.possible_runs > 0 ? request.failed_at : request.arrived_at;
+        wanted.ends = request.deadline;
+        wanted.must = request.response_begun;
+        wanted.excluded = request.tried_upstreams;
+        wanted.apart = upstreams_of_suspects(request, now);
+        wanted.again = request.upstream_errored;
+        if (!request.decoded.model.empty())
+            wanted.least_version = floor.least(request.decoded.model, now);
         return wanted;
     }
 
-    void queue(exchange& one, const no_placement& why)
+    void enqueue(exchange& request, const no_placement& why)
     {
-        if (one.in_queue)
+        if (request.queued)
             return;
-        one.in_queue = true;
-        waiting.push(exchange_facts::place_in_line(one));
-        exchange_log::queued(one, why);
+        request.queued = true;
+        waiting.push(exchange_facts::queue_entry(request));
+        exchange_log::enqueued(request, why);
     }
 
-    void refuse(exchange& one, const refuse_request& how)
+    void refuse(exchange& request, const refuse_request& how)
     {
-        exchange_log::refused(one, how.why, how.come_back);
-        send_refusal(one, how.come_back);
+        exchange_log::refused(request, how.why, how.come_back);
+        send_refusal(request, how.come_back);
     }
 
     /*! @brief The final answer of a request that has not run. */
-    void send_refusal(exchange& one, milliseconds come_back)
+    void send_refusal(exchange& request, milliseconds retry_after)
     {
         counters.count("requests_refused_total", 1, {{"status", "503"}});
-        one.reply.send(503, Codec::refusal_headers(come_back), "");
-        remember_caller(one, come_back);
-        forget(one);
+        request.reply.send(503, Codec::refusal_headers(retry_after), "");
+        record_refusal(request, retry_after);
+        erase(request);
     }
 
     /*! @brief The caller may try again: whichever entry of the hall it comes
      * to should know since when it waits. */
-    void remember_caller(const exchange& one, milliseconds come_back)
+    void record_refusal(const exchange& request, milliseconds retry_after)
     {
         const auto now = event_loop::now();
         refused_try made;
-        made.what = one.fingerprint;
-        made.first = one.arrived - one.standing.past.waited;
-        if (one.asked.deadline)
-            made.ends = one.arrived + *one.asked.deadline;
+        made.what = request.fingerprint;
+        made.first = request.arrived_at - request.arrival.past.waited;
+        if (request.decoded.deadline)
+            made.ends = request.arrived_at + *request.decoded.deadline;
         made.refused = now;
-        made.due = now + come_back;
+        made.due = now + retry_after;
         decisions.sent_away(made, now);
     }
 
     // --- One attempt -----------------------------------------------------
 
-    void send(exchange& one, const send_to& to)
+    void start_attempt(exchange& request, const send_to& target)
     {
-        const auto& at = to.at;
+        const auto& choice = target.at;
         const auto now = event_loop::now();
-        leave_queue(one);
-        one.at = at;
-        one.attempt = ++last_attempt;
-        one.sent = now;
-        one.head = {};
-        one.body.clear();
-        one.progressed = false;
-        one.in_flight = true;
-        one.tried.push_back(at.upstream);
-        one.events.drop_rest();
+        dequeue(request);
+        request.choice = choice;
+        request.attempt_id = ++last_attempt_id;
+        request.sent_at = now;
+        request.response_head = {};
+        request.response_body.clear();
+        request.has_events = false;
+        request.in_flight = true;
+        request.tried_upstreams.push_back(choice.upstream);
+        request.events.drop_rest();
         const auto left =
-            std::chrono::duration_cast<milliseconds>(one.ends - now);
-        attempt_metadata facts;
-        facts.upstream = at.upstream;
-        facts.organisation = one.owner;
-        facts.time_left = std::max(left, milliseconds(1));
-        facts.expected_version = at.version;
-        facts.last_event_id = one.events.last_id() ? one.events.last_id()
-                                                   : one.asked.last_event_id;
-        facts.priority = to.rank;
+            std::chrono::duration_cast<milliseconds>(request.deadline - now);
+        attempt_metadata metadata;
+        metadata.upstream = choice.upstream;
+        metadata.organisation = request.organisation;
+        metadata.time_left = std::max(left, milliseconds(1));
+        metadata.expected_version = choice.version;
+        metadata.last_event_id = request.events.last_id()
+                                     ? request.events.last_id()
+                                     : request.decoded.last_event_id;
+        metadata.priority = target.rank;
         stream_call call;
-        call.address = at.address;
-        call.method = one.original.method;
-        call.target = one.original.target;
-        call.headers = Codec::attempt_headers(one.original, facts);
-        call.body = one.original.body;
+        call.address = choice.address;
+        call.method = request.original.method;
+        call.target = request.original.target;
+        call.headers = Codec::attempt_headers(request.original, metadata);
+        call.body = request.original.body;
         // What may run once goes out on a connection that cannot be half dead.
-        call.repeatable = one.route->repeatable() && !ends_soon(one, now);
-        book.begin(at.upstream, one.attempt, one.asked.prompt_tokens, now);
+        call.repeatable =
+            request.route->repeatable() && !weights_expire_soon(request, now);
+        book.begin(choice.upstream, request.attempt_id,
+                   request.decoded.prompt_tokens, now);
         counters.count("attempts_total");
-        exchange_log::sent(one, left);
-        one.call = client.start(std::move(call), callbacks(one.number));
-        arm_silence(one);
+        exchange_log::sent(request, left);
+        request.call =
+            client.start(std::move(call), make_callbacks(request.number));
+        arm_silence_timer(request);
     }
 
     /*! @brief Tells whether the chosen weights soon become too old to begin a
      * request. Such an attempt goes out on a new connection: a link that holds
      * packets up shows in its opening, before anything is sent that would
      * arrive, and begin, too late. */
-    [[nodiscard]] bool ends_soon(const exchange& one, time_point now) const
+    [[nodiscard]] bool weights_expire_soon(const exchange& request,
+                                           time_point now) const
     {
-        const auto ends = floor.ends(one.asked.model, one.at.version);
-        return ends && *ends - now < options.old_weights_notice;
+        const auto ends =
+            floor.ends(request.decoded.model, request.choice.version);
+        return ends && *ends - now < options.old_weights_reconnect_window;
     }
 
-    stream_client::callbacks callbacks(std::uint64_t number)
+    stream_client::callbacks make_callbacks(std::uint64_t number)
     {
-        stream_client::callbacks to;
-        to.head = [this, number](const stream_head& head)
-        { open.with(number, [&](exchange& one) { got_head(one, head); }); };
-        to.data = [this, number](std::string_view bytes)
-        { open.with(number, [&](exchange& one) { got_data(one, bytes); }); };
-        to.ended = [this, number](stream_end how, const std::string& why)
-        { open.with(number, [&](exchange& one) { got_end(one, how, why); }); };
-        return to;
+        stream_client::callbacks handlers;
+        handlers.head = [this, number](const stream_head& head)
+        {
+            open_requests.with(number, [&](exchange& request)
+                               { on_head(request, head); });
+        };
+        handlers.data = [this, number](std::string_view bytes)
+        {
+            open_requests.with(number, [&](exchange& request)
+                               { on_data(request, bytes); });
+        };
+        handlers.ended = [this, number](stream_end how, const std::string& why)
+        {
+            open_requests.with(number, [&](exchange& request)
+                               { on_end(request, how, why); });
+        };
+        return handlers;
     }
 
     /*! @brief Gives a stream's upstream up when it is silent for too long. */
-    void arm_silence(exchange& one)
+    void arm_silence_timer(exchange& request)
     {
-        if (one.route->kind != request_kind::stream || !one.route->resumable)
+        if (request.route->kind != request_kind::stream ||
+            !request.route->resumable)
             return;
-        one.silence = loop.after(
-            one.progressed
+        request.silence_timer = loop.after(
+            request.has_events
                 ? std::chrono::microseconds(options.dispatch.stream_silence)
-                : first_event_limit(one),
-            [this, number = one.number]
+                : first_event_timeout(request),
+            [this, number = request.number]
             {
-                open.with(number,
-                          [&](exchange& found)
-                          {
-                              client.cancel(found.call);
-                              note_lost(found, attempt_loss::silent);
-                              failed(found, attempt_reach::may_have_run,
-                                     "upstream is silent");
-                          });
+                open_requests.with(
+                    number,
+                    [&](exchange& found)
+                    {
+                        client.cancel(found.call);
+                        report_lost_attempt(found, attempt_loss::silent);
+                        on_attempt_failed(found, attempt_failure::may_have_run,
+                                          "upstream is silent");
+                    });
             });
     }
 
@@ -504,293 +542,312 @@
      * times its prediction, and no longer than its weights may begin requests,
      * since it may still stand in a queue when they have become too old. */
     [[nodiscard]] std::chrono::microseconds
-    first_event_limit(const exchange& one) const
+    first_event_timeout(const exchange& request) const
     {
         std::chrono::microseconds limit =
-            milliseconds(static_cast<std::int64_t>(one.at.predicted_ms *
-                                                   options.first_factor)) +
-            options.first_slack;
-        const auto ends = floor.ends(one.asked.model, one.at.version);
+            milliseconds(static_cast<std::int64_t>(
+                request.choice.predicted_ms * options.first_event_factor)) +
+            options.first_event_slack;
+        const auto ends =
+            floor.ends(request.decoded.model, request.choice.version);
         if (ends)
-            limit = std::min(limit, *ends + options.old_weights_grace -
+            limit = std::min(limit, *ends + options.old_weights_cancel_delay -
                                         event_loop::now());
         return std::max(limit, std::chrono::microseconds(0));
     }
 
-    void got_head(exchange& one, const stream_head& head)
+    void on_head(exchange& request, const stream_head& head)
     {
-        one.head = head;
-        const auto facts = Codec::decode_response(head);
-        if (facts.id == one.asked.id || facts.not_run)
-            return intake.heard(one, facts.notice, event_loop::now());
+        request.response_head = head;
+        const auto metadata = Codec::decode_response(head);
+        if (metadata.id == request.decoded.id || metadata.not_run)
+            return intake.apply_notice(request, metadata.notice,
+                                       event_loop::now());
         // The answer to another request: nothing on this connection is ours.
-        client.cancel(one.call);
-        failed(one, attempt_reach::may_have_run,
-               "answer carries another request's id");
+        client.cancel(request.call);
+        on_attempt_failed(request, attempt_failure::may_have_run,
+                          "answer carries another request's id");
     }
 
-    void got_data(exchange& one, std::string_view bytes)
+    void on_data(exchange& request, std::string_view bytes)
     {
-        if (!exchange_facts::passes_events(one))
+        if (!exchange_facts::forwards_events(request))
         {
-            one.body.append(bytes);
+            request.response_body.append(bytes);
             return;
         }
-        const auto events = one.events.take(bytes);
+        const auto events = request.events.take(bytes);
         if (events.empty())
             return;
-        if (!one.progressed)
-            first_event(one);
-        begin_stream(one);
-        one.reply.write(events);
-        arm_silence(one);
+        if (!request.has_events)
+            on_first_event(request);
+        begin_response(request);
+        request.reply.write(events);
+        arm_silence_timer(request);
     }
 
-    void first_event(exchange& one)
+    void on_first_event(exchange& request)
     {
-        one.progressed = true;
-        book.began(one.at.upstream, one.attempt);
+        request.has_events = true;
+        book.began(request.choice.upstream, request.attempt_id);
         const auto now = event_loop::now();
-        const auto took = to_seconds(now - one.sent);
+        const auto took = to_seconds(now - request.sent_at);
         constexpr double ms = 1000;
-        book.seen(one.at.upstream, one.at.uncorrected_ms, took * ms);
+        book.seen(request.choice.upstream, request.choice.uncorrected_ms,
+                  took * ms);
         counters.observe("first_event_seconds", took);
-        exchange_log::first_event(one, now);
+        exchange_log::first_event(request, now);
     }
 
-    void begin_stream(exchange& one)
+    void begin_response(exchange& request)
     {
-        if (one.streaming)
+        if (request.response_begun)
             return;
-        one.streaming = true;
-        one.reply.begin(one.head.status, Codec::response_headers(one.head));
+        request.response_begun = true;
+        request.reply.begin(request.response_head.status,
+                            Codec::response_headers(request.response_head));
     }
 
-    void got_end(exchange& one, stream_end how, const std::string& why)
+    void on_end(exchange& request, stream_end how, const std::string& why)
     {
         if (how == stream_end::closed)
-            note_lost(one, attempt_loss::closed);
+            report_lost_attempt(request, attempt_loss::closed);
         if (how != stream_end::whole)
-            return failed(one,
-                          how == stream_end::not_sent
-                              ? attempt_reach::not_sent
-                              : attempt_reach::may_have_run,
-                          why);
-        const auto facts = Codec::decode_response(one.head);
-        if (facts.not_run)
-            return failed(one, attempt_reach::not_run,
-                          "upstream did not run it (" +
-                              std::to_string(one.head.status) + ")");
-        if (facts.id != one.asked.id)
-            return failed(one, attempt_reach::may_have_run,
-                          "answer carries another request's id");
-        if (exchange_facts::passes_events(one))
-            return finish_stream(one);
-        answered(one);
+            return on_attempt_failed(request,
+                                     how == stream_end::not_sent
+                                         ? attempt_failure::not_sent
+                                         : attempt_failure::may_have_run,
+                                     why);
+        const auto metadata = Codec::decode_response(request.response_head);
+        if (metadata.not_run)
+            return on_attempt_failed(
+                request, attempt_failure::not_run,
+                "upstream did not run it (" +
+                    std::to_string(request.response_head.status) + ")");
+        if (metadata.id != request.decoded.id)
+            return on_attempt_failed(request, attempt_failure::may_have_run,
+                                     "answer carries another request's id");
+        if (exchange_facts::forwards_events(request))
+            return finish_stream(request);
+        on_response(request);
     }
 
     /*! @brief An attempt was lost. An upstream that is leaving may end. */
-    void note_lost(const exchange& one, attempt_loss how)
+    void report_lost_attempt(const exchange& request, attempt_loss cause)
     {
-        const auto* known = book.find(one.at.upstream);
+        const auto* known = book.find(request.choice.upstream);
         if (known != nullptr && known->leaving())
             return;
         const auto life = known != nullptr ? known->life : incarnation{};
-        crashes.lost(exchange_facts::lost_attempt_of(one, life, how),
-                     event_loop::now());
+        guard.attempt_lost(
+            exchange_facts::lost_attempt_of(request, life, cause),
+            event_loop::now());
     }
 
-    void finish_stream(exchange& one)
+    void finish_stream(exchange& request)
     {
-        const auto rest = one.events.rest();
-        begin_stream(one);
-        one.reply.write(rest);
-        one.reply.finish();
-        settle(one, true, "answered");
+        const auto rest = request.events.rest();
+        begin_response(request);
+        request.reply.write(rest);
+        request.reply.finish();
+        complete(request, true, "answered");
     }
 
     /*! @brief A whole answer that is not a stream. */
-    void answered(exchange& one)
+    void on_response(exchange& request)
     {
-        const int status = one.head.status;
+        const int status = request.response_head.status;
         constexpr int server_error = 500;
-        if (status >= server_error && !one.streaming &&
-            exchange_facts::may_repeat(one))
+        if (status >= server_error && !request.response_begun &&
+            exchange_facts::may_repeat(request))
         {
-            one.own_failure = one.head;
-            one.own_failure_body = std::move(one.body);
-            return failed(one, attempt_reach::answered,
-                          "upstream answered " + std::to_string(status));
+            request.error_response_head = request.response_head;
+            request.error_response_body = std::move(request.response_body);
+            return on_attempt_failed(request, attempt_failure::error_response,
+                                     "upstream answered " +
+                                         std::to_string(status));
         }
-        if (one.streaming)
-            return cut(one, "upstream answered " + std::to_string(status) +
-                                " to a stream that goes on");
+        if (request.response_begun)
+            return abort_response(request, "upstream answered " +
+                                               std::to_string(status) +
+                                               " to a stream that goes on");
         // These would promise that the request did not run; only an upstream
         // that says so may be passed on.
         constexpr std::array<int, 4> promises{408, 421, 429, 503};
         if (std::find(promises.begin(), promises.end(), status) !=
             promises.end())
         {
-            one.reply.send(502, {}, "");
-            return settle(one, false,
-                          "upstream answered " + std::to_string(status) +
-                              " without proof that it did not run");
+            request.reply.send(502, {}, "");
+            return complete(request, false,
+                            "upstream answered " + std::to_string(status) +
+                                " without proof that it did not run");
         }
-        one.reply.send(status, Codec::response_headers(one.head), one.body);
-        settle(one, status < server_error, "answered");
+        request.reply.send(status,
+                           Codec::response_headers(request.response_head),
+                           request.response_body);
+        complete(request, status < server_error, "answered");
     }
 
     // --- Failure ---------------------------------------------------------
 
     /*! @brief An attempt failed: it is sent again where that is allowed. */
-    void failed(exchange& one, attempt_reach reach, const std::string& why)
+    void on_attempt_failed(exchange& request, attempt_failure failure,
+                           const std::string& why)
     {
         const auto now = event_loop::now();
-        const bool may_have_run = reach == attempt_reach::may_have_run ||
-                                  reach == attempt_reach::answered;
-        one.silence.stop();
-        one.in_flight = false;
-        one.answered_failure = reach == attempt_reach::answered;
-        book.end(one.at.upstream, one.attempt,
-                 one.answered_failure ? attempt_result::answered_failure
-                                      : attempt_result::failed,
+        const bool may_have_run = failure == attempt_failure::may_have_run ||
+                                  failure == attempt_failure::error_response;
+        request.silence_timer.stop();
+        request.in_flight = false;
+        request.upstream_errored = failure == attempt_failure::error_response;
+        book.end(request.choice.upstream, request.attempt_id,
+                 request.upstream_errored ? attempt_result::answered_failure
+                                          : attempt_result::failed,
                  now);
         counters.count("attempts_failed_total", 1,
                        {{"may_have_run", may_have_run ? "true" : "false"}});
-        const bool again = may_have_run ? exchange_facts::may_repeat(one)
-                                        : one.tried.size() < most_tries;
-        one.failed_at = now;
+        const bool again =
+            may_have_run ? exchange_facts::may_repeat(request)
+                         : request.tried_upstreams.size() < max_total_attempts;
+        request.failed_at = now;
         if (may_have_run)
-            ++one.runs;
+            ++request.possible_runs;
         // What never arrived costs the service nothing.
-        const bool paid = again && (reach == attempt_reach::not_sent ||
-                                    budgets.of(one.service).spend(now));
-        exchange_log::attempt_failed(one, why, may_have_run, paid, now);
+        const bool paid = again && (failure == attempt_failure::not_sent ||
+                                    budgets.of(request.service).spend(now));
+        exchange_log::attempt_failed(request, why, may_have_run, paid, now);
         if (paid)
-            return place(one);
-        give_up(one, again ? "retry budget is spent" : why);
+            return place(request);
+        give_up(request, again ? "retry budget is spent" : why);
     }
 
     /*! @brief Returns when a caller may come back that no overload refused. */
-    [[nodiscard]] milliseconds least_wait() const
+    [[nodiscard]] milliseconds min_retry_after() const
     {
         return options.dispatch.admission.least_retry_after;
     }
 
     /*! @brief No attempt is left: the final answer, at once. */
-    void give_up(exchange& one, const std::string& why)
+    void give_up(exchange& request, const std::string& why)
     {
-        if (one.streaming)
-            return cut(one, why);
-        if (one.own_failure && one.own_failure->status != 503)
+        if (request.response_begun)
+            return abort_response(request, why);
+        if (request.error_response_head &&
+            request.error_response_head->status != 503)
         {
-            one.reply.send(one.own_failure->status,
-                           Codec::response_headers(*one.own_failure),
-                           one.own_failure_body);
-            finish_log(one, "failed", why);
-            return forget(one);
+            request.reply.send(
+                request.error_response_head->status,
+                Codec::response_headers(*request.error_response_head),
+                request.error_response_body);
+            log_failure(request, "failed", why);
+            return erase(request);
         }
-        const bool not_run = one.runs == 0;
-        one.reply.send(
-            not_run ? 503 : 502,
-            not_run ? Codec::refusal_headers(least_wait()) : header_list{}, "");
-        if (not_run || one.route->repeatable())
-            remember_caller(one, not_run ? least_wait() : milliseconds(0));
-        finish_log(one, not_run ? "not run" : "unknown", why);
-        forget(one);
+        const bool not_run = request.possible_runs == 0;
+        request.reply.send(not_run ? 503 : 502,
+                           not_run ? Codec::refusal_headers(min_retry_after())
+                                   : header_list{},
+                           "");
+        if (not_run || request.route->repeatable())
+            record_refusal(request,
+                           not_run ? min_retry_after() : milliseconds(0));
+        log_failure(request, not_run ? "not run" : "unknown", why);
+        erase(request);
     }
 
-    void cut(exchange& one, const std::string& why)
+    void abort_response(exchange& request, const std::string& why)
     {
-        one.reply.cut();
-        finish_log(one, "cut", why);
-        forget(one);
+        request.reply.cut();
+        log_failure(request, "cut", why);
+        erase(request);
     }
 
-    void limit_reached(std::uint64_t number)
+    void on_deadline(std::uint64_t number)
     {
-        open.with(number,
-                  [&](exchange& one)
-                  {
-                      abandon_attempt(one);
-                      if (one.streaming)
-                          return cut(one, "time limit");
-                      const bool not_run = one.tried.empty();
-                      one.reply.send(not_run ? 503 : 504,
-                                     not_run
-                                         ? Codec::refusal_headers(least_wait())
-                                         : header_list{},
-                                     "");
-                      finish_log(one, "late", "time limit");
-                      forget(one);
-                  });
+        open_requests.with(
+            number,
+            [&](exchange& request)
+            {
+                cancel_attempt(request);
+                if (request.response_begun)
+                    return abort_response(request, "time limit");
+                const bool not_run = request.tried_upstreams.empty();
+                request.reply.send(
+                    not_run ? 503 : 504,
+                    not_run ? Codec::refusal_headers(min_retry_after())
+                            : header_list{},
+                    "");
+                log_failure(request, "late", "time limit");
+                erase(request);
+            });
     }
 
-    void left(std::uint64_t number)
+    void on_caller_left(std::uint64_t number)
     {
-        open.with(number,
-                  [&](exchange& one)
-                  {
-                      abandon_attempt(one);
-                      finish_log(one, "cancelled", "caller left");
-                      forget(one);
-                  });
+        open_requests.with(number,
+                           [&](exchange& request)
+                           {
+                               cancel_attempt(request);
+                               log_failure(request, "cancelled", "caller left");
+                               erase(request);
+                           });
     }
 
-    void abandon_attempt(exchange& one)
+    void cancel_attempt(exchange& request)
     {
-        if (one.attempt == 0)
+        if (request.attempt_id == 0)
             return;
-        if (std::exchange(one.in_flight, false))
-            note_lost(one, attempt_loss::withdrawn);
-        client.cancel(one.call);
-        book.withdraw(one.at.upstream, one.attempt);
+        if (std::exchange(request.in_flight, false))
+            report_lost_attempt(request, attempt_loss::withdrawn);
+        client.cancel(request.call);
+        book.withdraw(request.choice.upstream, request.attempt_id);
     }
 
     // --- End -------------------------------------------------------------
 
-    void settle(exchange& one, bool good, const std::string& how)
+    void complete(exchange& request, bool succeeded, const std::string& how)
     {
-        if (good)
-            crashes.answered(one.content);
-        book.end(one.at.upstream, one.attempt,
-                 good ? attempt_result::good : attempt_result::answered_failure,
+        if (succeeded)
+            guard.record_response(request.content);
+        book.end(request.choice.upstream, request.attempt_id,
+                 succeeded ? attempt_result::good
+                           : attempt_result::answered_failure,
                  event_loop::now());
-        counters.count("requests_answered_total", 1,
-                       {{"status", std::to_string(one.head.status)}});
-        exchange_log::answered(one, how, event_loop::now());
-        forget(one);
+        counters.count(
+            "requests_answered_total", 1,
+            {{"status", std::to_string(request.response_head.status)}});
+        exchange_log::answered(request, how, event_loop::now());
+        erase(request);
     }
 
-    void finish_log(exchange& one, std::string_view outcome,
-                    const std::string& why)
+    void log_failure(exchange& request, std::string_view outcome,
+                     const std::string& why)
     {
         counters.count("requests_failed_total", 1,
                        {{"outcome", std::string(outcome)}});
-        exchange_log::failed(one, outcome, why, event_loop::now());
+        exchange_log::failed(request, outcome, why, event_loop::now());
     }
 
-    void leave_queue(exchange& one)
+    void dequeue(exchange& request)
     {
-        if (!one.in_queue)
+        if (!request.queued)
             return;
-        one.in_queue = false;
-        waiting.erase(exchange_facts::place_in_line(one));
+        request.queued = false;
+        waiting.erase(exchange_facts::queue_entry(request));
     }
 
-    void forget(exchange& one)
+    void erase(exchange& request)
     {
-        leave_queue(one);
-        one.limit.stop();
-        one.silence.stop();
-        open.erase(one.number);
+        dequeue(request);
+        request.deadline_timer.stop();
+        request.silence_timer.stop();
+        open_requests.erase(request.number);
     }
 
     static constexpr const char* quarantine_reason =
         "the request is quarantined: upstreams ended under it";
 
     /*! @brief Attempts at most, those that certainly did not run included. */
-    static constexpr std::size_t most_tries = 3;
+    static constexpr std::size_t max_total_attempts = 3;
 
     event_loop& loop;
     stream_client& client;
@@ -798,18 +855,18 @@
     metrics& counters;
     dispatcher decisions;
     exchange_options options;
-    crash_guard crashes;
+    crash_guard guard;
     version_floor floor;
-    std::shared_ptr<const installation> current;
-    open_exchanges open;
+    std::shared_ptr<const installation> configuration;
+    open_exchanges open_requests;
     waiting_line waiting;
     notice_intake intake;
     retry_budgets budgets;
-    std::function<void()> tell_refusals;
+    std::function<void()> refusals_callback;
     std::uint64_t last_number{0};
-    std::uint64_t last_attempt{0};
-    bool rules_outdated{false};
-    timer ticking;
+    std::uint64_t last_attempt_id{0};
+    bool configuration_outdated{false};
+    timer queue_timer;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -76,36 +76,40 @@
         fleet_hooks hooks;
         hooks.changed =
             [this](const std::vector<std::string>& keys, bool store_returned)
-        { changed(keys, store_returned); };
+        { on_keys_changed(keys, store_returned); };
         hooks.overwritten = [this](const message::mirror_item& one)
         { fleet.pass(one, event_loop::now()); };
-        hooks.heard =
-            [this](const std::string& from, const message::fleet_heartbeat& one)
-        { heard(from, one); };
-        hooks.describe = [this](message::fleet_heartbeat& into, chunk_detail)
-        { describe(into); };
-        hooks.crashes = [this] { return exchanges.crashing().told(); };
-        hooks.refusals = [this] { return refusals_told(); };
+        hooks.heard = [this](const std::string& from,
+                             const message::fleet_heartbeat& heartbeat)
+        { on_heartbeat(from, heartbeat); };
+        hooks.describe = [this](message::fleet_heartbeat& heartbeat,
+                                chunk_detail) { fill_heartbeat(heartbeat); };
+        hooks.crashes = [this]
+        { return exchanges.crashes().collect_updates(); };
+        hooks.refusals = [this] { return take_refusals_to_send(); };
         hooks.terms = [this] { return recent_terms(book, event_loop::now()); };
-        exchanges.on_refusals([this] { node.announce_refusals(); });
-        exchanges.crashing().on_news([this] { node.announce_crashes(); });
-        exchanges.crashing().on_keep([this](const request_content& what,
-                                            const message::crash_record* record)
-                                     { keep_quarantine(what, record); });
-        exchanges.crashing().owns_trials([this](const request_content& what)
-                                         { return owns_trials(what); });
+        exchanges.on_unsent_refusals([this] { node.announce_refusals(); });
+        exchanges.crashes().on_records_changed([this]
+                                               { node.announce_crashes(); });
+        exchanges.crashes().on_persist(
+            [this](const request_content& content,
+                   const message::crash_record* record)
+            { persist_quarantine(content, record); });
+        exchanges.crashes().set_trial_owner(
+            [this](const request_content& content)
+            { return owns_trials(content); });
         node.start(std::move(hooks));
-        ticking = loop.every(tick_interval, [this] { tick(); });
+        tick_timer = loop.every(tick_interval, [this] { tick(); });
     }
 
     /*! @brief Begins a planned stop; `done` is called when nothing is open. */
     void stop(std::function<void()> done)
     {
-        if (leaving)
+        if (stopping)
             return;
-        leaving = true;
-        stopped_at = event_loop::now();
-        stopped = std::move(done);
+        stopping = true;
+        stop_began_at = event_loop::now();
+        on_stopped = std::move(done);
         callers->retire();
         log::state("stop_begun",
                    {{"open_requests", std::to_string(exchanges.size())}});
@@ -114,11 +118,11 @@
 
     [[nodiscard]] const fleet_view<Platform>& view() const { return fleet; }
     [[nodiscard]] const upstream_book& upstreams() const { return book; }
-    [[nodiscard]] crash_guard& crashes() { return exchanges.crashing(); }
+    [[nodiscard]] crash_guard& crashes() { return exchanges.crashes(); }
     [[nodiscard]] std::size_t open_requests() const { return exchanges.size(); }
     [[nodiscard]] std::size_t queued_requests() const
     {
-        return exchanges.queued();
+        return exchanges.queued_count();
     }
 
 private:
@@ -127,28 +131,28 @@
 
     /*! @brief After peers have known more for this long, the configuration here
      * counts as old: changes take 0.1 to 0.6 s to come, and 2 s are allowed. */
-    static constexpr milliseconds outdated_time{1000};
+    static constexpr milliseconds outdated_after{1000};
 
     /*! @brief Idle connections are closed this long after a stop began: the
      * balancer asks each second and believes the second miss, so that no new
      * ones come, and every answer since has told its caller to leave. */
-    static constexpr milliseconds idle_notice{2600};
+    static constexpr milliseconds idle_close_delay{2600};
 
     /*! @brief Requests that come later are refused: a stream that begins now
      * may not end before the process must. */
-    static constexpr milliseconds last_taken{2800};
+    static constexpr milliseconds accept_until{2800};
 
     /*! @brief Requests a second that an entry counts for at least: one whose
      * callers have asked nothing yet has a place for the first of them. An
      * engine of the installations ends 4.8 a second. */
-    static constexpr double least_demand{0.5};
+    static constexpr double min_demand{0.5};
 
     /*! @brief Refusals in one heartbeat, so that it fits a packet; more wait
      * for the next tick. */
-    static constexpr std::size_t most_refusals_told = 48;
+    static constexpr std::size_t max_refusals_per_heartbeat = 48;
 
     /*! @brief What is left of the grace when the rest is cut. */
-    static constexpr milliseconds last_moment{250};
+    static constexpr milliseconds forced_stop_margin{250};
 
     gateway(event_loop& owner, node_type& peers, metrics& counted,
             gateway_options set)
@@ -157,26 +161,27 @@
                     placer(options.placement, peers.settings().hall,
                            peers.settings().address),
                     options.exchange),
-          keeper(owner, peers.service(), peers.mirror(), counted,
-                 seed_of(peers)),
-          configurations(owner, peers.service(), peers.mirror(), counted,
-                         seed_of(peers)),
+          quarantines(owner, peers.service(), peers.mirror(), counted,
+                      jitter_seed(peers)),
+          configuration_copies(owner, peers.service(), peers.mirror(), counted,
+                               jitter_seed(peers)),
           versions(owner, peers, fleet, exchanges.floors(), counted,
-                   options.old_weights_grace, seed_of(peers))
+                   options.old_weights_grace, jitter_seed(peers))
     {
     }
 
     /*! @brief Returns a number that differs between entries. */
-    [[nodiscard]] static std::uint32_t seed_of(const node_type& node)
+    [[nodiscard]] static std::uint32_t jitter_seed(const node_type& node)
     {
         return static_cast<std::uint32_t>(stable_hash(node.settings().address));
     }
 
     result<bool> open()
     {
-        auto made = listen(options.listen_address,
-                           [this](stream_request request, stream_reply reply)
-                           { take(std::move(request), std::move(reply)); });
+        auto made =
+            listen(options.listen_address,
+                   [this](stream_request request, stream_reply reply)
+                   { handle_request(std::move(request), std::move(reply)); });
         if (!made)
             return failure(made.error().kind, made.error().message);
         callers = std::move(made.value());
@@ -199,57 +204,58 @@
                                      std::move(call));
     }
 
-    void take(stream_request request, stream_reply reply)
+    void handle_request(stream_request request, stream_reply reply)
     {
-        if (leaving && event_loop::now() - stopped_at >= last_taken)
+        if (stopping && event_loop::now() - stop_began_at >= accept_until)
         {
-            constexpr milliseconds elsewhere{100};
+            constexpr milliseconds retry_after{100};
             counters.count("requests_refused_total", 1, {{"status", "503"}});
             log::problem(
                 "request_refused",
                 {{"request", codec::decode_request(request).id.value()},
                  {"reason", "this entry stops"}});
-            return reply.send(503, codec::refusal_headers(elsewhere), "");
+            return reply.send(503, codec::refusal_headers(retry_after), "");
         }
-        exchanges.request(std::move(request), std::move(reply));
+        exchanges.handle_request(std::move(request), std::move(reply));
     }
 
     /*! @brief Ready means: knows what to do with a request. */
     [[nodiscard]] bool ready() const
     {
-        return !leaving && fleet.rules() != nullptr;
+        return !stopping && fleet.rules() != nullptr;
     }
 
-    /*! @param lapse Whether records that are gone may come back. */
-    void changed(const std::vector<std::string>& keys, bool lapse)
+    /*! @param store_returned Whether records that are gone may come back. */
+    void on_keys_changed(const std::vector<std::string>& keys,
+                         bool store_returned)
     {
         const auto now = event_loop::now();
         const auto* before = fleet.rules();
-        take_quarantines(keys);
+        load_quarantines(keys);
         for (const auto& one : fleet.update(node.mirror(), keys))
         {
             if (one.removed)
-                drop_record(one, lapse, now);
+                remove_upstream(one, store_returned, now);
             else
-                take_record(fleet.upstreams().at(one.id));
+                update_upstream(fleet.upstreams().at(one.id));
             log::state("upstream_changed",
                        {{"upstream", one.id.value()},
                         {"life", std::to_string(one.life.value())},
                         {"removed", one.removed ? "true" : "false"},
-                        {"lapse", lapse ? "true" : "false"}});
+                        {"lapse", store_returned ? "true" : "false"}});
         }
-        versions.read(before == nullptr, now);
+        versions.on_keys_changed(before == nullptr, now);
         if (fleet.rules() != before)
             configure();
         const auto* rules = fleet.rules();
-        configurations.read(keys, rules == nullptr ? 0 : rules->version);
-        name_sides();
+        configuration_copies.read(keys, rules == nullptr ? 0 : rules->version);
+        register_sidecars();
     }
 
     /*! @brief Takes in quarantines that the store keeps. They come with the
      * configuration: an entry that has just started knows them before it takes
      * a request. */
-    void take_quarantines(const std::vector<std::string>& keys)
+    void load_quarantines(const std::vector<std::string>& keys)
     {
         for (const auto& key : keys)
         {
@@ -257,9 +263,9 @@
             if (value == nullptr ||
                 Platform::catalogue::kind(key) != item_kind::quarantine)
                 continue;
-            const auto read = read_quarantine(key, value->payload, wall_ms());
+            const auto read = read_quarantine(key, value->payload, unix_ms());
             if (read)
-                exchanges.crashing().restore(read.value());
+                exchanges.crashes().restore_quarantine(read.value());
             else
                 log::warning("quarantine_unreadable",
                              {{"key", key}, {"why", read.error().message}});
@@ -267,60 +273,62 @@
     }
 
     /*! @param record Nothing where the quarantine is over. */
-    void keep_quarantine(const request_content& what,
-                         const message::crash_record* record)
+    void persist_quarantine(const request_content& content,
+                            const message::crash_record* record)
     {
         if (record != nullptr)
-            keeper.keep(what, quarantine_payload(*record, wall_ms()));
+            quarantines.keep(content, quarantine_payload(*record, unix_ms()));
         else
-            keeper.drop(what);
+            quarantines.drop(content);
     }
 
     /*! @brief Writes quarantines again that the store lost by coming back from
      * an older copy: an entry that starts now would not know them. */
-    void restore_quarantines(std::size_t rank, time_point now)
+    void rewrite_lost_quarantines(std::size_t rank, time_point now)
     {
-        if (!restoring.due(node.mirror().position(), rank, now))
+        if (!quarantine_restores.due(node.mirror().position(), rank, now))
             return;
-        const auto& records = exchanges.crashing().records();
-        for (const auto& [what, one] : records.all())
+        const auto& records = exchanges.crashes().records();
+        for (const auto& [content, history] : records.all())
         {
-            if (records.suspects(what) &&
-                node.mirror().lacks_by_loss(quarantine_key(what)))
-                keeper.restore(what, quarantine_payload(
-                                         records.record(what, now), wall_ms()));
+            if (records.suspects(content) &&
+                node.mirror().lacks_by_loss(quarantine_key(content)))
+                quarantines.restore(
+                    content, quarantine_payload(records.record(content, now),
+                                                unix_ms()));
         }
     }
 
     /*! @brief Returns the Unix time in milliseconds. */
-    [[nodiscard]] static std::int64_t wall_ms()
+    [[nodiscard]] static std::int64_t unix_ms()
     {
         return std::chrono::duration_cast<milliseconds>(
                    std::chrono::system_clock::now().time_since_epoch())
             .count();
     }
 
-    void drop_record(const upstream_change& one, bool lapse, time_point now)
+    void remove_upstream(const upstream_change& one, bool store_returned,
+                         time_point now)
     {
         const auto* known = book.find(one.id);
         const bool expected = known == nullptr || known->leaving();
-        if (!expected && !lapse && !one.malformed)
-            exchanges.crashing().record_gone(one.id);
-        book.remove(one.id, lapse && !one.malformed, now);
+        if (!expected && !store_returned && !one.malformed)
+            exchanges.crashes().record_expired(one.id);
+        book.remove(one.id, store_returned && !one.malformed, now);
     }
 
-    void take_record(const upstream_record& one)
+    void update_upstream(const upstream_record& one)
     {
-        exchanges.crashing().address_taken(one.id, one.address);
+        exchanges.crashes().address_reassigned(one.id, one.address);
         if (const auto ended = book.record(one))
-            exchanges.life_ended(*ended);
+            exchanges.upstream_restarted(*ended);
     }
 
-    void take_status(const std::string& host,
-                     const message::upstream_status& told, time_point at)
+    void update_status(const std::string& host,
+                       const message::upstream_status& told, time_point at)
     {
         for (const auto& one : book.status(host, told, at))
-            exchanges.life_ended(one);
+            exchanges.upstream_restarted(one);
     }
 
     void configure()
@@ -330,7 +338,7 @@
     }
 
     /*! @brief Sides stand beside the upstreams that have an engine. */
-    void name_sides()
+    void register_sidecars()
     {
         const auto* rules = fleet.rules();
         if (rules == nullptr)
@@ -343,41 +351,44 @@
         }
     }
 
-    void heard(const std::string& from, const message::fleet_heartbeat& one)
+    void on_heartbeat(const std::string& from,
+                      const message::fleet_heartbeat& heartbeat)
     {
         const auto now = event_loop::now();
-        for (const auto& told : one.digest.sides)
-            take_status(address_text(told.address), status_in(one.digest, told),
-                        now - milliseconds(told.age_ms));
-        if (one.entry)
+        for (const auto& told : heartbeat.digest.sides)
+            update_status(address_text(told.address),
+                          status_in(heartbeat.digest, told),
+                          now - milliseconds(told.age_ms));
+        if (heartbeat.entry)
         {
-            for (const auto& told : one.refusals)
-                exchanges.sent_away_elsewhere(decode_refusal(told, now), now);
-            for (const auto& told : one.terms)
-                exchanges.notices().told(told, from, now);
-            versions.heard(one.versions, now);
-            return exchanges.crashing().take(one.crashes, from);
+            for (const auto& told : heartbeat.refusals)
+                exchanges.record_remote_refusal(decode_refusal(told, now), now);
+            for (const auto& told : heartbeat.terms)
+                exchanges.notices().apply_reported_terms(told, from, now);
+            versions.merge_reported(heartbeat.versions, now);
+            return exchanges.crashes().merge_records(heartbeat.crashes, from);
         }
-        take_status(from, one.upstream, now);
-        if (exchanges.queued() > 0)
-            exchanges.tick();
+        update_status(from, heartbeat.upstream, now);
+        if (exchanges.queued_count() > 0)
+            exchanges.place_waiting();
     }
 
-    [[nodiscard]] std::vector<message::refused_caller> refusals_told()
+    [[nodiscard]] std::vector<message::refused_caller> take_refusals_to_send()
     {
         const auto now = event_loop::now();
         std::vector<message::refused_caller> told;
-        for (const auto& one : exchanges.news_of_refusals(most_refusals_told))
+        for (const auto& one :
+             exchanges.take_unsent_refusals(max_refusals_per_heartbeat))
             told.push_back(encode_refusal(one, now));
         return told;
     }
 
     /*! @brief All entries agree on the one that runs the trials of a request,
      * by a rendezvous among those that live. */
-    [[nodiscard]] bool owns_trials(const request_content& what) const
+    [[nodiscard]] bool owns_trials(const request_content& content) const
     {
         const auto now = event_loop::now();
-        const auto key = what.hex();
+        const auto key = content.hex();
         const auto own = rendezvous_weight(key, node.settings().address);
         for (const auto& [address, one] : node.peers().all())
         {
@@ -386,27 +397,27 @@
                 rendezvous_weight(key, address) > own)
                 return false;
         }
-        return !leaving;
+        return !stopping;
     }
 
     /*! @brief Adds what this entry's callers ask to a heartbeat, and versions
      * that the store does not show. */
-    void describe(message::fleet_heartbeat& into) const
+    void fill_heartbeat(message::fleet_heartbeat& heartbeat) const
     {
         const auto now = event_loop::now();
         const auto rates = exchanges.rates(now);
-        into.versions = versions.told(now);
-        into.load.asked = static_cast<float>(rates.asked);
-        into.load.refused = static_cast<float>(rates.refused);
-        into.load.demanded = static_cast<float>(rates.demanded);
+        heartbeat.versions = versions.versions_to_report(now);
+        heartbeat.load.asked = static_cast<float>(rates.asked);
+        heartbeat.load.refused = static_cast<float>(rates.refused);
+        heartbeat.load.demanded = static_cast<float>(rates.demanded);
     }
 
     /*! @brief Takes in what the other entries tell of their callers. */
-    void share_engines(time_point now)
+    void divide_engines(time_point now)
     {
         const auto& self = node.settings();
-        std::vector<entry_demand> demands{
-            demand_of(self.hall, self.address, exchanges.rates(now).demanded)};
+        std::vector<entry_demand> demands{make_demand(
+            self.hall, self.address, exchanges.rates(now).demanded)};
         request_rates others;
         for (const auto& [address, one] : node.peers().all())
         {
@@ -415,69 +426,71 @@
                 continue;
             const auto& told = one.last.load;
             demands.push_back(
-                demand_of(hall_id(one.last.hall), address, told.demanded));
+                make_demand(hall_id(one.last.hall), address, told.demanded));
             others.asked += told.asked;
             others.refused += told.refused;
         }
-        exchanges.elsewhere(others, now);
+        exchanges.set_other_entries_rates(others, now);
         // An entry that stops has no share: the others count without it.
-        book.share_limits(leaving ? std::string{} : self.address, demands, now);
+        book.share_limits(stopping ? std::string{} : self.address, demands,
+                          now);
         book.divide(stretch_of(self.address, demands),
                     [&](const known_upstream& one)
-                    { return exchanges.takes_new(one, now); });
+                    { return exchanges.accepts_new_requests(one, now); });
     }
 
     [[nodiscard]] static entry_demand
-    demand_of(const hall_id& hall, const std::string& address, double rate)
+    make_demand(const hall_id& hall, const std::string& address, double demand)
     {
-        return {hall, address, std::max(rate, least_demand)};
+        return {hall, address, std::max(demand, min_demand)};
     }
 
     void tick()
     {
         const auto now = event_loop::now();
         book.expire(now);
-        exchanges.crashing().tick(now);
+        exchanges.crashes().tick(now);
         exchanges.expire(now);
         counters.set("upstream_records_unreadable",
                      static_cast<double>(fleet.unreadable_records()));
         const auto entries = node.peers().entries(now) + 1;
-        exchanges.entries(entries);
-        exchanges.outdated(node.behind_for(now) >= outdated_time);
+        exchanges.set_entry_count(entries);
+        exchanges.set_configuration_outdated(node.behind_for(now) >=
+                                             outdated_after);
         book.entries(entries);
-        share_engines(now);
-        versions.tick(!leaving, now);
-        if (leaving)
-            go_on_stopping(now);
+        divide_engines(now);
+        versions.tick(!stopping, now);
+        if (stopping)
+            continue_stop(now);
         else
-            keep_up(now);
+            restore_lost_keys(now);
     }
 
     /*! @brief Writes what the store lacks. */
-    void keep_up(time_point now)
+    void restore_lost_keys(time_point now)
     {
         const auto rank =
             node.peers().entries_before(node.settings().address, now);
-        restore_quarantines(rank, now);
-        configurations.consider(rank, now);
+        rewrite_lost_quarantines(rank, now);
+        configuration_copies.consider(rank, now);
     }
 
-    void go_on_stopping(time_point now)
+    void continue_stop(time_point now)
     {
-        const auto since = now - stopped_at;
-        if (since >= idle_notice)
+        const auto since = now - stop_began_at;
+        if (since >= idle_close_delay)
             callers->close_idle();
-        const bool idle = since >= idle_notice && callers->size() == 0 &&
+        const bool idle = since >= idle_close_delay && callers->size() == 0 &&
                           exchanges.size() == 0;
-        if (!idle && since < options.stop_grace - last_moment)
+        if (!idle && since < options.stop_grace - forced_stop_margin)
             return;
-        const auto call = std::exchange(stopped, nullptr);
-        if (!call)
+        const auto callback = std::exchange(on_stopped, nullptr);
+        if (!callback)
             return;
         log::state("stop_done",
                    {{"open_requests", std::to_string(exchanges.size())},
                     {"connections", std::to_string(callers->size())}});
-        call();
+        callback();
     }
 
     event_loop& loop;
@@ -487,17 +500,17 @@
     upstream_book book;
     fleet_view<Platform> fleet;
     exchange_service<codec> exchanges;
-    quarantine_keeper<typename Platform::store> keeper;
-    restore_turn restoring;
+    quarantine_keeper<typename Platform::store> quarantines;
+    restore_turn quarantine_restores;
     configuration_keeper<typename Platform::store, typename Platform::catalogue>
-        configurations;
+        configuration_copies;
     version_controller<Platform> versions;
     std::unique_ptr<stream_server> callers;
     std::unique_ptr<stream_server> readiness;
-    std::function<void()> stopped;
-    time_point stopped_at{};
-    bool leaving{false};
-    timer ticking;
+    std::function<void()> on_stopped;
+    time_point stop_began_at{};
+    bool stopping{false};
+    timer tick_timer;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/notice_intake.hpp
+++ b/src/coursejunction/proxy/notice_intake.hpp
@@ -19,34 +19,35 @@
 class notice_intake
 {
 public:
-    notice_intake(upstream_book& known, metrics& counted)
-        : book(known), counters(counted)
+    notice_intake(upstream_book& upstreams, metrics& counted)
+        : book(upstreams), counters(counted)
     {
     }
 
     /*! @brief Takes what an answer says of its upstream. Its head tells it: a
      * stream may end seconds later.
      * @param one The request, with the head of the answer. */
-    void heard(const exchange& one, const upstream_notice& notice,
-               time_point now)
+    void apply_notice(const exchange& request, const upstream_notice& notice,
+                      time_point now)
     {
-        const heard_notice heard{notice, one.sent, succeeded(one.head.status)};
-        if (book.heard(one.at.upstream, heard, now))
-            log_terms(one.at.upstream, now);
+        const heard_notice received{notice, request.sent_at,
+                                    succeeded(request.response_head.status)};
+        if (book.heard(request.choice.upstream, received, now))
+            log_terms(request.choice.upstream, now);
         if (notice.empty())
             return;
         count(notice);
-        exchange_log::noticed(one, notice);
+        exchange_log::notice_received(request, notice);
     }
 
     /*! @brief Takes what an answer told another entry.
      * @param from Address of that entry. */
-    void told(const message::upstream_terms& news, const std::string& from,
-              time_point now)
+    void apply_reported_terms(const message::upstream_terms& reported,
+                              const std::string& from, time_point now)
     {
-        const instance_id id(news.upstream);
-        if (book.told(id, incarnation(news.life), decode_terms(news, now), from,
-                      now))
+        const instance_id id(reported.upstream);
+        if (book.told(id, incarnation(reported.life),
+                      decode_terms(reported, now), from, now))
             log_terms(id, now);
     }
 
@@ -60,15 +61,15 @@
 
     void count(const upstream_notice& notice)
     {
-        const auto add = [this](bool is, const char* kind)
+        const auto count_kind = [this](bool present, const char* kind)
         {
-            if (is)
+            if (present)
                 counters.count("upstream_notices_total", 1, {{"kind", kind}});
         };
-        add(notice.leaving, "leaving");
-        add(notice.rest.has_value(), "rest");
-        add(notice.requests_per_second.has_value(), "limit");
-        add(notice.unreadable, "unreadable");
+        count_kind(notice.leaving, "leaving");
+        count_kind(notice.rest.has_value(), "rest");
+        count_kind(notice.requests_per_second.has_value(), "limit");
+        count_kind(notice.unreadable, "unreadable");
     }
 
     void log_terms(const instance_id& id, time_point now) const
--- a/src/coursejunction/proxy/open_exchanges.hpp
+++ b/src/coursejunction/proxy/open_exchanges.hpp
@@ -22,74 +22,75 @@
 class open_exchanges
 {
 public:
-    void add(std::shared_ptr<exchange> one)
+    void add(std::shared_ptr<exchange> request)
     {
-        const auto number = one->number;
-        all.emplace(number, std::move(one));
+        const auto number = request->number;
+        requests.emplace(number, std::move(request));
     }
 
-    void erase(std::uint64_t number) { all.erase(number); }
+    void erase(std::uint64_t number) { requests.erase(number); }
 
-    [[nodiscard]] std::size_t size() const { return all.size(); }
+    [[nodiscard]] std::size_t size() const { return requests.size(); }
 
     /*! @brief Returns the numbers of the requests that fit. */
     template <typename Predicate>
-    [[nodiscard]] std::vector<std::uint64_t> numbers_of(Predicate fits) const
+    [[nodiscard]] std::vector<std::uint64_t>
+    numbers_of(Predicate predicate) const
     {
         std::vector<std::uint64_t> numbers;
-        for (const auto& [number, one] : all)
+        for (const auto& [number, request] : requests)
         {
-            if (fits(*one))
+            if (predicate(*request))
                 numbers.push_back(number);
         }
         return numbers;
     }
 
     /*! @brief Calls with a request, if it is still open. */
-    template <typename Call>
-    void with(std::uint64_t number, Call call)
+    template <typename Callback>
+    void with(std::uint64_t number, Callback callback)
     {
-        const auto found = all.find(number);
-        if (found == all.end())
+        const auto found = requests.find(number);
+        if (found == requests.end())
             return;
-        const auto held = found->second;
-        call(*held);
+        const auto request = found->second;
+        callback(*request);
     }
 
     /*! @brief Returns how many other copies of a request are with upstreams. */
-    [[nodiscard]] std::size_t copies_running(const exchange& one) const
+    [[nodiscard]] std::size_t running_copies(const exchange& request) const
     {
         return static_cast<std::size_t>(
-            std::count_if(all.begin(), all.end(),
+            std::count_if(requests.begin(), requests.end(),
                           [&](const auto& other)
                           {
-                              return runs_beside(one, *other.second) &&
-                                     other.second->content == one.content;
+                              return is_other_running(request, *other.second) &&
+                                     other.second->content == request.content;
                           }));
     }
 
     /*! @brief Returns the upstreams of the other requests that fit. */
     template <typename Predicate>
     [[nodiscard]] std::vector<instance_id>
-    upstreams_beside(const exchange& one, Predicate fits) const
+    upstreams_of_others(const exchange& request, Predicate predicate) const
     {
         std::vector<instance_id> found;
-        for (const auto& [number, other] : all)
+        for (const auto& [number, other] : requests)
         {
-            if (runs_beside(one, *other) && fits(*other))
-                found.push_back(other->at.upstream);
+            if (is_other_running(request, *other) && predicate(*other))
+                found.push_back(other->choice.upstream);
         }
         return found;
     }
 
 private:
-    [[nodiscard]] static bool runs_beside(const exchange& one,
-                                          const exchange& other)
+    [[nodiscard]] static bool is_other_running(const exchange& request,
+                                               const exchange& other)
     {
-        return other.in_flight && other.number != one.number;
+        return other.in_flight && other.number != request.number;
     }
 
-    std::map<std::uint64_t, std::shared_ptr<exchange>> all;
+    std::map<std::uint64_t, std::shared_ptr<exchange>> requests;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/retry_budgets.hpp
+++ b/src/coursejunction/proxy/retry_budgets.hpp
@@ -20,12 +20,12 @@
 {
 public:
     explicit retry_budgets(const exchange_options& set)
-        : limits{set.retry_window, set.retry_portion, set.retry_reserve}
+        : limits{set.retry_window, set.retry_ratio, set.retry_reserve}
     {
     }
 
     /*! @brief Tells how many entries share the reserve. */
-    void entries(std::size_t count)
+    void set_entry_count(std::size_t count)
     {
         entry_count = std::max<std::size_t>(count, 1);
     }
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -40,83 +40,87 @@
     /*! @param allowed How long after its naming older weights may begin
      * requests.
      * @param seed Another one for each entry. */
-    version_controller(event_loop& owner, node_type& peers, view_type& known,
+    version_controller(event_loop& owner, node_type& peers, view_type& view,
                        version_floor& bounds, metrics& counted,
-                       milliseconds allowed, std::uint32_t seed)
-        : node(peers), fleet(known), floors(bounds), counters(counted),
-          version_time(allowed),
-          keeper(owner, peers.service(), peers.mirror(), counted, seed),
-          origin(peers.client()),
-          inquiry(origin, counted, seed,
-                  [this](const unheard_version& one) { take_unheard(one); })
+                       milliseconds grace, std::uint32_t seed)
+        : node(peers), fleet(view), floors(bounds), counters(counted),
+          old_weights_grace(grace),
+          record_writer(owner, peers.service(), peers.mirror(), counted, seed),
+          origin(peers.client()), poller(origin, counted, seed,
+                                         [this](const unheard_version& missed)
+                                         { add_missed_version(missed); })
     {
     }
 
     /*! @brief Keys of the store were read.
      * @param first Nothing was known before. */
-    void read(bool first, time_point now)
+    void on_keys_changed(bool first, time_point now)
     {
-        for (const auto& [key, named] : fleet.versions())
+        for (const auto& [key, published_at] : fleet.versions())
         {
             const auto& [model, version] = key;
             if (first && version == fleet.newest(model))
-                floors.found(model, version, named, version_time);
+                floors.found(model, version, published_at, old_weights_grace);
         }
-        bind();
+        update_floors();
         if (fleet.take_repeated_names())
-            inquiry.doubt("named again without rising", now);
+            poller.doubt("named again without rising", now);
     }
 
     /*! @brief Takes what a peer was told of versions that the store lacks. */
-    void heard(const std::vector<message::told_version>& told, time_point now)
+    void merge_reported(const std::vector<message::told_version>& reported,
+                        time_point now)
     {
-        const auto naming = [&](const std::string& model, time_point word)
-        { return std::max(word, inquiry.latest_naming(model, now)); };
-        if (fleet.rules() == nullptr || !take_told(fleet, told, now, naming))
+        const auto publish_time =
+            [&](const std::string& model, time_point reported_time)
+        { return std::max(reported_time, poller.latest_naming(model, now)); };
+        if (fleet.rules() == nullptr ||
+            !take_told(fleet, reported, now, publish_time))
             return;
-        bind();
-        for (const auto& one : told)
-            floors.named_later(one.model, one.version,
-                               fleet.named_at(one.model, one.version),
-                               version_time, now);
+        update_floors();
+        for (const auto& version : reported)
+            floors.named_later(version.model, version.version,
+                               fleet.named_at(version.model, version.version),
+                               old_weights_grace, now);
     }
 
     /*! @brief Returns what the store does not show, for other processes. */
-    [[nodiscard]] std::vector<message::told_version> told(time_point now) const
+    [[nodiscard]] std::vector<message::told_version>
+    versions_to_report(time_point now) const
     {
         return versions_to_tell(fleet, now);
     }
 
     /*! @brief Called often; `takes_part` is false while this entry stops. */
-    void tick(bool takes_part, time_point now)
+    void tick(bool active, time_point now)
     {
-        watch(now);
-        if (!takes_part)
+        update_alarms(now);
+        if (!active)
             return;
         const auto rank =
             node.peers().entries_before(node.settings().address, now);
-        keep(rank, now);
-        ask({rank, node.peers().entries(now)}, now);
+        persist(rank, now);
+        poll_origin({rank, node.peers().entries(now)}, now);
     }
 
 private:
     /*! @brief How often the alarms are looked at. */
     static constexpr milliseconds alarm_interval{1000};
 
-    void bind()
+    void update_floors()
     {
-        for (const auto& [key, named] : fleet.versions())
-            floors.name(key.first, key.second, named, version_time);
+        for (const auto& [key, published_at] : fleet.versions())
+            floors.name(key.first, key.second, published_at, old_weights_grace);
         for (const auto& [model, version] : fleet.binding())
             floors.binds(model, version);
-        judge_found();
+        apply_found_versions();
     }
 
     /*! @brief A version that was found at the start binds once most upstreams
      * serve it. */
-    void judge_found()
+    void apply_found_versions()
     {
-        for (const auto& [key, named] : fleet.versions())
+        for (const auto& [key, published_at] : fleet.versions())
         {
             const auto& [model, version] = key;
             if (floors.found_only(model, version) &&
@@ -128,52 +132,52 @@
     [[nodiscard]] bool served_by_most(const std::string& model,
                                       std::uint64_t version) const
     {
-        const auto count = serving(model, version);
-        return count.newest > 0 && 2 * count.newest >= count.all;
+        const auto counts = count_serving(model, version);
+        return counts.at_least > 0 && 2 * counts.at_least >= counts.all;
     }
 
-    struct serving_count
+    struct serving_counts
     {
-        std::size_t all{0};    /*!< Serve any version of the model. */
-        std::size_t newest{0}; /*!< Serve at least the one asked for. */
+        std::size_t all{0};      /*!< Serve any version of the model. */
+        std::size_t at_least{0}; /*!< Serve at least the one asked for. */
     };
 
-    [[nodiscard]] serving_count serving(const std::string& model,
-                                        std::uint64_t version) const
+    [[nodiscard]] serving_counts count_serving(const std::string& model,
+                                               std::uint64_t version) const
     {
-        serving_count made;
-        for (const auto& [id, one] : fleet.upstreams())
+        serving_counts counts;
+        for (const auto& [id, upstream] : fleet.upstreams())
         {
-            const auto weights = one.weights.find(model);
-            if (weights == one.weights.end() || weights->second == 0)
+            const auto weights = upstream.weights.find(model);
+            if (weights == upstream.weights.end() || weights->second == 0)
                 continue;
-            ++made.all;
+            ++counts.all;
             if (weights->second >= version)
-                ++made.newest;
+                ++counts.at_least;
         }
-        return made;
+        return counts;
     }
 
     /*! @brief Has the store keep which versions were named and which bind: an
      * entry that starts alone knows neither otherwise. */
-    void keep(std::size_t rank, time_point now)
+    void persist(std::size_t rank, time_point now)
     {
-        for (const auto& [named, known] : fleet.versions())
+        for (const auto& [published, published_at] : fleet.versions())
         {
-            const auto& [model, version] = named;
-            const auto binding = floors.least_known(model, now);
-            keeper.know({model, std::max(version, binding), binding},
-                        fleet.vouched(model));
+            const auto& [model, version] = published;
+            const auto minimum = floors.least_known(model, now);
+            record_writer.know({model, std::max(version, minimum), minimum},
+                               fleet.vouched(model));
         }
-        keeper.consider(rank, now);
+        record_writer.consider(rank, now);
     }
 
-    void ask(const entry_standing& at, time_point now)
+    void poll_origin(const entry_standing& ranking, time_point now)
     {
         const auto gaps = node.gaps();
-        if (gaps != gaps_seen)
-            inquiry.doubt("a gap in what was heard of the store", now);
-        gaps_seen = gaps;
+        if (gaps != known_gaps)
+            poller.doubt("a gap in what was heard of the store", now);
+        known_gaps = gaps;
         const auto* rules = fleet.rules();
         const auto* from = rules != nullptr ? rules->origin() : nullptr;
         if (from == nullptr)
@@ -181,32 +185,32 @@
         for (const auto& [name, service] : rules->services)
         {
             if (service.engine)
-                ask(*from, *service.engine, at, now);
+                poll_origin(*from, *service.engine, ranking, now);
         }
     }
 
-    void ask(const service_profile& from, const engine_profile& engine,
-             const entry_standing& at, time_point now)
+    void poll_origin(const service_profile& from, const engine_profile& engine,
+                     const entry_standing& ranking, time_point now)
     {
         for (const auto& model : engine.models)
-            inquiry.consider(
+            poller.consider(
                 from,
                 {model, fleet.newest(model), engine.chunks, engine.chunk_bytes},
-                at, now);
+                ranking, now);
     }
 
-    void take_unheard(const unheard_version& one)
+    void add_missed_version(const unheard_version& missed)
     {
-        fleet.told(one.model, one.version, one.named_at);
-        bind();
+        fleet.told(missed.model, missed.version, missed.named_at);
+        update_floors();
         node.announce();
     }
 
-    void watch(time_point now)
+    void update_alarms(time_point now)
     {
-        if (now - watched_at < alarm_interval)
+        if (now - alarms_updated_at < alarm_interval)
             return;
-        watched_at = now;
+        alarms_updated_at = now;
         const auto* rules = fleet.rules();
         if (rules == nullptr)
             return;
@@ -215,56 +219,58 @@
             if (!service.engine)
                 continue;
             for (const auto& model : service.engine->models)
-                watch(model, now);
+                update_alarms(model, now);
         }
     }
 
-    void watch(const std::string& model, time_point now)
+    void update_alarms(const std::string& model, time_point now)
     {
         const auto named = fleet.named_in_store(model);
         const auto newest = fleet.newest(model);
         const bool binds = floors.least(model, now) >= newest;
         const bool unserved =
-            newest > 1 && binds && serving(model, newest).newest == 0;
-        auto& one = alarms[model];
+            newest > 1 && binds && count_serving(model, newest).at_least == 0;
+        auto& alarm = alarms[model];
         report("version_name_outdated", model, named,
-               one.outdated.note(named < newest, now));
+               alarm.outdated.note(named < newest, now));
         report("version_unserved", model, named,
-               one.unserved.note(unserved, now));
-        const metrics::labels of{{"model", model}};
+               alarm.unserved.note(unserved, now));
+        const metrics::labels labels{{"model", model}};
         counters.set("version_name_outdated_seconds",
-                     to_seconds(one.outdated.lasts(now)), of);
+                     to_seconds(alarm.outdated.lasts(now)), labels);
         counters.set("version_unserved_seconds",
-                     to_seconds(one.unserved.lasts(now)), of);
+                     to_seconds(alarm.unserved.lasts(now)), labels);
         counters.set("version_unconfirmed_seconds",
-                     to_seconds(inquiry.unconfirmed_for(model, now)), of);
+                     to_seconds(poller.unconfirmed_for(model, now)), labels);
     }
 
-    void report(const std::string& what, const std::string& model,
+    void report(const std::string& event, const std::string& model,
                 std::uint64_t named, lasting_condition::change change) const
     {
         if (change == lasting_condition::change::none)
             return;
         const auto newest = std::to_string(fleet.newest(model));
-        const auto name = std::to_string(named);
+        const auto published = std::to_string(named);
         if (change == lasting_condition::change::began)
             log::warning(
-                what, {{"model", model}, {"named", name}, {"newest", newest}});
+                event,
+                {{"model", model}, {"named", published}, {"newest", newest}});
         else
-            log::state(what + "_ended",
-                       {{"model", model}, {"named", name}, {"newest", newest}});
+            log::state(
+                event + "_ended",
+                {{"model", model}, {"named", published}, {"newest", newest}});
     }
 
     node_type& node;
     view_type& fleet;
     version_floor& floors;
     metrics& counters;
-    milliseconds version_time;
-    version_keeper<typename Platform::store> keeper;
+    milliseconds old_weights_grace;
+    version_keeper<typename Platform::store> record_writer;
     origin_type origin;
-    version_inquiry<origin_type> inquiry;
-    std::uint64_t gaps_seen{0};
-    time_point watched_at{};
+    version_inquiry<origin_type> poller;
+    std::uint64_t known_gaps{0};
+    time_point alarms_updated_at{};
     std::map<std::string, version_alarms> alarms;
 };
 
--- a/tests/proxy/crash_guard.cpp
+++ b/tests/proxy/crash_guard.cpp
@@ -26,8 +26,8 @@
                     *client, counters,
                     [this](const request_content& what)
                     { quarantined.push_back(what); });
-                guard->owns_trials([owner](const auto&) { return owner; });
-                guard->on_keep(
+                guard->set_trial_owner([owner](const auto&) { return owner; });
+                guard->on_persist(
                     [this](const request_content&,
                            const message::crash_record* record)
                     {
@@ -55,9 +55,10 @@
             [&]
             {
                 const instance_id id(upstream);
-                guard->lost({id, "127.0.0.1:1", {what, crash_of(id, {})}},
-                            event_loop::now());
-                guard->ended(id, "seen");
+                guard->attempt_lost(
+                    {id, "127.0.0.1:1", {what, crash_of(id, {})}},
+                    event_loop::now());
+                guard->upstream_crashed(id, "seen");
             });
     }
 
@@ -66,7 +67,7 @@
         const auto end = crash_of(instance_id(upstream), {});
         running.on_loop(
             [&] {
-                guard->take({{what, {{end.value(), 1}}, {}, 0}}, "x");
+                guard->merge_records({{what, {{end.value(), 1}}, {}, 0}}, "x");
             });
     }
 
@@ -120,8 +121,9 @@
         owner.running.on_loop(
             [&]
             {
-                owner.guard->restore({bad, {{1, 1}, {2, 1}, {3, 1}}, {}, 200});
-                CHECK(owner.guard->standing(bad, event_loop::now()) ==
+                owner.guard->restore_quarantine(
+                    {bad, {{1, 1}, {2, 1}, {3, 1}}, {}, 200});
+                CHECK(owner.guard->status(bad, event_loop::now()) ==
                       crash_standing::quarantined);
             });
         CHECK(owner.kept == 0);
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -41,8 +41,9 @@
     explicit entry_before_crashes(
         const std::function<manner(std::size_t)>& how = [](std::size_t)
         { return manner{}; },
-        cj::milliseconds first_slack = cj::exchange_options{}.first_slack)
-        : entry_on_loopback(first_slack)
+        cj::milliseconds first_event_slack =
+            cj::exchange_options{}.first_event_slack)
+        : entry_on_loopback(first_event_slack)
     {
         for (std::size_t at = 0; at < upstream_count; ++at)
         {
--- a/tests/proxy/entry_on_loopback.hpp
+++ b/tests/proxy/entry_on_loopback.hpp
@@ -88,9 +88,10 @@
 /*! @brief An entry between a caller's connection and scripted upstreams. */
 struct entry_on_loopback
 {
-    /*! @param first_slack How long the first event of a stream may be late. */
-    explicit entry_on_loopback(
-        cj::milliseconds first_slack = cj::exchange_options{}.first_slack)
+    /*! @param first_event_slack How long the first event of a stream may be
+     * late. */
+    explicit entry_on_loopback(cj::milliseconds first_event_slack =
+                                   cj::exchange_options{}.first_event_slack)
     {
         running.on_loop(
             [&]
@@ -98,15 +99,16 @@
                 client = std::make_unique<cj::stream_client>(running.loop);
                 cj::exchange_options options;
                 options.retry_reserve = 10;
-                options.first_slack = first_slack;
-                options.old_weights_grace = 100ms;
+                options.first_event_slack = first_event_slack;
+                options.old_weights_cancel_delay = 100ms;
                 service = std::make_unique<cj::exchange_service<plain_codec>>(
                     running.loop, *client, book, counters,
                     cj::placer({}, cj::hall_id("h"), "self"), options);
                 auto made = cj::stream_server::create(
                     running.loop, "127.0.0.1", 0, {},
                     [this](cj::stream_request request, cj::stream_reply reply) {
-                        service->request(std::move(request), std::move(reply));
+                        service->handle_request(std::move(request),
+                                                std::move(reply));
                     });
                 REQUIRE(made);
                 server = std::move(made.value());
@@ -174,7 +176,7 @@
             [&]
             {
                 const cj::instance_id gone(id);
-                service->crashing().record_gone(gone);
+                service->crashes().record_expired(gone);
                 book.remove(gone, false, cj::event_loop::now());
             });
     }
--- a/tests/proxy/exchange_service.cpp
+++ b/tests/proxy/exchange_service.cpp
@@ -46,11 +46,13 @@
         }
         SECTION("an entry that knows its configuration to be old cannot tell")
         {
-            entry.running.on_loop([&] { entry.service->outdated(true); });
+            entry.running.on_loop(
+                [&] { entry.service->set_configuration_outdated(true); });
             const auto answer = entry.ask("/keyed/x", "Key: z\r\n");
             CHECK(answer.starts_with("HTTP/1.1 503"));
             CHECK(answer.find("Retry-After") != std::string::npos);
-            entry.running.on_loop([&] { entry.service->outdated(false); });
+            entry.running.on_loop(
+                [&] { entry.service->set_configuration_outdated(false); });
             CHECK(entry.ask("/keyed/x", "Key: z\r\n")
                       .starts_with("HTTP/1.1 401"));
         }
@@ -206,8 +208,9 @@
         while (one.arrivals().empty())
             std::this_thread::sleep_for(5ms);
         entry.running.on_loop(
-            [&] {
-                entry.service->life_ended(
+            [&]
+            {
+                entry.service->upstream_restarted(
                     {one.address, {1}, cj::instance_id("a"), {}});
             });
         return answer.get();
