--- a/src/coursejunction/proxy/crash_guard.hpp
+++ b/src/coursejunction/proxy/crash_guard.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief Keeps requests that crash upstreams from the upstreams of an entry.
- */
+ * @brief Stops requests that crash upstreams from being sent again. */
 #ifndef COURSEJUNCTION_PROXY_CRASH_GUARD_HPP
 #define COURSEJUNCTION_PROXY_CRASH_GUARD_HPP
 
@@ -19,97 +18,105 @@
 namespace coursejunction
 {
 
-/*! @brief Looks into lost attempts, counts upstreams that ended under a request
- * together with the other entries, and says which requests are not sent any
- * more. */
+/*! @brief Determines which lost attempts were upstream crashes, counts the
+ * crashes under each request, shares the counts with the other entry nodes and
+ * quarantines requests with too many. */
 class crash_guard
 {
 public:
-    /*! @brief Told when a request is quarantined, here or by another entry. */
+    /*! @brief Called when a request is quarantined, by this or by another entry
+     * node. */
     using quarantine_callback = std::function<void(const request_content&)>;
 
-    /*! @brief Told when other entries should hear of a record at once. */
+    /*! @brief Called when a record changed that the other entry nodes should
+     * receive at once. */
     using change_callback = std::function<void()>;
 
-    /*! @brief Tells whether trials of a request are this entry's; all entries
-     * agree on one. */
+    /*! @brief Returns whether this entry node runs the trials of a request; all
+     * entry nodes agree on one. */
     using trial_owner = std::function<bool(const request_content&)>;
 
-    /*! @brief Told what should outlast this process: a record that was found
-     * here, or nothing where a quarantine is over before its time. */
+    /*! @brief Called with a record to persist, or with null when a quarantine
+     * was lifted or disproved and its stored record must go. */
     using persist_callback = std::function<void(
         const request_content&, const message::crash_record* record)>;
 
     crash_guard(stream_client& upstream_client, metrics& counted,
                 quarantine_callback callback);
 
-    /*! @brief Sets who tells other entries. */
+    /*! @brief Sets the callback for changed records. */
     void on_records_changed(change_callback callback);
 
-    /*! @brief Sets who keeps quarantines beyond this process. */
+    /*! @brief Sets the callback that persists quarantines beyond this process.
+     */
     void on_persist(persist_callback callback);
 
-    /*! @brief Sets who knows whose trials are whose; until then, all are this
-     * entry's. */
+    /*! @brief Sets who runs the trials. Without it, this entry node runs all of
+     * them. */
     void set_trial_owner(trial_owner predicate);
 
     [[nodiscard]] crash_standing status(const request_content& content,
                                         time_point now) const;
 
-    /*! @brief Returns how many copies of a request may run here at once. */
+    /*! @brief Returns how many copies of a request may run at once at this
+     * entry node. */
     [[nodiscard]] std::size_t max_running(const request_content& content,
                                           time_point now) const;
 
-    /*! @brief Tells whether an attempt of a request was lost just now and it is
-     * not known why. */
+    /*! @brief Returns whether an attempt of a request was lost recently and the
+     * cause is still unknown. */
     [[nodiscard]] bool has_unexplained_loss(const request_content& content,
                                             time_point now) const;
 
-    /*! @brief Tells whether a request may be what ended an upstream, as far as
-     * is known or just being looked into. */
+    /*! @brief Returns whether a request may have crashed an upstream: crashes
+     * are counted against it, or a lost attempt is unexplained. */
     [[nodiscard]] bool is_suspect(const request_content& content,
                                   time_point now) const;
 
-    /*! @brief Returns how long a request's quarantine still lasts. */
+    /*! @brief Returns the remaining duration of a request's quarantine. */
     [[nodiscard]] milliseconds quarantine_left(const request_content& content,
                                                time_point now) const;
 
-    /*! @brief An attempt was lost before its answer was whole. Whether its
-     * upstream ended is asked at its address. */
+    /*! @brief Records an attempt that was lost before its response was
+     * complete, and probes the upstream's address to see whether the upstream
+     * crashed. */
     void attempt_lost(lost_attempt attempt, time_point now);
 
-    /*! @brief An upstream was seen to have ended. */
+    /*! @brief Records that an upstream is known to have crashed. */
     void upstream_crashed(const instance_id& upstream, const std::string& why);
 
-    /*! @brief An upstream's record is gone. It may only stand still where
-     * nothing but silence came from it; that is asked at its address. */
+    /*! @brief Records that an upstream's record in the store expired. An
+     * upstream from which only silence came may be suspended instead, so its
+     * address is probed. */
     void record_expired(const instance_id& upstream);
 
-    /*! @brief An upstream's record names an address: whoever had it before has
-     * ended. */
+    /*! @brief Records that an upstream's record has a new address: any earlier
+     * upstream at this address has crashed. */
     void address_reassigned(const instance_id& upstream,
                             const std::string& address);
 
-    /*! @brief An upstream answered a request in whole. */
+    /*! @brief Records a complete response to a request. */
     void record_response(const request_content& content);
 
-    /*! @brief Takes records of another entry. Where only all ends together
-     * quarantine a request nobody finds that by its own, so that the entry that
-     * runs the trials keeps it. */
+    /*! @brief Merges records of another entry node. If a request is quarantined
+     * only by the crashes of all entry nodes together, none of them finds this
+     * alone, so the one that runs the trials persists the record. */
     void merge_records(const std::vector<message::crash_record>& received,
                        const std::string& from);
 
-    /*! @brief Takes a quarantine that outlasted the process that found it. */
+    /*! @brief Restores a quarantine from the store, found by this or an earlier
+     * process. */
     void restore_quarantine(const message::crash_record& stored);
 
-    /*! @brief Returns records for other entries. */
+    /*! @brief Returns the records to send to the other entry nodes. */
     [[nodiscard]] std::vector<message::crash_record> collect_updates();
 
-    /*! @brief Ends a quarantine, here and, by the next heartbeats, everywhere.
-     * @return Whether there was one. */
+    /*! @brief Ends a quarantine here and, with the next heartbeats, at all
+     * entry nodes.
+     * @return Whether the request was quarantined. */
     bool lift_quarantine(const request_content& content);
 
-    /*! @brief Forgets what is past, and sets the gauges. */
+    /*! @brief Drops expired records and updates the gauges. */
     void tick(time_point now);
 
     [[nodiscard]] const crash_ledger& records() const { return ledger; }
--- a/src/coursejunction/proxy/event_splitter.hpp
+++ b/src/coursejunction/proxy/event_splitter.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief Cuts a stream of bytes into whole server-sent events.
- */
+ * @brief Splits a byte stream into complete server-sent events. */
 #ifndef COURSEJUNCTION_PROXY_EVENT_SPLITTER_HPP
 #define COURSEJUNCTION_PROXY_EVENT_SPLITTER_HPP
 
@@ -13,56 +12,64 @@
 namespace coursejunction
 {
 
-/*! @brief Gathers bytes and gives whole events (a block that ends with an
- * empty line, WHATWG HTML section 9.2) with the id of the last of them. */
+/*! @brief Buffers bytes and returns complete events (blocks that end with an
+ * empty line, WHATWG HTML section 9.2). Keeps the id of the last one. */
 class event_splitter
 {
 public:
-    /*! @brief Takes bytes.
-     * @return Every whole event that is there now, as one run of bytes. */
-    [[nodiscard]] std::string take(std::string_view bytes)
+    /*! @brief Appends bytes.
+     * @return All events that are now complete, concatenated. */
+    [[nodiscard]] std::string append(std::string_view bytes)
     {
-        const auto from = held.size() > 3 ? held.size() - 3 : 0;
-        held.append(bytes);
-        std::size_t whole = 0;
-        for (std::size_t at = from; at < held.size(); ++at)
+        const auto first = buffer.size() > 3 ? buffer.size() - 3 : 0;
+        buffer.append(bytes);
+        std::size_t complete = 0;
+        for (std::size_t at = first; at < buffer.size(); ++at)
         {
             if (ends_event(at))
             {
-                note_id(std::string_view(held).substr(whole, at + 1 - whole));
-                whole = at + 1;
+                note_id(std::string_view(buffer).substr(complete,
+                                                        at + 1 - complete));
+                complete = at + 1;
             }
         }
-        auto events = held.substr(0, whole);
-        held.erase(0, whole);
+        auto events = buffer.substr(0, complete);
+        buffer.erase(0, complete);
         return events;
     }
 
-    /*! @brief Returns the bytes of an event that has not ended. */
-    [[nodiscard]] const std::string& rest() const noexcept { return held; }
+    /*! @brief Returns the bytes of an incomplete event. */
+    [[nodiscard]] const std::string& incomplete() const noexcept
+    {
+        return buffer;
+    }
 
-    /*! @brief Forgets an event that has not ended: its sender is gone. */
-    void drop_rest() { held.clear(); }
+    /*! @brief Discards the incomplete event, since its sender will not continue
+     * it. */
+    void discard_incomplete() { buffer.clear(); }
 
-    /*! @brief Returns the id of the last whole event. */
-    [[nodiscard]] std::optional<std::uint64_t> last_id() const { return last; }
+    /*! @brief Returns the id of the last complete event. */
+    [[nodiscard]] std::optional<std::uint64_t> last_id() const
+    {
+        return last_event_id;
+    }
 
-    /*! @brief Returns how many whole events came. */
-    [[nodiscard]] std::size_t size() const noexcept { return count; }
+    /*! @brief Returns the number of complete events so far. */
+    [[nodiscard]] std::size_t size() const noexcept { return event_count; }
 
 private:
     [[nodiscard]] bool ends_event(std::size_t at) const
     {
-        if (held[at] != '\n' || at == 0)
+        if (buffer[at] != '\n' || at == 0)
             return false;
-        if (held[at - 1] == '\n')
+        if (buffer[at - 1] == '\n')
             return true;
-        return at >= 3 && held[at - 1] == '\r' && held[at - 2] == '\n';
+        return at >= 3 && buffer[at - 1] == '\r' && buffer[at - 2] == '\n';
     }
 
     void note_id(std::string_view event)
     {
-        ++count;
+        ++event_count;
         while (!event.empty())
         {
             const auto end = event.find('\n');
@@ -75,16 +82,16 @@
             while (line.starts_with(' '))
                 line.remove_prefix(1);
             std::uint64_t id = 0;
-            const auto read =
+            const auto parsed =
                 std::from_chars(line.data(), line.data() + line.size(), id);
-            if (read.ec == std::errc{})
-                last = id;
+            if (parsed.ec == std::errc{})
+                last_event_id = id;
         }
     }
 
-    std::string held;
-    std::optional<std::uint64_t> last;
-    std::size_t count{0};
+    std::string buffer;
+    std::optional<std::uint64_t> last_event_id;
+    std::size_t event_count{0};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/exchange.hpp
+++ b/src/coursejunction/proxy/exchange.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief State of one request while it is carried.
- */
+ * @brief State of one request between its arrival and its final response. */
 #ifndef COURSEJUNCTION_PROXY_EXCHANGE_HPP
 #define COURSEJUNCTION_PROXY_EXCHANGE_HPP
 
@@ -23,17 +22,17 @@
 namespace coursejunction
 {
 
-/*! @brief How far a failed attempt got. */
+/*! @brief How a failed attempt ended, and so whether the request may have run.
+ */
 enum class attempt_failure : std::uint8_t
 {
-    not_sent,       /*!< No byte was written: it never arrived. */
-    not_run,        /*!< The upstream says that it did not run it. */
-    error_response, /*!< It ran, and the answer tells of a failure. */
-    may_have_run    /*!< Nothing proves that it did not run. */
+    not_sent,       /*!< No byte was written to the connection. */
+    not_run,        /*!< The upstream states that it did not run the request. */
+    error_response, /*!< It ran, and the response has a server error. */
+    may_have_run    /*!< Nothing proves that the request did not run. */
 };
 
-/*! @brief A request from its arrival to its final answer, with the attempt in
- * progress. */
+/*! @brief A request with its attempt in progress. */
 struct exchange
 {
     std::uint64_t number{0};
@@ -51,7 +50,7 @@
     arrival_standing arrival;
     timer deadline_timer;
 
-    // The attempt in progress.
+    // The attempt in progress, or the last one.
     stream_client::call_id call{0};
     std::uint64_t attempt_id{0};
     upstream_choice choice;
@@ -61,18 +60,22 @@
     std::string response_body;
     timer silence_timer;
     bool has_events{false};
-    bool in_flight{false}; /*!< An attempt is with an upstream. */
-    bool is_trial{false};  /*!< It shows whether its content ends upstreams. */
+    bool in_flight{false}; /*!< An upstream has the attempt and may run it. */
+    bool is_trial{false};  /*!< This attempt tests whether a request whose
+                              quarantine ended still crashes upstreams. */
 
-    // An upstream's own failure, passed on when no other attempt is left.
+    // The last server error of an upstream. It is the final response when no
+    // other attempt is left.
     std::optional<stream_head> error_response_head;
     std::string error_response_body;
-    bool upstream_errored{false}; /*!< The last attempt ended so. */
+    bool upstream_errored{
+        false}; /*!< The last attempt failed with a server error. */
 
     std::vector<instance_id> tried_upstreams;
-    std::size_t possible_runs{0}; /*!< Attempts that may have run. */
+    std::size_t possible_runs{0}; /*!< Number of attempts that may have run. */
     event_splitter events;
-    bool response_begun{false}; /*!< The caller has our head. */
+    bool response_begun{
+        false}; /*!< The response head was sent to the caller. */
     bool queued{false};
 };
 
--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief What follows from the state of one request alone; pure.
- */
+ * @brief Pure functions of the state of one request. */
 #ifndef COURSEJUNCTION_PROXY_EXCHANGE_FACTS_HPP
 #define COURSEJUNCTION_PROXY_EXCHANGE_FACTS_HPP
 
@@ -16,8 +15,8 @@
 namespace coursejunction::exchange_facts
 {
 
-/*! @brief Returns what is asked and by whom: by the organisation, or by the
- * key where the configuration names no owner. */
+/*! @brief Returns the hash of the request and of who sent it: the organisation,
+ * or the API key where the configuration names no organisation. */
 [[nodiscard]] inline request_content content_of(const exchange& request)
 {
     const std::string caller = request.organisation
@@ -27,8 +26,8 @@
                                request.original.body);
 }
 
-/*! @brief Returns by what a caller is known when it comes back: its later
- * try repeats all but the id and what is left of the deadline. */
+/*! @brief Returns a hash that a caller's retry shares: a retry repeats
+ * everything except the id and the remaining deadline. */
 [[nodiscard]] inline request_fingerprint fingerprint_of(const exchange& request)
 {
     const auto& decoded = request.decoded;
@@ -39,17 +38,16 @@
                     std::to_string(decoded.expected_output_tokens)));
 }
 
-/*! @brief Tells whether a status says that the configuration does not allow
- * a request. A caller believes that and does not come back, so an entry
- * that knows its configuration to be old says instead that it cannot tell.
- */
+/*! @brief Returns whether a status says that the configuration denies a
+ * request. Callers do not retry after such a status, so an entry node with an
+ * outdated configuration responds with 503 instead. */
 [[nodiscard]] inline bool is_denial(int status)
 {
     return status == 404 || status == 401;
 }
 
-/*! @brief Returns a request's service; one that the configuration doesn't
- * describe has no engine. */
+/*! @brief Returns the profile of a request's service; a service that is not
+ * configured has no engine. */
 [[nodiscard]] inline const service_profile&
 service_profile_of(const exchange& request)
 {
@@ -72,16 +70,16 @@
            request.response_head.status == 200;
 }
 
-/*! @brief Tells whether the request may be sent once more although an
- * attempt may have run. */
+/*! @brief Returns whether the request may be sent again after an attempt that
+ * may have run. */
 [[nodiscard]] inline bool may_repeat(const exchange& request)
 {
     return request.route->repeatable() &&
            request.possible_runs + 1 < request.route->most_upstreams;
 }
 
-/*! @brief Returns an attempt that was lost, as evidence against its request.
- * @param life Of the upstream, as it is known. */
+/*! @brief Describes a lost attempt for crash detection.
+ * @param life Incarnation of the upstream, as far as it is known. */
 [[nodiscard]] inline lost_attempt lost_attempt_of(const exchange& request,
                                                   const incarnation& life,
                                                   attempt_loss cause)
--- a/src/coursejunction/proxy/exchange_log.hpp
+++ b/src/coursejunction/proxy/exchange_log.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief The log lines of a request, from its arrival to its final answer.
- */
+ * @brief Log lines of a request, from its arrival to its final response. */
 #ifndef COURSEJUNCTION_PROXY_EXCHANGE_LOG_HPP
 #define COURSEJUNCTION_PROXY_EXCHANGE_LOG_HPP
 
@@ -15,20 +14,21 @@
 namespace coursejunction::exchange_log
 {
 
-/*! @brief Returns a figure without its fraction. */
+/*! @brief Returns a number as text, without its fraction. */
 [[nodiscard]] inline std::string integer_text(double value)
 {
     return std::to_string(static_cast<std::int64_t>(value));
 }
 
-/*! @brief Returns the ms between two moments. */
+/*! @brief Returns the milliseconds between two times as text. */
 [[nodiscard]] inline std::string ms_between(time_point from, time_point to)
 {
     constexpr double ms = 1000;
     return integer_text(to_seconds(to - from) * ms);
 }
 
-/*! @brief Refused at once, by the configuration or the lack of one. */
+/*! @brief Logs a request that the configuration denies, or that came before
+ * there was a configuration. */
 inline void rejected(const exchange& request, int status,
                      const installation* configuration)
 {
@@ -42,7 +42,7 @@
                   {"path", request.decoded.path}});
 }
 
-/*! @brief Waits for a place. */
+/*! @brief Logs a request that waits for an upstream. */
 inline void enqueued(const exchange& request, const no_placement& reason)
 {
     log::decision("request_queued",
@@ -51,7 +51,7 @@
                    {"least_ms", integer_text(reason.least_ms)}});
 }
 
-/*! @brief Found no place in time. */
+/*! @brief Logs a request that no upstream could take in time. */
 inline void refused(const exchange& request, const no_placement& reason,
                     milliseconds retry_after)
 {
@@ -74,7 +74,7 @@
          {"retry_after_ms", std::to_string(retry_after.count())}});
 }
 
-/*! @brief Not sent on, since upstreams ended under it before. */
+/*! @brief Logs a request that was refused because it is quarantined. */
 inline void refused_quarantined(const exchange& request, milliseconds left)
 {
     log::problem("request_turned_away",
@@ -85,7 +85,7 @@
                   {"quarantine_left_ms", std::to_string(left.count())}});
 }
 
-/*! @brief An attempt goes out, with what the choice was made from. */
+/*! @brief Logs an attempt with the data that its upstream was chosen by. */
 inline void sent(const exchange& request, milliseconds left)
 {
     log::decision(
@@ -108,8 +108,8 @@
           std::string(evidence_name(request.arrival.past.known_by))}});
 }
 
-/*! @brief The first event of an attempt came; of a stream that goes on, the
- * gap since the last attempt failed. */
+/*! @brief Logs the first event of an attempt or, when it continues a stream,
+ * the gap since the previous attempt failed. */
 inline void first_event(const exchange& request, time_point now)
 {
     if (!request.response_begun)
@@ -126,7 +126,7 @@
                    {"gap_ms", ms_between(request.failed_at, now)}});
 }
 
-/*! @brief An upstream said something of itself in an answer. */
+/*! @brief Logs what an upstream reported about itself in a response. */
 inline void notice_received(const exchange& request,
                             const upstream_notice& notice)
 {
@@ -144,7 +144,7 @@
                 {"unreadable", notice.unreadable ? "true" : "false"}});
 }
 
-/*! @brief The terms on which an upstream takes requests changed. */
+/*! @brief Logs a change of the terms on which an upstream takes requests. */
 inline void terms_changed(const known_upstream& upstream, time_point now)
 {
     const auto& limit = upstream.terms.limit();
@@ -158,7 +158,7 @@
                  limit ? std::to_string(limit->per_second()) : "unlimited"}});
 }
 
-/*! @brief An attempt failed. */
+/*! @brief Logs a failed attempt. */
 inline void attempt_failed(const exchange& request, const std::string& why,
                            bool may_have_run, bool sent_again, time_point now)
 {
@@ -173,7 +173,7 @@
                   {"after_ms", ms_between(request.sent_at, now)}});
 }
 
-/*! @brief An upstream's answer was passed on. */
+/*! @brief Logs a request whose response came from an upstream. */
 inline void answered(const exchange& request, const std::string& how,
                      time_point now)
 {
@@ -186,7 +186,7 @@
                    {"took_ms", ms_between(request.arrived_at, now)}});
 }
 
-/*! @brief The request ended without an upstream's answer. */
+/*! @brief Logs a request that ended without a response of an upstream. */
 inline void failed(const exchange& request, std::string_view outcome,
                    const std::string& why, time_point now)
 {
--- a/src/coursejunction/proxy/exchange_options.hpp
+++ b/src/coursejunction/proxy/exchange_options.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief Times and shares by which requests are carried.
- */
+ * @brief Timeouts and limits of request handling. */
 #ifndef COURSEJUNCTION_PROXY_EXCHANGE_OPTIONS_HPP
 #define COURSEJUNCTION_PROXY_EXCHANGE_OPTIONS_HPP
 
@@ -10,42 +9,48 @@
 namespace coursejunction
 {
 
-/*! @brief Times and shares of the service, with where they come from. */
+/*! @brief Timeouts and limits of `exchange_service`, with the reasons for their
+ * values. */
 struct exchange_options
 {
     dispatch_options dispatch;
-    /*! @brief Under a request that is doubted an upstream ended: it runs once
-     * at a time here, and another copy waits so long for that run. Where
-     * upstreams ended, first events were predicted after 165 to 273 ms. */
+    /*! @brief How long a copy of a suspect, a request that an upstream crashed
+     * under, may wait for the copy that runs: suspects run one copy at a time.
+     * Where upstreams crashed, the first event was predicted after 165 to 273
+     * ms. */
     milliseconds suspect_queue_time{250};
-    /*! @brief A request whose upstream closed the connection goes to another
-     * one after so long, or once it is known that the first one has ended: its
-     * address answers within 3 to 6 ms, and other entries' news take as long.
-     * Without the pause each of many copies would end a second upstream. */
+    /*! @brief How long a request waits for the result of a crash probe after
+     * its upstream closed the connection, before it goes to another upstream.
+     * The upstream's address responds within 3 to 6 ms, and reports of other
+     * entry nodes take as long. Without this pause each of many copies would
+     * crash a second upstream. */
     milliseconds crash_probe_time{25};
-    /*! @brief A caller whose request is on trial comes back after so long: the
-     * trial's answer takes 0.4 to 0.9 s. */
+    /*! @brief Minimum retry delay for a caller whose request is quarantined or
+     * on trial: the response of a trial takes 0.4 to 0.9 s. */
     milliseconds trial_retry_after{1000};
-    /*! @brief How often waiting requests are looked at. */
+    /*! @brief Interval at which queued requests are placed again. */
     milliseconds queue_poll_interval{15};
-    /*! @brief A first event later than this many times its prediction, plus
-     * `first_event_slack`, is given up. */
+    /*! @brief An attempt is cancelled when its first event takes longer than
+     * this multiple of the predicted time, plus `first_event_slack`. */
     double first_event_factor{3};
     milliseconds first_event_slack{700};
-    /*! @brief After older weights take nothing new, an attempt that still
-     * waits there is taken back; the bound leaves 2 s, and the end of the
-     * connection takes a part of one to arrive. */
+    /*! @brief How long after an older model version must stop starting requests
+     * an attempt that is still queued there is cancelled. The bound on starting
+     * leaves 2 s, and closing the connection takes a part of a second to reach
+     * the upstream. */
     milliseconds old_weights_cancel_delay{1200};
-    /*! @brief This long before weights become too old, attempts go out on new
-     * connections; requests were held up on narrow links for up to 2.1 s. */
+    /*! @brief Attempts open new connections during this time before the chosen
+     * model version must stop starting requests. Narrow links delayed requests
+     * by up to 2.1 s. */
     milliseconds old_weights_reconnect_window{2500};
-    /*! @brief The window over which the installations count retries. */
+    /*! @brief Window over which the installations count retries. */
     milliseconds retry_window{10'000};
-    /*! @brief Retries for each request of a window; the installations allow
-     * 0.2, and entries count what arrives, not what callers sent. */
+    /*! @brief Retries allowed for each request in the window. The installations
+     * allow 0.2, but entry nodes count requests that arrive, not those that
+     * callers sent. */
     double retry_ratio{0.17};
-    /*! @brief Retries of a window beside those, of all entries together; the
-     * smallest allowance of the installations seen is 104. */
+    /*! @brief Retries allowed in the window in addition, shared by all entry
+     * nodes. The smallest allowance seen at the installations is 104. */
     double retry_reserve{80};
 };
 
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Carries callers' requests to upstreams and their answers back.
+ * @brief Forwards callers' requests to upstreams and returns their responses.
  */
 #ifndef COURSEJUNCTION_PROXY_EXCHANGE_SERVICE_HPP
 #define COURSEJUNCTION_PROXY_EXCHANGE_SERVICE_HPP
@@ -39,7 +39,9 @@
 namespace coursejunction
 {
 
-/*! @brief Every request from its arrival to its final answer.
+/*! @brief Handles each request from its arrival to its final response: admits
+ * it, chooses an upstream, starts attempts, retries failed ones and reports the
+ * outcome. Runs on one event loop.
  * @tparam Codec A `Request_codec`. */
 template <typename Codec>
 class exchange_service
@@ -60,60 +62,63 @@
                                  [this] { place_waiting(); });
     }
 
-    /*! @brief Puts a configuration into force. */
+    /*! @brief Applies a configuration to requests that arrive from now on. */
     void configure(std::shared_ptr<const installation> next)
     {
         configuration = std::move(next);
         decisions.configure(*configuration);
     }
 
-    /*! @brief Returns the bounds on versions, to be kept up by the owner. */
+    /*! @brief Returns the oldest model versions that may serve new requests;
+     * the caller keeps them up to date. */
     [[nodiscard]] version_floor& floors() { return floor; }
 
-    /*! @brief Returns what is known of requests that crash upstreams. */
+    /*! @brief Returns the quarantine of requests that crash upstreams. */
     [[nodiscard]] crash_guard& crashes() { return guard; }
 
-    /*! @brief Tells how many entries share the upstreams. */
+    /*! @brief Sets the number of entry nodes that share the upstreams. */
     void set_entry_count(std::size_t count) { budgets.set_entry_count(count); }
 
-    /*! @brief Returns what callers ask of the engines here. */
+    /*! @brief Returns the rates of requests for engines at this entry node. */
     [[nodiscard]] request_rates rates(time_point now) const
     {
         return decisions.rates(now);
     }
 
-    /*! @brief Tells what callers ask of the engines at all other entries. */
+    /*! @brief Sets the sum of the request rates at all other entry nodes. */
     void set_other_entries_rates(const request_rates& reported, time_point now)
     {
         decisions.elsewhere(reported, now);
     }
 
-    /*! @brief Returns callers sent away that other entries were not told of,
-     * and takes them for told. */
+    /*! @brief Returns refusals that have not been sent to the other entry nodes
+     * yet, and marks them as sent. */
     [[nodiscard]] std::vector<refused_try>
     take_unsent_refusals(std::size_t max_count)
     {
         return decisions.news_of_refusals(max_count);
     }
 
-    /*! @brief Sets what is called while other entries were not told of some. It
-     * is called soon: some callers come back without a pause. */
+    /*! @brief Sets a callback that runs while there are unsent refusals. It
+     * runs within `queue_poll_interval`, since some callers retry at once. */
     void on_unsent_refusals(std::function<void()> callback)
     {
         refusals_callback = std::move(callback);
     }
 
-    /*! @brief Takes in that another entry sent a caller away. */
+    /*! @brief Records a refusal by another entry node, so that the retry is
+     * recognised here. */
     void record_remote_refusal(const refused_try& refusal, time_point now)
     {
         decisions.sent_away_elsewhere(refusal, now);
     }
 
-    /*! @brief Forgets callers that have left; called now and then. */
+    /*! @brief Drops refusals whose callers are not expected to retry any more;
+     * to be called periodically. */
     void expire(time_point now) { decisions.expire(now); }
 
-    /*! @brief Tells whether an engine takes new requests: those that do are
-     * divided between the entries. */
+    /*! @brief Returns whether an upstream has an engine that accepts new
+     * requests. These engines are divided between the entry nodes. */
     [[nodiscard]] bool accepts_new_requests(const known_upstream& upstream,
                                             time_point now) const
     {
@@ -128,17 +133,17 @@
         return status.version >= floor.least(status.model, now);
     }
 
-    /*! @brief Returns what takes in what upstreams say of themselves. */
+    /*! @brief Returns the component that applies notices from upstreams. */
     [[nodiscard]] notice_intake& notices() { return intake; }
 
-    /*! @brief Tells whether others have known a newer state for long: what the
-     * configuration here does not allow may be allowed by then. */
+    /*! @brief Sets whether peers have had a newer state of the store for some
+     * time. What this node's configuration denies may be allowed by then. */
     void set_configuration_outdated(bool outdated)
     {
         configuration_outdated = outdated;
     }
 
-    /*! @brief Takes a request. */
+    /*! @brief Handles a new request; its response goes to `reply`. */
     void handle_request(stream_request from, stream_reply reply)
     {
         const auto number = ++last_number;
@@ -149,21 +154,21 @@
         request->original = std::move(from);
         request->reply = std::move(reply);
         counters.count("requests_total");
-        const auto refused = admit(*request);
-        if (refused != 0)
+        const auto status = admit(*request);
+        if (status != 0)
             return reject(*request, configuration_outdated &&
-                                            exchange_facts::is_denial(refused)
+                                            exchange_facts::is_denial(status)
                                         ? 503
-                                        : refused);
+                                        : status);
         open_requests.add(request);
         request->reply.on_left([this, number] { on_caller_left(number); });
         arm_deadline_timer(*request);
         place(*request);
     }
 
-    /*! @brief An upstream has started again: connections to its earlier life
-     * are dead, and what went there may have run and is not answered any more.
-     */
+    /*! @brief Fails all attempts that an upstream process held when it was
+     * replaced by a new incarnation. They may have run, and their connections
+     * are dead. */
     void upstream_restarted(const ended_life& restarted)
     {
         client.forget(restarted.address);
@@ -189,7 +194,8 @@
         guard.upstream_crashed(restarted.upstream, "it has started again");
     }
 
-    /*! @brief Looks at waiting requests again: an upstream may be free. */
+    /*! @brief Tries to place queued requests, since an upstream may have become
+     * free. */
     void place_waiting()
     {
         for (const auto number : waiting.numbers())
@@ -199,16 +205,17 @@
             refusals_callback();
     }
 
-    /*! @brief Returns how many requests are open. */
+    /*! @brief Returns the number of requests without a final response. */
     [[nodiscard]] std::size_t size() const { return open_requests.size(); }
 
-    /*! @brief Returns how many requests wait for a place. */
+    /*! @brief Returns the number of requests that wait for an upstream. */
     [[nodiscard]] std::size_t queued_count() const { return waiting.size(); }
 
 private:
     // --- Admission -------------------------------------------------------
 
-    /*! @brief Returns 0, or the status with which the request is refused. */
+    /*! @brief Checks a request against the configuration.
+     * @return 0, or the HTTP status with which to reject it. */
     int admit(exchange& request)
     {
         if (!configuration)
@@ -258,10 +265,11 @@
         counters.count("requests_refused_total", 1,
                        {{"status", std::to_string(status)}});
         exchange_log::rejected(request, status, configuration.get());
-        constexpr milliseconds soon{500};
-        request.reply.send(
-            status,
-            status == 503 ? Codec::refusal_headers(soon) : header_list{}, "");
+        constexpr milliseconds retry_after{500};
+        request.reply.send(status,
+                           status == 503 ? Codec::refusal_headers(retry_after)
+                                         : header_list{},
+                           "");
     }
 
     void arm_deadline_timer(exchange& request)
@@ -276,7 +284,8 @@
     void place(exchange& request)
     {
         const auto now = event_loop::now();
-        // After a suspension its time may have run out before its timer has.
+        // After a suspension of this process the deadline may have passed
+        // before its timer fires.
         if (now >= request.deadline)
             return on_deadline(request.number);
         if (request.possible_runs > 0 &&
@@ -290,17 +299,18 @@
                              make_placement_request(request, now), now);
         if (const auto* target = std::get_if<send_to>(&decision))
             return start_attempt(request, *target);
-        if (const auto* waits = std::get_if<wait_for_place>(&decision))
-            return enqueue(request, waits->why);
+        if (const auto* wait = std::get_if<wait_for_place>(&decision))
+            return enqueue(request, wait->why);
         if (request.possible_runs > 0)
             return give_up(request, "no other upstream takes it");
         refuse(request, std::get<refuse_request>(decision));
     }
 
-    /*! @brief Upstreams that end under a request get few copies of it. Sent on
-     * without an end, one request ended 47 upstreams in 16 s.
-     * @return Whether it may be placed now; otherwise it waits or is answered.
-     */
+    /*! @brief Limits how many copies of a request run while it is suspected of
+     * crashing upstreams. Without a limit, retries of one request crashed 47
+     * upstreams in 16 s.
+     * @return Whether it may be placed now; otherwise it was queued or
+     * answered. */
     bool passes_crash_guard(exchange& request, time_point now)
     {
         const auto status = guard.status(request.content, now);
@@ -308,7 +318,8 @@
         if (status == crash_standing::clear)
             return true;
         const auto max_running = guard.max_running(request.content, now);
-        // A trial is one attempt: that it failed may be all it was to show.
+        // A trial has one attempt: its failure may be the crash that it tests
+        // for.
         if (max_running == 0 || (request.is_trial && request.possible_runs > 0))
         {
             refuse_quarantined(request, now);
@@ -320,7 +331,8 @@
         return false;
     }
 
-    /*! @brief Enough upstreams ended under a request, whoever sent it on. */
+    /*! @brief Refuses a request that crashed enough upstreams, at whichever
+     * entry nodes, to be quarantined. */
     void refuse_quarantined(exchange& request, time_point now)
     {
         counters.count("requests_turned_away_total");
@@ -332,9 +344,10 @@
         send_refusal(request, left);
     }
 
-    /*! @brief Returns the upstreams of requests that may be what ended one. The
-     * next end then tells which of them it was: together they would all lose
-     * a second upstream, as eight requests of a crash did within 0.15 s. */
+    /*! @brief Returns the upstreams that run other suspects. Suspects are kept
+     * apart so that the next crash identifies the one that causes it: eight
+     * suspects that shared an upstream would otherwise crash a second one
+     * together, as they did within 0.15 s. */
     [[nodiscard]] std::vector<instance_id>
     upstreams_of_suspects(const exchange& request, time_point now) const
     {
@@ -345,28 +358,29 @@
             { return guard.is_suspect(other.content, now); });
     }
 
-    /*! @brief Copies of a request that is doubted run one after the other:
-     * each may end an upstream, and the first one tells. */
+    /*! @brief Queues a copy of a suspect while another copy runs. Copies run
+     * one at a time, since each may crash an upstream and the first result
+     * decides. */
     void queue_suspect(exchange& request, time_point now)
     {
-        const no_placement nowhere;
+        const no_placement no_reason;
         if (now - request.arrived_at < options.suspect_queue_time ||
             request.possible_runs > 0)
-            return enqueue(request, nowhere);
-        refuse(request, {nowhere, min_retry_after()});
+            return enqueue(request, no_reason);
+        refuse(request, {no_reason, min_retry_after()});
     }
 
-    /*! @brief A request was quarantined: its copies that wait at upstreams are
-     * taken back before they begin. One that gives events goes on: its answer
-     * would show that the request does no harm. */
+    /*! @brief Cancels copies of a quarantined request that have not returned an
+     * event. A copy that streams goes on: a complete response would show that
+     * the request is harmless. */
     void on_quarantined(const request_content& content)
     {
-        const auto waits = [&](const exchange& request)
+        const auto may_cancel = [&](const exchange& request)
         {
             return request.in_flight && !request.has_events &&
                    request.content == content;
         };
-        for (const auto number : open_requests.numbers_of(waits))
+        for (const auto number : open_requests.numbers_of(may_cancel))
             open_requests.with(number,
                                [this](exchange& request)
                                {
@@ -379,40 +393,40 @@
     [[nodiscard]] placement_request
     make_placement_request(const exchange& request, time_point now) const
     {
-        placement_request wanted;
-        wanted.service = request.service;
-        wanted.model = request.decoded.model;
-        wanted.prompt = request.decoded.prompt_tokens;
-        wanted.target = request.route->target;
-        wanted.standing = request.arrival;
-        wanted.since =
+        placement_request placement;
+        placement.service = request.service;
+        placement.model = request.decoded.model;
+        placement.prompt = request.decoded.prompt_tokens;
+        placement.target = request.route->target;
+        placement.standing = request.arrival;
+        placement.since =
             request.possible_runs > 0 ? request.failed_at : request.arrived_at;
-        wanted.ends = request.deadline;
-        wanted.must = request.response_begun;
-        wanted.excluded = request.tried_upstreams;
-        wanted.apart = upstreams_of_suspects(request, now);
-        wanted.again = request.upstream_errored;
+        placement.ends = request.deadline;
+        placement.must = request.response_begun;
+        placement.excluded = request.tried_upstreams;
+        placement.apart = upstreams_of_suspects(request, now);
+        placement.again = request.upstream_errored;
         if (!request.decoded.model.empty())
-            wanted.least_version = floor.least(request.decoded.model, now);
-        return wanted;
+            placement.least_version = floor.least(request.decoded.model, now);
+        return placement;
     }
 
-    void enqueue(exchange& request, const no_placement& why)
+    void enqueue(exchange& request, const no_placement& reason)
     {
         if (request.queued)
             return;
         request.queued = true;
         waiting.push(exchange_facts::queue_entry(request));
-        exchange_log::enqueued(request, why);
+        exchange_log::enqueued(request, reason);
     }
 
-    void refuse(exchange& request, const refuse_request& how)
+    void refuse(exchange& request, const refuse_request& refusal)
     {
-        exchange_log::refused(request, how.why, how.come_back);
-        send_refusal(request, how.come_back);
+        exchange_log::refused(request, refusal.why, refusal.come_back);
+        send_refusal(request, refusal.come_back);
     }
 
-    /*! @brief The final answer of a request that has not run. */
+    /*! @brief Sends 503 as the final response of a request that did not run. */
     void send_refusal(exchange& request, milliseconds retry_after)
     {
         counters.count("requests_refused_total", 1, {{"status", "503"}});
@@ -421,19 +435,19 @@
         erase(request);
     }
 
-    /*! @brief The caller may try again: whichever entry of the hall it comes
-     * to should know since when it waits. */
+    /*! @brief Records a refusal to be sent to the other entry nodes of the
+     * hall: the one that receives the retry counts the time already waited. */
     void record_refusal(const exchange& request, milliseconds retry_after)
     {
         const auto now = event_loop::now();
-        refused_try made;
-        made.what = request.fingerprint;
-        made.first = request.arrived_at - request.arrival.past.waited;
+        refused_try refusal;
+        refusal.what = request.fingerprint;
+        refusal.first = request.arrived_at - request.arrival.past.waited;
         if (request.decoded.deadline)
-            made.ends = request.arrived_at + *request.decoded.deadline;
-        made.refused = now;
-        made.due = now + retry_after;
-        decisions.sent_away(made, now);
+            refusal.ends = request.arrived_at + *request.decoded.deadline;
+        refusal.refused = now;
+        refusal.due = now + retry_after;
+        decisions.sent_away(refusal, now);
     }
 
     // --- One attempt -----------------------------------------------------
@@ -451,7 +465,7 @@
         request.has_events = false;
         request.in_flight = true;
         request.tried_upstreams.push_back(choice.upstream);
-        request.events.drop_rest();
+        request.events.discard_incomplete();
         const auto left =
             std::chrono::duration_cast<milliseconds>(request.deadline - now);
         attempt_metadata metadata;
@@ -469,7 +483,8 @@
         call.target = request.original.target;
         call.headers = Codec::attempt_headers(request.original, metadata);
         call.body = request.original.body;
-        // What may run once goes out on a connection that cannot be half dead.
+        // An at-most-once request needs a new connection, since a reused one
+        // may be closed at the other end.
         call.repeatable =
             request.route->repeatable() && !weights_expire_soon(request, now);
         book.begin(choice.upstream, request.attempt_id,
@@ -481,16 +496,17 @@
         arm_silence_timer(request);
     }
 
-    /*! @brief Tells whether the chosen weights soon become too old to begin a
-     * request. Such an attempt goes out on a new connection: a link that holds
-     * packets up shows in its opening, before anything is sent that would
-     * arrive, and begin, too late. */
+    /*! @brief Returns whether the chosen model version must soon stop starting
+     * requests. Such an attempt opens a new connection: if the link delays
+     * packets, the connection setup stalls, and the request is not sent too
+     * late. */
     [[nodiscard]] bool weights_expire_soon(const exchange& request,
                                            time_point now) const
     {
-        const auto ends =
+        const auto send_until =
             floor.ends(request.decoded.model, request.choice.version);
-        return ends && *ends - now < options.old_weights_reconnect_window;
+        return send_until &&
+               *send_until - now < options.old_weights_reconnect_window;
     }
 
     stream_client::callbacks make_callbacks(std::uint64_t number)
@@ -506,15 +522,17 @@
             open_requests.with(number, [&](exchange& request)
                                { on_data(request, bytes); });
         };
-        handlers.ended = [this, number](stream_end how, const std::string& why)
+        handlers.ended =
+            [this, number](stream_end end, const std::string& reason)
         {
             open_requests.with(number, [&](exchange& request)
-                               { on_end(request, how, why); });
+                               { on_end(request, end, reason); });
         };
         return handlers;
     }
 
-    /*! @brief Gives a stream's upstream up when it is silent for too long. */
+    /*! @brief Restarts the timer that cancels a resumable stream's attempt when
+     * no event arrives in time. */
     void arm_silence_timer(exchange& request)
     {
         if (request.route->kind != request_kind::stream ||
@@ -538,9 +556,10 @@
             });
     }
 
-    /*! @brief Returns how long an attempt's first event is waited for: a few
-     * times its prediction, and no longer than its weights may begin requests,
-     * since it may still stand in a queue when they have become too old. */
+    /*! @brief Returns the time to wait for an attempt's first event: a multiple
+     * of the predicted time. It is cut short where the chosen model version
+     * must stop starting requests, since the attempt may still be queued there.
+     */
     [[nodiscard]] std::chrono::microseconds
     first_event_timeout(const exchange& request) const
     {
@@ -548,11 +567,12 @@
             milliseconds(static_cast<std::int64_t>(
                 request.choice.predicted_ms * options.first_event_factor)) +
             options.first_event_slack;
-        const auto ends =
+        const auto send_until =
             floor.ends(request.decoded.model, request.choice.version);
-        if (ends)
-            limit = std::min(limit, *ends + options.old_weights_cancel_delay -
-                                        event_loop::now());
+        if (send_until)
+            limit =
+                std::min(limit, *send_until + options.old_weights_cancel_delay -
+                                    event_loop::now());
         return std::max(limit, std::chrono::microseconds(0));
     }
 
@@ -563,7 +583,8 @@
         if (metadata.id == request.decoded.id || metadata.not_run)
             return intake.apply_notice(request, metadata.notice,
                                        event_loop::now());
-        // The answer to another request: nothing on this connection is ours.
+        // The response belongs to another request, so nothing on this
+        // connection can be trusted.
         client.cancel(request.call);
         on_attempt_failed(request, attempt_failure::may_have_run,
                           "answer carries another request's id");
@@ -576,7 +597,7 @@
             request.response_body.append(bytes);
             return;
         }
-        const auto events = request.events.take(bytes);
+        const auto events = request.events.append(bytes);
         if (events.empty())
             return;
         if (!request.has_events)
@@ -608,16 +629,16 @@
                             Codec::response_headers(request.response_head));
     }
 
-    void on_end(exchange& request, stream_end how, const std::string& why)
+    void on_end(exchange& request, stream_end end, const std::string& reason)
     {
-        if (how == stream_end::closed)
+        if (end == stream_end::closed)
             report_lost_attempt(request, attempt_loss::closed);
-        if (how != stream_end::whole)
+        if (end != stream_end::whole)
             return on_attempt_failed(request,
-                                     how == stream_end::not_sent
+                                     end == stream_end::not_sent
                                          ? attempt_failure::not_sent
                                          : attempt_failure::may_have_run,
-                                     why);
+                                     reason);
         const auto metadata = Codec::decode_response(request.response_head);
         if (metadata.not_run)
             return on_attempt_failed(
@@ -632,7 +653,8 @@
         on_response(request);
     }
 
-    /*! @brief An attempt was lost. An upstream that is leaving may end. */
+    /*! @brief Reports a lost attempt as a possible crash, unless the upstream
+     * is draining and may exit as planned. */
     void report_lost_attempt(const exchange& request, attempt_loss cause)
     {
         const auto* known = book.find(request.choice.upstream);
@@ -646,14 +668,15 @@
 
     void finish_stream(exchange& request)
     {
-        const auto rest = request.events.rest();
+        const auto incomplete_event = request.events.incomplete();
         begin_response(request);
-        request.reply.write(rest);
+        request.reply.write(incomplete_event);
         request.reply.finish();
         complete(request, true, "answered");
     }
 
-    /*! @brief A whole answer that is not a stream. */
+    /*! @brief Handles a complete response that is not forwarded as a stream of
+     * events. */
     void on_response(exchange& request)
     {
         const int status = request.response_head.status;
@@ -671,11 +694,12 @@
             return abort_response(request, "upstream answered " +
                                                std::to_string(status) +
                                                " to a stream that goes on");
-        // These would promise that the request did not run; only an upstream
-        // that says so may be passed on.
-        constexpr std::array<int, 4> promises{408, 421, 429, 503};
-        if (std::find(promises.begin(), promises.end(), status) !=
-            promises.end())
+        // Callers take these statuses as a promise that the request did not
+        // run. They are passed on only with the upstream's statement that it
+        // did not.
+        constexpr std::array<int, 4> promise_not_run{408, 421, 429, 503};
+        if (std::find(promise_not_run.begin(), promise_not_run.end(), status) !=
+            promise_not_run.end())
         {
             request.reply.send(502, {}, "");
             return complete(request, false,
@@ -690,9 +714,10 @@
 
     // --- Failure ---------------------------------------------------------
 
-    /*! @brief An attempt failed: it is sent again where that is allowed. */
+    /*! @brief Handles a failed attempt: retries where the route and the retry
+     * budget allow it, else sends the final response. */
     void on_attempt_failed(exchange& request, attempt_failure failure,
-                           const std::string& why)
+                           const std::string& reason)
     {
         const auto now = event_loop::now();
         const bool may_have_run = failure == attempt_failure::may_have_run ||
@@ -706,32 +731,35 @@
                  now);
         counters.count("attempts_failed_total", 1,
                        {{"may_have_run", may_have_run ? "true" : "false"}});
-        const bool again =
+        const bool may_retry =
             may_have_run ? exchange_facts::may_repeat(request)
                          : request.tried_upstreams.size() < max_total_attempts;
         request.failed_at = now;
         if (may_have_run)
             ++request.possible_runs;
-        // What never arrived costs the service nothing.
-        const bool paid = again && (failure == attempt_failure::not_sent ||
-                                    budgets.of(request.service).spend(now));
-        exchange_log::attempt_failed(request, why, may_have_run, paid, now);
-        if (paid)
+        // An attempt that was never sent adds no load, so it needs no budget.
+        const bool retrying =
+            may_retry && (failure == attempt_failure::not_sent ||
+                          budgets.of(request.service).spend(now));
+        exchange_log::attempt_failed(request, reason, may_have_run, retrying,
+                                     now);
+        if (retrying)
             return place(request);
-        give_up(request, again ? "retry budget is spent" : why);
+        give_up(request, may_retry ? "retry budget is spent" : reason);
     }
 
-    /*! @brief Returns when a caller may come back that no overload refused. */
+    /*! @brief Returns the retry delay for refusals that are not due to
+     * overload. */
     [[nodiscard]] milliseconds min_retry_after() const
     {
         return options.dispatch.admission.least_retry_after;
     }
 
-    /*! @brief No attempt is left: the final answer, at once. */
-    void give_up(exchange& request, const std::string& why)
+    /*! @brief Sends the final response when no further attempt is possible. */
+    void give_up(exchange& request, const std::string& reason)
     {
         if (request.response_begun)
-            return abort_response(request, why);
+            return abort_response(request, reason);
         if (request.error_response_head &&
             request.error_response_head->status != 503)
         {
@@ -739,7 +767,7 @@
                 request.error_response_head->status,
                 Codec::response_headers(*request.error_response_head),
                 request.error_response_body);
-            log_failure(request, "failed", why);
+            log_failure(request, "failed", reason);
             return erase(request);
         }
         const bool not_run = request.possible_runs == 0;
@@ -750,14 +778,14 @@
         if (not_run || request.route->repeatable())
             record_refusal(request,
                            not_run ? min_retry_after() : milliseconds(0));
-        log_failure(request, not_run ? "not run" : "unknown", why);
+        log_failure(request, not_run ? "not run" : "unknown", reason);
         erase(request);
     }
 
-    void abort_response(exchange& request, const std::string& why)
+    void abort_response(exchange& request, const std::string& reason)
     {
         request.reply.cut();
-        log_failure(request, "cut", why);
+        log_failure(request, "cut", reason);
         erase(request);
     }
 
@@ -804,7 +832,7 @@
 
     // --- End -------------------------------------------------------------
 
-    void complete(exchange& request, bool succeeded, const std::string& how)
+    void complete(exchange& request, bool succeeded, const std::string& outcome)
     {
         if (succeeded)
             guard.record_response(request.content);
@@ -815,16 +843,16 @@
         counters.count(
             "requests_answered_total", 1,
             {{"status", std::to_string(request.response_head.status)}});
-        exchange_log::answered(request, how, event_loop::now());
+        exchange_log::answered(request, outcome, event_loop::now());
         erase(request);
     }
 
     void log_failure(exchange& request, std::string_view outcome,
-                     const std::string& why)
+                     const std::string& reason)
     {
         counters.count("requests_failed_total", 1,
                        {{"outcome", std::string(outcome)}});
-        exchange_log::failed(request, outcome, why, event_loop::now());
+        exchange_log::failed(request, outcome, reason, event_loop::now());
     }
 
     void dequeue(exchange& request)
@@ -846,7 +874,8 @@
     static constexpr const char* quarantine_reason =
         "the request is quarantined: upstreams ended under it";
 
-    /*! @brief Attempts at most, those that certainly did not run included. */
+    /*! @brief Maximum number of attempts of a request, including attempts that
+     * provably did not run. */
     static constexpr std::size_t max_total_attempts = 3;
 
     event_loop& loop;
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -1,7 +1,6 @@
 /*! @file
- * @brief The entry role: takes callers' requests, says whether it is ready,
- * and stops without cutting anything.
- */
+ * @brief The entry node: accepts callers' requests, reports whether it is
+ * ready, and shuts down without cutting connections short. */
 #ifndef COURSEJUNCTION_PROXY_GATEWAY_HPP
 #define COURSEJUNCTION_PROXY_GATEWAY_HPP
 
@@ -31,24 +30,26 @@
 namespace coursejunction
 {
 
-/*! @brief Addresses and times of an entry. */
+/*! @brief Addresses and timeouts of an entry node. */
 struct gateway_options
 {
-    std::string listen_address; /*!< `IP:port` for callers. */
-    std::string
-        readiness_address; /*!< `IP:port` for the balancer's question. */
+    std::string listen_address;    /*!< `IP:port` where callers connect. */
+    std::string readiness_address; /*!< `IP:port` of the load balancer's health
+                                      check. */
     std::string readiness_path;
-    /*! @brief Time after which older weights take no request any more:
-     * `version_times::send_until`. */
+    /*! @brief How long after a version was published older ones may start
+     * requests: `version_times::send_until`. */
     milliseconds old_weights_grace{6000};
-    /*! @brief A stop that takes longer is ended by force. */
+    /*! @brief After this time a shutdown closes the remaining connections. */
     milliseconds stop_grace{8000};
     exchange_options exchange;
     placement_weights placement;
 };
 
-/*! @brief Serves callers.
- * @tparam Platform Names the `store`, `catalogue`, `codec` and `origin`. */
+/*! @brief Serves callers: connects the store's state and the peers' heartbeats
+ * to an `exchange_service`.
+ * @tparam Platform Provides the types `store`, `catalogue`, `codec` and
+ * `origin`. */
 template <typename Platform>
 class gateway
 {
@@ -57,28 +58,29 @@
     using node_type = fleet_node<typename Platform::store>;
 
     /*! @brief Opens the ports.
-     * @return The entry, or `unavailable`. */
+     * @return The entry node, or `unavailable`. */
     [[nodiscard]] static result<std::unique_ptr<gateway>>
     create(event_loop& loop, node_type& node, metrics& counters,
            gateway_options options)
     {
-        std::unique_ptr<gateway> made(
+        std::unique_ptr<gateway> entry(
             new gateway(loop, node, counters, std::move(options)));
-        auto opened = made->open();
+        auto opened = entry->open();
         if (!opened)
             return failure(opened.error().kind, opened.error().message);
-        return made;
+        return entry;
     }
 
-    /*! @brief Starts to act. */
+    /*! @brief Starts reading the store, exchanging heartbeats with peers and
+     * the periodic work. */
     void start()
     {
         fleet_hooks hooks;
         hooks.changed =
             [this](const std::vector<std::string>& keys, bool store_returned)
         { on_keys_changed(keys, store_returned); };
-        hooks.overwritten = [this](const message::mirror_item& one)
-        { fleet.pass(one, event_loop::now()); };
+        hooks.overwritten = [this](const message::mirror_item& item)
+        { fleet.pass(item, event_loop::now()); };
         hooks.heard = [this](const std::string& from,
                              const message::fleet_heartbeat& heartbeat)
         { on_heartbeat(from, heartbeat); };
@@ -102,7 +104,8 @@
         tick_timer = loop.every(tick_interval, [this] { tick(); });
     }
 
-    /*! @brief Begins a planned stop; `done` is called when nothing is open. */
+    /*! @brief Begins a graceful shutdown. `done` is called when no request is
+     * open, or just before `stop_grace` is over. */
     void stop(std::function<void()> done)
     {
         if (stopping)
@@ -126,32 +129,37 @@
     }
 
 private:
-    /*! @brief How often lapses, readiness and a stop are looked at. */
+    /*! @brief Interval of expiry, of writing keys that the store lost, and of
+     * the steps of a shutdown. */
     static constexpr milliseconds tick_interval{100};
 
-    /*! @brief After peers have known more for this long, the configuration here
-     * counts as old: changes take 0.1 to 0.6 s to come, and 2 s are allowed. */
+    /*! @brief The configuration counts as outdated when peers have been ahead
+     * for this long. Changes take 0.1 to 0.6 s to arrive, and 2 s are allowed.
+     */
     static constexpr milliseconds outdated_after{1000};
 
-    /*! @brief Idle connections are closed this long after a stop began: the
-     * balancer asks each second and believes the second miss, so that no new
-     * ones come, and every answer since has told its caller to leave. */
+    /*! @brief Idle connections are closed this long after a shutdown began. The
+     * load balancer checks each second and stops routing here after the second
+     * failure, so no new connections arrive by then, and every response since
+     * has told its caller to leave. */
     static constexpr milliseconds idle_close_delay{2600};
 
-    /*! @brief Requests that come later are refused: a stream that begins now
-     * may not end before the process must. */
+    /*! @brief Requests that arrive later than this after a shutdown began are
+     * refused: a stream that began then might not end before the process must
+     * exit. */
     static constexpr milliseconds accept_until{2800};
 
-    /*! @brief Requests a second that an entry counts for at least: one whose
-     * callers have asked nothing yet has a place for the first of them. An
-     * engine of the installations ends 4.8 a second. */
+    /*! @brief Minimum requests per second that an entry node counts for when
+     * engines are divided, so that one without requests so far can place its
+     * first one. An engine of the installations completes 4.8 per second. */
     static constexpr double min_demand{0.5};
 
-    /*! @brief Refusals in one heartbeat, so that it fits a packet; more wait
-     * for the next tick. */
+    /*! @brief Maximum number of refusals in one heartbeat, so that it fits into
+     * a packet. The rest waits for the next tick. */
     static constexpr std::size_t max_refusals_per_heartbeat = 48;
 
-    /*! @brief What is left of the grace when the rest is cut. */
+    /*! @brief The remaining connections are cut this long before `stop_grace`
+     * is over. */
     static constexpr milliseconds forced_stop_margin{250};
 
     gateway(event_loop& owner, node_type& peers, metrics& counted,
@@ -170,7 +178,7 @@
     {
     }
 
-    /*! @brief Returns a number that differs between entries. */
+    /*! @brief Returns a seed that differs between entry nodes. */
     [[nodiscard]] static std::uint32_t jitter_seed(const node_type& node)
     {
         return static_cast<std::uint32_t>(stable_hash(node.settings().address));
@@ -178,30 +186,33 @@
 
     result<bool> open()
     {
-        auto made =
+        auto caller_server =
             listen(options.listen_address,
                    [this](stream_request request, stream_reply reply)
                    { handle_request(std::move(request), std::move(reply)); });
-        if (!made)
-            return failure(made.error().kind, made.error().message);
-        callers = std::move(made.value());
-        auto asked = listen(options.readiness_address,
-                            [this](const stream_request&, stream_reply reply)
-                            { reply.send(ready() ? 200 : 503, {}, ""); });
-        if (!asked)
-            return failure(asked.error().kind, asked.error().message);
-        readiness = std::move(asked.value());
+        if (!caller_server)
+            return failure(caller_server.error().kind,
+                           caller_server.error().message);
+        callers = std::move(caller_server.value());
+        auto readiness_server =
+            listen(options.readiness_address,
+                   [this](const stream_request&, stream_reply reply)
+                   { reply.send(ready() ? 200 : 503, {}, ""); });
+        if (!readiness_server)
+            return failure(readiness_server.error().kind,
+                           readiness_server.error().message);
+        readiness = std::move(readiness_server.value());
         return true;
     }
 
-    result<std::unique_ptr<stream_server>> listen(const std::string& address,
-                                                  stream_server::handler call)
+    result<std::unique_ptr<stream_server>>
+    listen(const std::string& address, stream_server::handler handler)
     {
         const auto colon = address.rfind(':');
         const auto port = static_cast<std::uint16_t>(
             std::strtoul(address.c_str() + colon + 1, nullptr, 10));
         return stream_server::create(loop, address.substr(0, colon), port, {},
-                                     std::move(call));
+                                     std::move(handler));
     }
 
     void handle_request(stream_request request, stream_reply reply)
@@ -219,42 +230,45 @@
         exchanges.handle_request(std::move(request), std::move(reply));
     }
 
-    /*! @brief Ready means: knows what to do with a request. */
+    /*! @brief Returns whether this node can handle a request. */
     [[nodiscard]] bool ready() const
     {
         return !stopping && fleet.rules() != nullptr;
     }
 
-    /*! @param store_returned Whether records that are gone may come back. */
+    /*! @brief Applies changed keys of the store.
+     * @param store_returned Whether the store is reachable again after an
+     * outage, so that missing records may come back. */
     void on_keys_changed(const std::vector<std::string>& keys,
                          bool store_returned)
     {
         const auto now = event_loop::now();
-        const auto* before = fleet.rules();
+        const auto* previous = fleet.rules();
         load_quarantines(keys);
-        for (const auto& one : fleet.update(node.mirror(), keys))
+        for (const auto& change : fleet.update(node.mirror(), keys))
         {
-            if (one.removed)
-                remove_upstream(one, store_returned, now);
+            if (change.removed)
+                remove_upstream(change, store_returned, now);
             else
-                update_upstream(fleet.upstreams().at(one.id));
+                update_upstream(fleet.upstreams().at(change.id));
             log::state("upstream_changed",
-                       {{"upstream", one.id.value()},
-                        {"life", std::to_string(one.life.value())},
-                        {"removed", one.removed ? "true" : "false"},
+                       {{"upstream", change.id.value()},
+                        {"life", std::to_string(change.life.value())},
+                        {"removed", change.removed ? "true" : "false"},
                         {"lapse", store_returned ? "true" : "false"}});
         }
-        versions.on_keys_changed(before == nullptr, now);
-        if (fleet.rules() != before)
+        versions.on_keys_changed(previous == nullptr, now);
+        if (fleet.rules() != previous)
             configure();
-        const auto* rules = fleet.rules();
-        configuration_copies.read(keys, rules == nullptr ? 0 : rules->version);
+        const auto* configuration = fleet.rules();
+        configuration_copies.read(
+            keys, configuration == nullptr ? 0 : configuration->version);
         register_sidecars();
     }
 
-    /*! @brief Takes in quarantines that the store keeps. They come with the
-     * configuration: an entry that has just started knows them before it takes
-     * a request. */
+    /*! @brief Loads quarantines that the store keeps. They arrive together with
+     * the configuration, so a new process knows them before it takes a request.
+     */
     void load_quarantines(const std::vector<std::string>& keys)
     {
         for (const auto& key : keys)
@@ -263,16 +277,17 @@
             if (value == nullptr ||
                 Platform::catalogue::kind(key) != item_kind::quarantine)
                 continue;
-            const auto read = read_quarantine(key, value->payload, unix_ms());
-            if (read)
-                exchanges.crashes().restore_quarantine(read.value());
+            const auto record = read_quarantine(key, value->payload, unix_ms());
+            if (record)
+                exchanges.crashes().restore_quarantine(record.value());
             else
                 log::warning("quarantine_unreadable",
-                             {{"key", key}, {"why", read.error().message}});
+                             {{"key", key}, {"why", record.error().message}});
         }
     }
 
-    /*! @param record Nothing where the quarantine is over. */
+    /*! @brief Writes the record of a quarantine to the store, or removes it.
+     * @param record Null if the quarantine is over. */
     void persist_quarantine(const request_content& content,
                             const message::crash_record* record)
     {
@@ -282,8 +297,9 @@
             quarantines.drop(content);
     }
 
-    /*! @brief Writes quarantines again that the store lost by coming back from
-     * an older copy: an entry that starts now would not know them. */
+    /*! @brief Writes quarantines again that were lost when the store was
+     * restored from an older snapshot. An entry node that starts now would not
+     * know them. */
     void rewrite_lost_quarantines(std::size_t rank, time_point now)
     {
         if (!quarantine_restores.due(node.mirror().position(), rank, now))
@@ -307,28 +323,29 @@
             .count();
     }
 
-    void remove_upstream(const upstream_change& one, bool store_returned,
+    void remove_upstream(const upstream_change& change, bool store_returned,
                          time_point now)
     {
-        const auto* known = book.find(one.id);
+        const auto* known = book.find(change.id);
         const bool expected = known == nullptr || known->leaving();
-        if (!expected && !store_returned && !one.malformed)
-            exchanges.crashes().record_expired(one.id);
-        book.remove(one.id, store_returned && !one.malformed, now);
+        if (!expected && !store_returned && !change.malformed)
+            exchanges.crashes().record_expired(change.id);
+        book.remove(change.id, store_returned && !change.malformed, now);
     }
 
-    void update_upstream(const upstream_record& one)
+    void update_upstream(const upstream_record& record)
     {
-        exchanges.crashes().address_reassigned(one.id, one.address);
-        if (const auto ended = book.record(one))
-            exchanges.upstream_restarted(*ended);
+        exchanges.crashes().address_reassigned(record.id, record.address);
+        if (const auto restarted = book.record(record))
+            exchanges.upstream_restarted(*restarted);
     }
 
     void update_status(const std::string& host,
-                       const message::upstream_status& told, time_point at)
+                       const message::upstream_status& status,
+                       time_point sent_at)
     {
-        for (const auto& one : book.status(host, told, at))
-            exchanges.upstream_restarted(one);
+        for (const auto& restarted : book.status(host, status, sent_at))
+            exchanges.upstream_restarted(restarted);
     }
 
     void configure()
@@ -337,17 +354,18 @@
         callers->limits(fleet.rules()->limits);
     }
 
-    /*! @brief Sides stand beside the upstreams that have an engine. */
+    /*! @brief Registers the sidecars; each upstream that has an engine has one
+     * on its host. */
     void register_sidecars()
     {
-        const auto* rules = fleet.rules();
-        if (rules == nullptr)
+        const auto* configuration = fleet.rules();
+        if (configuration == nullptr)
             return;
-        for (const auto& [id, one] : fleet.upstreams())
+        for (const auto& [id, upstream] : fleet.upstreams())
         {
-            const auto* service = rules->service(one.service);
+            const auto* service = configuration->service(upstream.service);
             if (service != nullptr && service->engine)
-                node.name_side(host_of(one.address), one.hall);
+                node.name_side(host_of(upstream.address), upstream.hall);
         }
     }
 
@@ -355,16 +373,17 @@
                       const message::fleet_heartbeat& heartbeat)
     {
         const auto now = event_loop::now();
-        for (const auto& told : heartbeat.digest.sides)
-            update_status(address_text(told.address),
-                          status_in(heartbeat.digest, told),
-                          now - milliseconds(told.age_ms));
+        for (const auto& sidecar : heartbeat.digest.sides)
+            update_status(address_text(sidecar.address),
+                          status_in(heartbeat.digest, sidecar),
+                          now - milliseconds(sidecar.age_ms));
         if (heartbeat.entry)
         {
-            for (const auto& told : heartbeat.refusals)
-                exchanges.record_remote_refusal(decode_refusal(told, now), now);
-            for (const auto& told : heartbeat.terms)
-                exchanges.notices().apply_reported_terms(told, from, now);
+            for (const auto& refusal : heartbeat.refusals)
+                exchanges.record_remote_refusal(decode_refusal(refusal, now),
+                                                now);
+            for (const auto& terms : heartbeat.terms)
+                exchanges.notices().apply_reported_terms(terms, from, now);
             versions.merge_reported(heartbeat.versions, now);
             return exchanges.crashes().merge_records(heartbeat.crashes, from);
         }
@@ -376,31 +395,31 @@
     [[nodiscard]] std::vector<message::refused_caller> take_refusals_to_send()
     {
         const auto now = event_loop::now();
-        std::vector<message::refused_caller> told;
-        for (const auto& one :
+        std::vector<message::refused_caller> messages;
+        for (const auto& refusal :
              exchanges.take_unsent_refusals(max_refusals_per_heartbeat))
-            told.push_back(encode_refusal(one, now));
-        return told;
+            messages.push_back(encode_refusal(refusal, now));
+        return messages;
     }
 
-    /*! @brief All entries agree on the one that runs the trials of a request,
-     * by a rendezvous among those that live. */
+    /*! @brief Returns whether this node runs the trials of a request. All entry
+     * nodes choose the same live one by rendezvous hashing. */
     [[nodiscard]] bool owns_trials(const request_content& content) const
     {
         const auto now = event_loop::now();
         const auto key = content.hex();
         const auto own = rendezvous_weight(key, node.settings().address);
-        for (const auto& [address, one] : node.peers().all())
+        for (const auto& [address, peer] : node.peers().all())
         {
-            if (one.entry && !one.last.leaving &&
-                peer_directory::alive(one, now) &&
+            if (peer.entry && !peer.last.leaving &&
+                peer_directory::alive(peer, now) &&
                 rendezvous_weight(key, address) > own)
                 return false;
         }
         return !stopping;
     }
 
-    /*! @brief Adds what this entry's callers ask to a heartbeat, and versions
+    /*! @brief Adds this node's request rates to a heartbeat, and the versions
      * that the store does not show. */
     void fill_heartbeat(message::fleet_heartbeat& heartbeat) const
     {
@@ -412,31 +431,32 @@
         heartbeat.load.demanded = static_cast<float>(rates.demanded);
     }
 
-    /*! @brief Takes in what the other entries tell of their callers. */
+    /*! @brief Divides the engines between the entry nodes according to their
+     * demand. */
     void divide_engines(time_point now)
     {
         const auto& self = node.settings();
         std::vector<entry_demand> demands{make_demand(
             self.hall, self.address, exchanges.rates(now).demanded)};
         request_rates others;
-        for (const auto& [address, one] : node.peers().all())
+        for (const auto& [address, peer] : node.peers().all())
         {
-            if (!one.entry || one.last.leaving ||
-                !peer_directory::alive(one, now))
+            if (!peer.entry || peer.last.leaving ||
+                !peer_directory::alive(peer, now))
                 continue;
-            const auto& told = one.last.load;
+            const auto& load = peer.last.load;
             demands.push_back(
-                make_demand(hall_id(one.last.hall), address, told.demanded));
-            others.asked += told.asked;
-            others.refused += told.refused;
+                make_demand(hall_id(peer.last.hall), address, load.demanded));
+            others.asked += load.asked;
+            others.refused += load.refused;
         }
         exchanges.set_other_entries_rates(others, now);
-        // An entry that stops has no share: the others count without it.
+        // A node that shuts down has no share; the others count without it.
         book.share_limits(stopping ? std::string{} : self.address, demands,
                           now);
         book.divide(stretch_of(self.address, demands),
-                    [&](const known_upstream& one)
-                    { return exchanges.accepts_new_requests(one, now); });
+                    [&](const known_upstream& upstream)
+                    { return exchanges.accepts_new_requests(upstream, now); });
     }
 
     [[nodiscard]] static entry_demand
@@ -466,7 +486,7 @@
             restore_lost_keys(now);
     }
 
-    /*! @brief Writes what the store lacks. */
+    /*! @brief Rewrites keys that the store lost. */
     void restore_lost_keys(time_point now)
     {
         const auto rank =
--- a/src/coursejunction/proxy/notice_intake.hpp
+++ b/src/coursejunction/proxy/notice_intake.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Takes in what upstreams say of themselves, here and elsewhere.
- */
+ * @brief Applies what upstreams report about themselves, in responses here or
+ * at other entry nodes. */
 #ifndef COURSEJUNCTION_PROXY_NOTICE_INTAKE_HPP
 #define COURSEJUNCTION_PROXY_NOTICE_INTAKE_HPP
 
@@ -15,7 +15,8 @@
 namespace coursejunction
 {
 
-/*! @brief Keeps the terms of upstreams, tells changes and counts notices. */
+/*! @brief Updates the terms on which upstreams take requests, logs changes and
+ * counts notices. */
 class notice_intake
 {
 public:
@@ -24,9 +25,9 @@
     {
     }
 
-    /*! @brief Takes what an answer says of its upstream. Its head tells it: a
-     * stream may end seconds later.
-     * @param one The request, with the head of the answer. */
+    /*! @brief Applies the notice in a response. It is read from the head of the
+     * response, since a stream may end seconds later.
+     * @param request The request, with the head of the response. */
     void apply_notice(const exchange& request, const upstream_notice& notice,
                       time_point now)
     {
@@ -40,8 +41,8 @@
         exchange_log::notice_received(request, notice);
     }
 
-    /*! @brief Takes what an answer told another entry.
-     * @param from Address of that entry. */
+    /*! @brief Applies terms that another entry node received.
+     * @param from Address of that entry node. */
     void apply_reported_terms(const message::upstream_terms& reported,
                               const std::string& from, time_point now)
     {
--- a/src/coursejunction/proxy/open_exchanges.hpp
+++ b/src/coursejunction/proxy/open_exchanges.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief The requests of an entry that are not answered yet.
- */
+ * @brief The requests of an entry node that have no final response yet. */
 #ifndef COURSEJUNCTION_PROXY_OPEN_EXCHANGES_HPP
 #define COURSEJUNCTION_PROXY_OPEN_EXCHANGES_HPP
 
@@ -18,7 +17,8 @@
 namespace coursejunction
 {
 
-/*! @brief Requests by number; what is done with one may end others. */
+/*! @brief Open requests by number. A callback on one request may erase others,
+ * so requests are looked up again by number. */
 class open_exchanges
 {
 public:
@@ -32,7 +32,7 @@
 
     [[nodiscard]] std::size_t size() const { return requests.size(); }
 
-    /*! @brief Returns the numbers of the requests that fit. */
+    /*! @brief Returns the numbers of the requests that satisfy a predicate. */
     template <typename Predicate>
     [[nodiscard]] std::vector<std::uint64_t>
     numbers_of(Predicate predicate) const
@@ -46,7 +46,7 @@
         return numbers;
     }
 
-    /*! @brief Calls with a request, if it is still open. */
+    /*! @brief Calls back with a request if it is still open. */
     template <typename Callback>
     void with(std::uint64_t number, Callback callback)
     {
@@ -57,7 +57,8 @@
         callback(*request);
     }
 
-    /*! @brief Returns how many other copies of a request are with upstreams. */
+    /*! @brief Returns how many other requests with the same content are at
+     * upstreams. */
     [[nodiscard]] std::size_t running_copies(const exchange& request) const
     {
         return static_cast<std::size_t>(
@@ -69,7 +70,8 @@
                           }));
     }
 
-    /*! @brief Returns the upstreams of the other requests that fit. */
+    /*! @brief Returns the upstreams of the other requests that satisfy a
+     * predicate. */
     template <typename Predicate>
     [[nodiscard]] std::vector<instance_id>
     upstreams_of_others(const exchange& request, Predicate predicate) const
--- a/src/coursejunction/proxy/refusal_messages.hpp
+++ b/src/coursejunction/proxy/refusal_messages.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief Turns refusals into what entries of a hall tell each other; pure.
- * Steady clocks differ between processes, so times go as spans.
- */
+ * @brief Converts refusals to and from the messages that entry nodes of a hall
+ * exchange. Steady clocks differ between processes, so messages carry durations
+ * instead of times. */
 #ifndef COURSEJUNCTION_PROXY_REFUSAL_MESSAGES_HPP
 #define COURSEJUNCTION_PROXY_REFUSAL_MESSAGES_HPP
 
@@ -16,7 +16,8 @@
 namespace coursejunction
 {
 
-/*! @brief Returns a span in whole ms, from none to what the wire carries. */
+/*! @brief Returns a duration in whole milliseconds, limited to the range of the
+ * message field. */
 [[nodiscard]] inline std::uint32_t wire_ms(std::chrono::microseconds span)
 {
     const auto ms = std::chrono::duration_cast<milliseconds>(span).count();
@@ -24,31 +25,31 @@
         ms, 0, std::numeric_limits<std::uint32_t>::max()));
 }
 
-/*! @brief Returns what to tell of a refusal. */
+/*! @brief Returns the message for a refusal. */
 [[nodiscard]] inline message::refused_caller
-encode_refusal(const refused_try& one, time_point now)
+encode_refusal(const refused_try& refusal, time_point now)
 {
-    message::refused_caller made;
-    made.fingerprint = one.what.value();
-    made.waited_ms = wire_ms(now - one.first);
-    if (one.ends)
-        made.left_ms = std::max(wire_ms(*one.ends - now), 1U);
-    made.due_ms = wire_ms(one.due - now);
-    return made;
+    message::refused_caller encoded;
+    encoded.fingerprint = refusal.what.value();
+    encoded.waited_ms = wire_ms(now - refusal.first);
+    if (refusal.ends)
+        encoded.left_ms = std::max(wire_ms(*refusal.ends - now), 1U);
+    encoded.due_ms = wire_ms(refusal.due - now);
+    return encoded;
 }
 
-/*! @brief Reads what another entry told of a refusal. */
+/*! @brief Returns the refusal that another entry node reported. */
 [[nodiscard]] inline refused_try
-decode_refusal(const message::refused_caller& told, time_point now)
+decode_refusal(const message::refused_caller& received, time_point now)
 {
-    refused_try made;
-    made.what = request_fingerprint(told.fingerprint);
-    made.first = now - milliseconds(told.waited_ms);
-    if (told.left_ms > 0)
-        made.ends = now + milliseconds(told.left_ms);
-    made.refused = now;
-    made.due = now + milliseconds(told.due_ms);
-    return made;
+    refused_try refusal;
+    refusal.what = request_fingerprint(received.fingerprint);
+    refusal.first = now - milliseconds(received.waited_ms);
+    if (received.left_ms > 0)
+        refusal.ends = now + milliseconds(received.left_ms);
+    refusal.refused = now;
+    refusal.due = now + milliseconds(received.due_ms);
+    return refusal;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/request_codec.hpp
+++ b/src/coursejunction/proxy/request_codec.hpp
@@ -1,7 +1,6 @@
 /*! @file
- * @brief What an edge tells of requests and answers, whatever its headers are
- * called.
- */
+ * @brief What the headers of requests and responses carry, independent of the
+ * headers' names. */
 #ifndef COURSEJUNCTION_PROXY_REQUEST_CODEC_HPP
 #define COURSEJUNCTION_PROXY_REQUEST_CODEC_HPP
 
@@ -20,7 +19,7 @@
 namespace coursejunction
 {
 
-/*! @brief A caller's request as far as decisions need it. */
+/*! @brief The decoded fields of a caller's request. */
 struct caller_request
 {
     request_id id;
@@ -30,35 +29,40 @@
     std::optional<std::string> api_key;
     std::string model; /*!< Empty for plain requests. */
     double prompt_tokens{0};
-    double max_output_tokens{0}; /*!< Largest answer. */
+    double max_output_tokens{0}; /*!< Limit on the length of the response. */
     double expected_output_tokens{
-        0};                   /*!< The caller's estimate; 0 when not told. */
-    std::string prompt_parts; /*!< Names of the prompt's parts, as told. */
+        0}; /*!< The caller's estimate of the response's length; 0 if none was
+               given. */
+    std::string prompt_parts; /*!< Ids of the prompt's parts with their lengths,
+                                 as sent by the caller. */
     std::optional<std::uint64_t> last_event_id;
 };
 
-/*! @brief What one attempt tells its upstream. */
+/*! @brief What the headers of one attempt carry to its upstream. */
 struct attempt_metadata
 {
     instance_id upstream;
     std::optional<organisation_id> organisation;
     milliseconds time_left{0};
-    std::uint64_t expected_version{0}; /*!< Expected weights; 0 for any. */
+    std::uint64_t expected_version{
+        0}; /*!< Model version the upstream must serve; 0 for any. */
     std::optional<std::uint64_t> last_event_id;
-    urgency priority{usual_urgency}; /*!< Towards others that wait there. */
+    urgency priority{usual_urgency}; /*!< Priority in the upstream's queue. */
 };
 
-/*! @brief What an upstream's answer tells. */
+/*! @brief The decoded headers of an upstream's response. */
 struct response_metadata
 {
     request_id id;
-    bool not_run{false}; /*!< The upstream says that it did not run it. */
+    bool not_run{
+        false}; /*!< The upstream states that it did not run the request. */
     bool has_signature{false};
     bool is_event_stream{false};
     upstream_notice notice;
 };
 
-/*! @brief Decodes callers' requests and encodes attempts; pure. */
+/*! @brief Decodes requests and responses and encodes attempts. Its functions
+ * are pure. */
 template <typename Codec>
 concept Request_codec = requires(const stream_request& request,
                                  const attempt_metadata& attempt,
--- a/src/coursejunction/proxy/retry_budgets.hpp
+++ b/src/coursejunction/proxy/retry_budgets.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief Bounds the retries of each service.
- */
+ * @brief Limits the retries of each service. */
 #ifndef COURSEJUNCTION_PROXY_RETRY_BUDGETS_HPP
 #define COURSEJUNCTION_PROXY_RETRY_BUDGETS_HPP
 
@@ -15,7 +14,8 @@
 namespace coursejunction
 {
 
-/*! @brief One window a service; the reserve is shared by all entries. */
+/*! @brief Holds one retry window for each service. The reserve is divided
+ * between all entry nodes. */
 class retry_budgets
 {
 public:
@@ -24,13 +24,13 @@
     {
     }
 
-    /*! @brief Tells how many entries share the reserve. */
+    /*! @brief Sets the number of entry nodes that share the reserve. */
     void set_entry_count(std::size_t count)
     {
         entry_count = std::max<std::size_t>(count, 1);
     }
 
-    /*! @brief Returns the window of a service. */
+    /*! @brief Returns the retry window of a service. */
     [[nodiscard]] retry_window& of(const service_name& service)
     {
         auto own = limits;
--- a/src/coursejunction/proxy/terms_messages.hpp
+++ b/src/coursejunction/proxy/terms_messages.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief Turns terms of upstreams into what entries tell each other; pure.
- * Steady clocks differ between processes, so times go as spans.
- */
+ * @brief Converts upstreams' terms to and from the messages that entry nodes
+ * exchange. Steady clocks differ between processes, so messages carry durations
+ * instead of times. */
 #ifndef COURSEJUNCTION_PROXY_TERMS_MESSAGES_HPP
 #define COURSEJUNCTION_PROXY_TERMS_MESSAGES_HPP
 
@@ -16,50 +16,50 @@
 namespace coursejunction
 {
 
-/*! @brief Upstreams whose terms one heartbeat tells, so that it fits a packet:
- * the newest ones. */
+/*! @brief Maximum number of upstreams whose terms one heartbeat carries, the
+ * latest ones first, so that it fits into a packet. */
 inline constexpr std::size_t max_terms_per_heartbeat = 16;
 
-/*! @brief Returns what to tell the other entries of terms that answers told
- * this one lately. */
+/*! @brief Returns messages for the terms that responses recently reported to
+ * this entry node. */
 [[nodiscard]] inline std::vector<message::upstream_terms>
 recent_terms(const upstream_book& book, time_point now)
 {
-    std::vector<message::upstream_terms> told;
-    for (const auto& [id, one] : book.all())
+    std::vector<message::upstream_terms> messages;
+    for (const auto& [id, upstream] : book.all())
     {
-        const auto news = one.terms.news(now);
-        if (!news)
+        const auto reported = upstream.terms.news(now);
+        if (!reported)
             continue;
-        message::upstream_terms made;
-        made.upstream = id.value();
-        made.life = one.life.value();
-        made.age_ms = wire_ms(now - news->at);
-        made.leaving = news->leaving;
-        if (news->per_second)
-            made.per_second = static_cast<float>(*news->per_second);
-        told.push_back(std::move(made));
+        message::upstream_terms terms;
+        terms.upstream = id.value();
+        terms.life = upstream.life.value();
+        terms.age_ms = wire_ms(now - reported->at);
+        terms.leaving = reported->leaving;
+        if (reported->per_second)
+            terms.per_second = static_cast<float>(*reported->per_second);
+        messages.push_back(std::move(terms));
     }
-    const auto kept = std::min(told.size(), max_terms_per_heartbeat);
-    std::partial_sort(told.begin(),
-                      told.begin() + static_cast<std::ptrdiff_t>(kept),
-                      told.end(),
+    const auto kept = std::min(messages.size(), max_terms_per_heartbeat);
+    std::partial_sort(messages.begin(),
+                      messages.begin() + static_cast<std::ptrdiff_t>(kept),
+                      messages.end(),
                       [](const auto& left, const auto& right)
                       { return left.age_ms < right.age_ms; });
-    told.resize(kept);
-    return told;
+    messages.resize(kept);
+    return messages;
 }
 
-/*! @brief Reads what another entry told. */
+/*! @brief Returns the terms that another entry node reported. */
 [[nodiscard]] inline told_terms
-decode_terms(const message::upstream_terms& told, time_point now)
+decode_terms(const message::upstream_terms& received, time_point now)
 {
-    told_terms made;
-    made.leaving = told.leaving;
-    if (told.per_second >= 0)
-        made.per_second = static_cast<double>(told.per_second);
-    made.at = now - milliseconds(told.age_ms);
-    return made;
+    told_terms terms;
+    terms.leaving = received.leaving;
+    if (received.per_second >= 0)
+        terms.per_second = static_cast<double>(received.per_second);
+    terms.at = now - milliseconds(received.age_ms);
+    return terms;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief What an entry does about named versions: from when on each binds, what
- * the store has to keep, whom else to ask, and what operators have to see.
- */
+ * @brief Applies published model versions at an entry node: which versions may
+ * still start requests, which facts to persist in the store, when to ask the
+ * origin, and what to alarm operators about. */
 #ifndef COURSEJUNCTION_PROXY_VERSION_CONTROLLER_HPP
 #define COURSEJUNCTION_PROXY_VERSION_CONTROLLER_HPP
 
@@ -27,8 +27,8 @@
 namespace coursejunction
 {
 
-/*! @brief Acts for one entry.
- * @tparam Platform Names the `store`, `catalogue` and `origin`. */
+/*! @brief Tracks the published versions for one entry node.
+ * @tparam Platform Provides the types `store`, `catalogue` and `origin`. */
 template <typename Platform>
 class version_controller
 {
@@ -37,9 +37,9 @@
     using view_type = fleet_view<Platform>;
     using origin_type = typename Platform::origin;
 
-    /*! @param allowed How long after its naming older weights may begin
+    /*! @param grace How long after a version was published older ones may start
      * requests.
-     * @param seed Another one for each entry. */
+     * @param seed Differs between entry nodes. */
     version_controller(event_loop& owner, node_type& peers, view_type& view,
                        version_floor& bounds, metrics& counted,
                        milliseconds grace, std::uint32_t seed)
@@ -52,8 +52,8 @@
     {
     }
 
-    /*! @brief Keys of the store were read.
-     * @param first Nothing was known before. */
+    /*! @brief Applies versions after keys of the store were read.
+     * @param first Whether nothing was known before. */
     void on_keys_changed(bool first, time_point now)
     {
         for (const auto& [key, published_at] : fleet.versions())
@@ -67,7 +67,8 @@
             poller.doubt("named again without rising", now);
     }
 
-    /*! @brief Takes what a peer was told of versions that the store lacks. */
+    /*! @brief Merges versions that a peer reported and that the store does not
+     * show. */
     void merge_reported(const std::vector<message::told_version>& reported,
                         time_point now)
     {
@@ -84,14 +85,16 @@
                                old_weights_grace, now);
     }
 
-    /*! @brief Returns what the store does not show, for other processes. */
+    /*! @brief Returns the versions that the store does not show, to be sent to
+     * peers. */
     [[nodiscard]] std::vector<message::told_version>
     versions_to_report(time_point now) const
     {
         return versions_to_tell(fleet, now);
     }
 
-    /*! @brief Called often; `takes_part` is false while this entry stops. */
+    /*! @brief Runs the periodic work. `active` is false while this node shuts
+     * down; then only the alarms are updated. */
     void tick(bool active, time_point now)
     {
         update_alarms(now);
@@ -104,7 +107,7 @@
     }
 
 private:
-    /*! @brief How often the alarms are looked at. */
+    /*! @brief Interval at which alarms are updated. */
     static constexpr milliseconds alarm_interval{1000};
 
     void update_floors()
@@ -116,8 +119,8 @@
         apply_found_versions();
     }
 
-    /*! @brief A version that was found at the start binds once most upstreams
-     * serve it. */
+    /*! @brief Makes a version that was found at the start the minimum once most
+     * upstreams serve it. Its time of publication is unknown. */
     void apply_found_versions()
     {
         for (const auto& [key, published_at] : fleet.versions())
@@ -138,8 +141,10 @@
 
     struct serving_counts
     {
-        std::size_t all{0};      /*!< Serve any version of the model. */
-        std::size_t at_least{0}; /*!< Serve at least the one asked for. */
+        std::size_t all{
+            0}; /*!< Upstreams that serve any version of the model. */
+        std::size_t at_least{
+            0}; /*!< Upstreams that serve at least the given version. */
     };
 
     [[nodiscard]] serving_counts count_serving(const std::string& model,
@@ -158,8 +163,9 @@
         return counts;
     }
 
-    /*! @brief Has the store keep which versions were named and which bind: an
-     * entry that starts alone knows neither otherwise. */
+    /*! @brief Persists the newest published and the minimum version of each
+     * model. An entry node that starts when no other one runs would know
+     * neither. */
     void persist(std::size_t rank, time_point now)
     {
         for (const auto& [published, published_at] : fleet.versions())
--- a/tests/proxy/event_splitter.cpp
+++ b/tests/proxy/event_splitter.cpp
@@ -8,25 +8,25 @@
 SCENARIO("only whole events are given", "[proxy]")
 {
     cj::event_splitter events;
-    CHECK(events.take("id: 1\ndata: a\n").empty());
-    CHECK(events.take("\nid: 2\nda") == "id: 1\ndata: a\n\n");
+    CHECK(events.append("id: 1\ndata: a\n").empty());
+    CHECK(events.append("\nid: 2\nda") == "id: 1\ndata: a\n\n");
     CHECK(events.last_id() == 1);
-    CHECK(events.rest() == "id: 2\nda");
+    CHECK(events.incomplete() == "id: 2\nda");
 
     WHEN("the sender is lost")
     {
-        events.drop_rest();
+        events.discard_incomplete();
         THEN("the half event is not joined with another sender's")
         {
-            CHECK(events.take("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
+            CHECK(events.append("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
             CHECK(events.last_id() == 2);
             CHECK(events.size() == 2);
         }
     }
     WHEN("lines end with carriage returns")
     {
-        events.drop_rest();
-        CHECK(events.take("id: 9\r\ndata: b\r\n\r\n").size() == 18);
+        events.discard_incomplete();
+        CHECK(events.append("id: 9\r\ndata: b\r\n\r\n").size() == 18);
         CHECK(events.last_id() == 9);
     }
 }
@@ -48,10 +48,10 @@
                  {
                      const auto size =
                          static_cast<std::size_t>(*rc::gen::inRange(1, 9));
-                     given += events.take(text.substr(from, size));
+                     given += events.append(text.substr(from, size));
                      from += size;
                  }
-                 RC_ASSERT(given + events.rest() == text);
+                 RC_ASSERT(given + events.incomplete() == text);
                  RC_ASSERT(events.size() == static_cast<std::size_t>(count));
              });
 }
