--- a/src/coursejunction/proxy/crash_guard.cpp
+++ b/src/coursejunction/proxy/crash_guard.cpp
@@ -83,7 +83,7 @@
 {
     record_crash(
         tracker.ended(upstream, end_proof::record_gone, event_loop::now()),
-        upstream, "its record is gone");
+        upstream, "its record disappeared from the store");
     if (const auto address = tracker.address_of(upstream))
         probe_upstream(upstream, *address);
 }
@@ -92,7 +92,7 @@
                                      const std::string& address)
 {
     while (const auto previous = tracker.before(upstream, address))
-        upstream_crashed(*previous, "its address belongs to another one");
+        upstream_crashed(*previous, "another upstream has its address");
 }
 
 void crash_guard::probe_upstream(const instance_id& upstream,
@@ -123,7 +123,9 @@
     {
         if (!ledger.accuse(report.content, report.end, report.evidence, now))
             continue;
-        begin_quarantine(report.content, "upstreams ended under it here");
+        begin_quarantine(
+            report.content,
+            "upstreams of this entry node crashed while running it");
         persist(report.content);
     }
     if (records_changed)
@@ -144,7 +146,7 @@
     {
         if (!ledger.merge(record, now))
             continue;
-        begin_quarantine(record.content, "told by " + from);
+        begin_quarantine(record.content, "reported by " + from);
         if (runs_trials(record.content))
             persist(record.content);
     }
@@ -153,7 +155,7 @@
 void crash_guard::restore_quarantine(const message::crash_record& stored)
 {
     if (ledger.merge(stored, event_loop::now()))
-        begin_quarantine(stored.content, "kept in the store");
+        begin_quarantine(stored.content, "restored from the store");
 }
 
 bool crash_guard::runs_trials(const request_content& content) const
--- a/src/coursejunction/proxy/exchange_log.hpp
+++ b/src/coursejunction/proxy/exchange_log.hpp
@@ -60,10 +60,12 @@
         {{"request", request.decoded.id.value()},
          {"content", request.content.hex()},
          {"route", request.route->name},
-         {"reason", reason.opens           ? "all upstreams rest or are limited"
-                    : reason.usable == 0   ? "no usable upstream"
-                    : request.arrival.late ? "came back late, no place is free"
-                                           : "target would be missed"},
+         {"reason",
+          reason.opens ? "all upstreams are backing off or at their rate limit"
+          : reason.usable == 0 ? "no usable upstream"
+          : request.arrival.late
+              ? "retry is too late for its target, no upstream is free"
+              : "no upstream would meet the target"},
          {"waited_before_ms",
           std::to_string(request.arrival.past.waited.count())},
          {"known_by",
@@ -81,7 +83,7 @@
                  {{"request", request.decoded.id.value()},
                   {"content", request.content.hex()},
                   {"route", request.route->name},
-                  {"reason", "quarantined: upstreams ended under it"},
+                  {"reason", "quarantined: upstreams crashed while running it"},
                   {"quarantine_left_ms", std::to_string(left.count())}});
 }
 
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -189,9 +189,9 @@
                                                         attempt_loss::closed),
                         event_loop::now());
                     on_attempt_failed(request, attempt_failure::may_have_run,
-                                      "upstream has started again");
+                                      "upstream restarted");
                 });
-        guard.upstream_crashed(restarted.upstream, "it has started again");
+        guard.upstream_crashed(restarted.upstream, "upstream restarted");
     }
 
     /*! @brief Tries to place queued requests, since an upstream may have become
@@ -302,7 +302,7 @@
         if (const auto* wait = std::get_if<wait_for_place>(&decision))
             return enqueue(request, wait->why);
         if (request.possible_runs > 0)
-            return give_up(request, "no other upstream takes it");
+            return give_up(request, "no other upstream can take the request");
         refuse(request, std::get<refuse_request>(decision));
     }
 
@@ -551,7 +551,7 @@
                         client.cancel(found.call);
                         report_lost_attempt(found, attempt_loss::silent);
                         on_attempt_failed(found, attempt_failure::may_have_run,
-                                          "upstream is silent");
+                                          "no event from the upstream in time");
                     });
             });
     }
@@ -587,7 +587,7 @@
         // connection can be trusted.
         client.cancel(request.call);
         on_attempt_failed(request, attempt_failure::may_have_run,
-                          "answer carries another request's id");
+                          "response carries another request's id");
     }
 
     void on_data(exchange& request, std::string_view bytes)
@@ -643,11 +643,11 @@
         if (metadata.not_run)
             return on_attempt_failed(
                 request, attempt_failure::not_run,
-                "upstream did not run it (" +
+                "upstream did not run the request (" +
                     std::to_string(request.response_head.status) + ")");
         if (metadata.id != request.decoded.id)
             return on_attempt_failed(request, attempt_failure::may_have_run,
-                                     "answer carries another request's id");
+                                     "response carries another request's id");
         if (exchange_facts::forwards_events(request))
             return finish_stream(request);
         on_response(request);
@@ -691,9 +691,9 @@
                                          std::to_string(status));
         }
         if (request.response_begun)
-            return abort_response(request, "upstream answered " +
-                                               std::to_string(status) +
-                                               " to a stream that goes on");
+            return abort_response(
+                request, "upstream answered " + std::to_string(status) +
+                             " to an attempt to continue a stream");
         // Callers take these statuses as a promise that the request did not
         // run. They are passed on only with the upstream's statement that it
         // did not.
@@ -702,9 +702,10 @@
             promise_not_run.end())
         {
             request.reply.send(502, {}, "");
-            return complete(request, false,
-                            "upstream answered " + std::to_string(status) +
-                                " without proof that it did not run");
+            return complete(
+                request, false,
+                "upstream answered " + std::to_string(status) +
+                    " without stating that the request did not run");
         }
         request.reply.send(status,
                            Codec::response_headers(request.response_head),
@@ -745,7 +746,7 @@
                                      now);
         if (retrying)
             return place(request);
-        give_up(request, may_retry ? "retry budget is spent" : reason);
+        give_up(request, may_retry ? "retry budget is exhausted" : reason);
     }
 
     /*! @brief Returns the retry delay for refusals that are not due to
@@ -797,14 +798,14 @@
             {
                 cancel_attempt(request);
                 if (request.response_begun)
-                    return abort_response(request, "time limit");
+                    return abort_response(request, "deadline exceeded");
                 const bool not_run = request.tried_upstreams.empty();
                 request.reply.send(
                     not_run ? 503 : 504,
                     not_run ? Codec::refusal_headers(min_retry_after())
                             : header_list{},
                     "");
-                log_failure(request, "late", "time limit");
+                log_failure(request, "late", "deadline exceeded");
                 erase(request);
             });
     }
@@ -815,7 +816,8 @@
                            [&](exchange& request)
                            {
                                cancel_attempt(request);
-                               log_failure(request, "cancelled", "caller left");
+                               log_failure(request, "cancelled",
+                                           "caller disconnected");
                                erase(request);
                            });
     }
@@ -872,7 +874,7 @@
     }
 
     static constexpr const char* quarantine_reason =
-        "the request is quarantined: upstreams ended under it";
+        "request is quarantined: upstreams crashed while running it";
 
     /*! @brief Maximum number of attempts of a request, including attempts that
      * provably did not run. */
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -224,7 +224,7 @@
             log::problem(
                 "request_refused",
                 {{"request", codec::decode_request(request).id.value()},
-                 {"reason", "this entry stops"}});
+                 {"reason", "this entry node is shutting down"}});
             return reply.send(503, codec::refusal_headers(retry_after), "");
         }
         exchanges.handle_request(std::move(request), std::move(reply));
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -64,7 +64,7 @@
         }
         update_floors();
         if (fleet.take_repeated_names())
-            poller.doubt("named again without rising", now);
+            poller.doubt("published again without a higher number", now);
     }
 
     /*! @brief Merges versions that a peer reported and that the store does not
@@ -182,7 +182,7 @@
     {
         const auto gaps = node.gaps();
         if (gaps != known_gaps)
-            poller.doubt("a gap in what was heard of the store", now);
+            poller.doubt("changes of the store were missed", now);
         known_gaps = gaps;
         const auto* rules = fleet.rules();
         const auto* from = rules != nullptr ? rules->origin() : nullptr;
