--- a/src/coursejunction/proxy/crash_guard.cpp
+++ b/src/coursejunction/proxy/crash_guard.cpp
@@ -73,13 +73,13 @@
 }
 
 void crash_guard::upstream_crashed(const instance_id& upstream,
-                                   const std::string& why)
+                                   const std::string& reason)
 {
     record_crash(tracker.ended(upstream, end_proof::seen, event_loop::now()),
-                 upstream, why);
+                 upstream, reason);
 }
 
-void crash_guard::record_expired(const instance_id& upstream)
+void crash_guard::upstream_record_expired(const instance_id& upstream)
 {
     record_crash(
         tracker.ended(upstream, end_proof::record_gone, event_loop::now()),
@@ -109,7 +109,7 @@
 
 void crash_guard::record_crash(const std::vector<crash_accusation>& reports,
                                const instance_id& upstream,
-                               const std::string& why)
+                               const std::string& reason)
 {
     if (reports.empty())
         return;
@@ -117,15 +117,14 @@
     counters.count("upstreams_ended_under_requests_total");
     log::warning("upstream_ended",
                  {{"upstream", upstream.value()},
-                  {"why", why},
+                  {"why", reason},
                   {"requests", std::to_string(reports.size())}});
     for (const auto& report : reports)
     {
         if (!ledger.accuse(report.content, report.end, report.evidence, now))
             continue;
-        begin_quarantine(
-            report.content,
-            "upstreams of this entry node crashed while running it");
+        begin_quarantine(report.content,
+                         "upstreams of this entry crashed while running it");
         persist(report.content);
     }
     if (records_changed)
@@ -204,11 +203,11 @@
 }
 
 void crash_guard::begin_quarantine(const request_content& content,
-                                   const std::string& why)
+                                   const std::string& reason)
 {
     counters.count("quarantines_total");
     log::warning("request_quarantined",
-                 {{"content", content.hex()}, {"why", why}});
+                 {{"content", content.hex()}, {"why", reason}});
     quarantined(content);
 }
 
--- a/src/coursejunction/proxy/crash_guard.hpp
+++ b/src/coursejunction/proxy/crash_guard.hpp
@@ -19,25 +19,26 @@
 {
 
 /*! @brief Determines which lost attempts were upstream crashes, counts the
- * crashes under each request, shares the counts with the other entry nodes and
+ * crashes under each request, shares the counts with the other entries and
  * quarantines requests with too many. */
 class crash_guard
 {
 public:
-    /*! @brief Called when a request is quarantined, by this or by another entry
-     * node. */
+    /*! @brief Called when a request is quarantined, by this or by another
+     * entry. */
     using quarantine_callback = std::function<void(const request_content&)>;
 
-    /*! @brief Called when a record changed that the other entry nodes should
+    /*! @brief Called when a crash record changed that the other entries should
      * receive at once. */
     using change_callback = std::function<void()>;
 
-    /*! @brief Returns whether this entry node runs the trials of a request; all
-     * entry nodes agree on one. */
+    /*! @brief Returns whether this entry runs the trials of a request; all
+     * entries agree on one. */
     using trial_owner = std::function<bool(const request_content&)>;
 
-    /*! @brief Called with a record to persist, or with null when a quarantine
-     * was lifted or disproved and its stored record must go. */
+    /*! @brief Called with a crash record to persist, or with null when a
+     * quarantine was lifted or disproved and its stored record must be removed.
+     */
     using persist_callback = std::function<void(
         const request_content&, const message::crash_record* record)>;
 
@@ -51,7 +52,7 @@
      */
     void on_persist(persist_callback callback);
 
-    /*! @brief Sets who runs the trials. Without it, this entry node runs all of
+    /*! @brief Sets who runs the trials. Without it, this entry runs all of
      * them. */
     void set_trial_owner(trial_owner predicate);
 
@@ -59,7 +60,7 @@
                                         time_point now) const;
 
     /*! @brief Returns how many copies of a request may run at once at this
-     * entry node. */
+     * entry. */
     [[nodiscard]] std::size_t max_running(const request_content& content,
                                           time_point now) const;
 
@@ -83,24 +84,26 @@
     void attempt_lost(lost_attempt attempt, time_point now);
 
     /*! @brief Records that an upstream is known to have crashed. */
-    void upstream_crashed(const instance_id& upstream, const std::string& why);
+    void upstream_crashed(const instance_id& upstream,
+                          const std::string& reason);
 
-    /*! @brief Records that an upstream's record in the store expired. An
-     * upstream from which only silence came may be suspended instead, so its
-     * address is probed. */
-    void record_expired(const instance_id& upstream);
+    /*! @brief Handles the disappearance of an upstream's record from the store.
+     * It confirms a crash for attempts whose connections the upstream closed.
+     * Where an attempt only timed out, the upstream may be suspended instead,
+     * so its address is probed. */
+    void upstream_record_expired(const instance_id& upstream);
 
-    /*! @brief Records that an upstream's record has a new address: any earlier
-     * upstream at this address has crashed. */
+    /*! @brief Handles an upstream record that holds an address: an earlier
+     * upstream with lost attempts at this address has crashed. */
     void address_reassigned(const instance_id& upstream,
                             const std::string& address);
 
     /*! @brief Records a complete response to a request. */
     void record_response(const request_content& content);
 
-    /*! @brief Merges records of another entry node. If a request is quarantined
-     * only by the crashes of all entry nodes together, none of them finds this
-     * alone, so the one that runs the trials persists the record. */
+    /*! @brief Merges crash records of another entry. If a request is
+     * quarantined only by the crashes of all entries together, none of them
+     * finds this alone, so the one that runs the trials persists the record. */
     void merge_records(const std::vector<message::crash_record>& received,
                        const std::string& from);
 
@@ -108,15 +111,15 @@
      * process. */
     void restore_quarantine(const message::crash_record& stored);
 
-    /*! @brief Returns the records to send to the other entry nodes. */
+    /*! @brief Returns the crash records to send to the other entries. */
     [[nodiscard]] std::vector<message::crash_record> collect_updates();
 
     /*! @brief Ends a quarantine here and, with the next heartbeats, at all
-     * entry nodes.
+     * entries.
      * @return Whether the request was quarantined. */
     bool lift_quarantine(const request_content& content);
 
-    /*! @brief Drops expired records and updates the gauges. */
+    /*! @brief Drops expired crash records and updates the gauges. */
     void tick(time_point now);
 
     [[nodiscard]] const crash_ledger& records() const { return ledger; }
@@ -125,9 +128,9 @@
     void probe_upstream(const instance_id& upstream,
                         const std::string& address);
     void record_crash(const std::vector<crash_accusation>& reports,
-                      const instance_id& upstream, const std::string& why);
+                      const instance_id& upstream, const std::string& reason);
     void begin_quarantine(const request_content& content,
-                          const std::string& why);
+                          const std::string& reason);
     [[nodiscard]] bool runs_trials(const request_content& content) const;
     void persist(const request_content& content);
     void end_quarantine(const request_content& content,
--- a/src/coursejunction/proxy/exchange_facts.hpp
+++ b/src/coursejunction/proxy/exchange_facts.hpp
@@ -26,8 +26,8 @@
                                request.original.body);
 }
 
-/*! @brief Returns a hash that a caller's retry shares: a retry repeats
- * everything except the id and the remaining deadline. */
+/*! @brief Returns a hash that a client retry shares: it repeats everything
+ * except the id and the remaining deadline. */
 [[nodiscard]] inline request_fingerprint fingerprint_of(const exchange& request)
 {
     const auto& decoded = request.decoded;
@@ -39,7 +39,7 @@
 }
 
 /*! @brief Returns whether a status says that the configuration denies a
- * request. Callers do not retry after such a status, so an entry node with an
+ * request. Clients do not retry after such a status, so an entry with an
  * outdated configuration responds with 503 instead. */
 [[nodiscard]] inline bool is_denial(int status)
 {
--- a/src/coursejunction/proxy/exchange_log.hpp
+++ b/src/coursejunction/proxy/exchange_log.hpp
@@ -64,7 +64,7 @@
           reason.opens ? "all upstreams are backing off or at their rate limit"
           : reason.usable == 0 ? "no usable upstream"
           : request.arrival.late
-              ? "retry is too late for its target, no upstream is free"
+              ? "client retry is too late for its target, no upstream is free"
               : "no upstream would meet the target"},
          {"waited_before_ms",
           std::to_string(request.arrival.past.waited.count())},
--- a/src/coursejunction/proxy/exchange_options.hpp
+++ b/src/coursejunction/proxy/exchange_options.hpp
@@ -22,11 +22,11 @@
     /*! @brief How long a request waits for the result of a crash probe after
      * its upstream closed the connection, before it goes to another upstream.
      * The upstream's address responds within 3 to 6 ms, and reports of other
-     * entry nodes take as long. Without this pause each of many copies would
-     * crash a second upstream. */
+     * entries take as long. Without this pause each of many copies would crash
+     * a second upstream. */
     milliseconds crash_probe_time{25};
-    /*! @brief Minimum retry delay for a caller whose request is quarantined or
-     * on trial: the response of a trial takes 0.4 to 0.9 s. */
+    /*! @brief Minimum Retry-After time while a request is quarantined or on
+     * trial: the response of a trial takes 0.4 to 0.9 s. */
     milliseconds trial_retry_after{1000};
     /*! @brief Interval at which queued requests are placed again. */
     milliseconds queue_poll_interval{15};
@@ -46,11 +46,11 @@
     /*! @brief Window over which the installations count retries. */
     milliseconds retry_window{10'000};
     /*! @brief Retries allowed for each request in the window. The installations
-     * allow 0.2, but entry nodes count requests that arrive, not those that
-     * callers sent. */
+     * allow 0.2, but entries count requests that arrive, not those that callers
+     * sent. */
     double retry_ratio{0.17};
-    /*! @brief Retries allowed in the window in addition, shared by all entry
-     * nodes. The smallest allowance seen at the installations is 104. */
+    /*! @brief Retries allowed in the window in addition, shared by all entries.
+     * The smallest allowance seen at the installations is 104. */
     double retry_reserve{80};
 };
 
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -76,22 +76,22 @@
     /*! @brief Returns the quarantine of requests that crash upstreams. */
     [[nodiscard]] crash_guard& crashes() { return guard; }
 
-    /*! @brief Sets the number of entry nodes that share the upstreams. */
+    /*! @brief Sets the number of entries that share the upstreams. */
     void set_entry_count(std::size_t count) { budgets.set_entry_count(count); }
 
-    /*! @brief Returns the rates of requests for engines at this entry node. */
+    /*! @brief Returns the rates of requests for engines at this entry. */
     [[nodiscard]] request_rates rates(time_point now) const
     {
         return decisions.rates(now);
     }
 
-    /*! @brief Sets the sum of the request rates at all other entry nodes. */
+    /*! @brief Sets the sum of the request rates at all other entries. */
     void set_other_entries_rates(const request_rates& reported, time_point now)
     {
         decisions.elsewhere(reported, now);
     }
 
-    /*! @brief Returns refusals that have not been sent to the other entry nodes
+    /*! @brief Returns refusals that have not been sent to the other entries
      * yet, and marks them as sent. */
     [[nodiscard]] std::vector<refused_try>
     take_unsent_refusals(std::size_t max_count)
@@ -100,25 +100,25 @@
     }
 
     /*! @brief Sets a callback that runs while there are unsent refusals. It
-     * runs within `queue_poll_interval`, since some callers retry at once. */
+     * runs within `queue_poll_interval`, since some clients retry at once. */
     void on_unsent_refusals(std::function<void()> callback)
     {
         refusals_callback = std::move(callback);
     }
 
-    /*! @brief Records a refusal by another entry node, so that the retry is
+    /*! @brief Records a refusal by another entry, so that the client retry is
      * recognised here. */
     void record_remote_refusal(const refused_try& refusal, time_point now)
     {
         decisions.sent_away_elsewhere(refusal, now);
     }
 
-    /*! @brief Drops refusals whose callers are not expected to retry any more;
-     * to be called periodically. */
+    /*! @brief Drops refusals whose client retries are no longer expected; to be
+     * called periodically. */
     void expire(time_point now) { decisions.expire(now); }
 
     /*! @brief Returns whether an upstream has an engine that accepts new
-     * requests. These engines are divided between the entry nodes. */
+     * requests. These engines are divided between the entries. */
     [[nodiscard]] bool accepts_new_requests(const known_upstream& upstream,
                                             time_point now) const
     {
@@ -137,7 +137,7 @@
     [[nodiscard]] notice_intake& notices() { return intake; }
 
     /*! @brief Sets whether peers have had a newer state of the store for some
-     * time. What this node's configuration denies may be allowed by then. */
+     * time. What this entry's configuration denies may be allowed by then. */
     void set_configuration_outdated(bool outdated)
     {
         configuration_outdated = outdated;
@@ -307,8 +307,8 @@
     }
 
     /*! @brief Limits how many copies of a request run while it is suspected of
-     * crashing upstreams. Without a limit, retries of one request crashed 47
-     * upstreams in 16 s.
+     * crashing upstreams. Without a limit, client retries of one request
+     * crashed 47 upstreams in 16 s.
      * @return Whether it may be placed now; otherwise it was queued or
      * answered. */
     bool passes_crash_guard(exchange& request, time_point now)
@@ -332,7 +332,7 @@
     }
 
     /*! @brief Refuses a request that crashed enough upstreams, at whichever
-     * entry nodes, to be quarantined. */
+     * entries, to be quarantined. */
     void refuse_quarantined(exchange& request, time_point now)
     {
         counters.count("requests_turned_away_total");
@@ -435,8 +435,8 @@
         erase(request);
     }
 
-    /*! @brief Records a refusal to be sent to the other entry nodes of the
-     * hall: the one that receives the retry counts the time already waited. */
+    /*! @brief Records a refusal to be sent to the other entries of the hall:
+     * the one that receives the client retry counts the time already waited. */
     void record_refusal(const exchange& request, milliseconds retry_after)
     {
         const auto now = event_loop::now();
@@ -749,7 +749,7 @@
         give_up(request, may_retry ? "retry budget is exhausted" : reason);
     }
 
-    /*! @brief Returns the retry delay for refusals that are not due to
+    /*! @brief Returns the Retry-After time for refusals that are not due to
      * overload. */
     [[nodiscard]] milliseconds min_retry_after() const
     {
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -1,6 +1,7 @@
 /*! @file
- * @brief The entry node: accepts callers' requests, reports whether it is
- * ready, and shuts down without cutting connections short. */
+ * @brief The process role `entry`: accepts callers' requests and forwards them
+ * to upstreams, reports whether it is ready, and shuts down without cutting
+ * connections short. */
 #ifndef COURSEJUNCTION_PROXY_GATEWAY_HPP
 #define COURSEJUNCTION_PROXY_GATEWAY_HPP
 
@@ -30,7 +31,7 @@
 namespace coursejunction
 {
 
-/*! @brief Addresses and timeouts of an entry node. */
+/*! @brief Addresses and timeouts of an entry. */
 struct gateway_options
 {
     std::string listen_address;    /*!< `IP:port` where callers connect. */
@@ -58,7 +59,7 @@
     using node_type = fleet_node<typename Platform::store>;
 
     /*! @brief Opens the ports.
-     * @return The entry node, or `unavailable`. */
+     * @return The entry, or `unavailable`. */
     [[nodiscard]] static result<std::unique_ptr<gateway>>
     create(event_loop& loop, node_type& node, metrics& counters,
            gateway_options options)
@@ -149,9 +150,9 @@
      * exit. */
     static constexpr milliseconds accept_until{2800};
 
-    /*! @brief Minimum requests per second that an entry node counts for when
-     * engines are divided, so that one without requests so far can place its
-     * first one. An engine of the installations completes 4.8 per second. */
+    /*! @brief Minimum requests per second that an entry counts for when engines
+     * are divided, so that one without requests so far can place its first one.
+     * An engine of the installations completes 4.8 per second. */
     static constexpr double min_demand{0.5};
 
     /*! @brief Maximum number of refusals in one heartbeat, so that it fits into
@@ -178,7 +179,7 @@
     {
     }
 
-    /*! @brief Returns a seed that differs between entry nodes. */
+    /*! @brief Returns a seed that differs between entries. */
     [[nodiscard]] static std::uint32_t jitter_seed(const node_type& node)
     {
         return static_cast<std::uint32_t>(stable_hash(node.settings().address));
@@ -224,13 +225,13 @@
             log::problem(
                 "request_refused",
                 {{"request", codec::decode_request(request).id.value()},
-                 {"reason", "this entry node is shutting down"}});
+                 {"reason", "this entry is shutting down"}});
             return reply.send(503, codec::refusal_headers(retry_after), "");
         }
         exchanges.handle_request(std::move(request), std::move(reply));
     }
 
-    /*! @brief Returns whether this node can handle a request. */
+    /*! @brief Returns whether this entry can handle a request. */
     [[nodiscard]] bool ready() const
     {
         return !stopping && fleet.rules() != nullptr;
@@ -298,8 +299,8 @@
     }
 
     /*! @brief Writes quarantines again that were lost when the store was
-     * restored from an older snapshot. An entry node that starts now would not
-     * know them. */
+     * restored from an older snapshot. An entry that starts now would not know
+     * them. */
     void rewrite_lost_quarantines(std::size_t rank, time_point now)
     {
         if (!quarantine_restores.due(node.mirror().position(), rank, now))
@@ -329,7 +330,7 @@
         const auto* known = book.find(change.id);
         const bool expected = known == nullptr || known->leaving();
         if (!expected && !store_returned && !change.malformed)
-            exchanges.crashes().record_expired(change.id);
+            exchanges.crashes().upstream_record_expired(change.id);
         book.remove(change.id, store_returned && !change.malformed, now);
     }
 
@@ -402,8 +403,8 @@
         return messages;
     }
 
-    /*! @brief Returns whether this node runs the trials of a request. All entry
-     * nodes choose the same live one by rendezvous hashing. */
+    /*! @brief Returns whether this entry runs the trials of a request. All
+     * entries choose the same live one by rendezvous hashing. */
     [[nodiscard]] bool owns_trials(const request_content& content) const
     {
         const auto now = event_loop::now();
@@ -419,7 +420,7 @@
         return !stopping;
     }
 
-    /*! @brief Adds this node's request rates to a heartbeat, and the versions
+    /*! @brief Adds this entry's request rates to a heartbeat, and the versions
      * that the store does not show. */
     void fill_heartbeat(message::fleet_heartbeat& heartbeat) const
     {
@@ -431,7 +432,7 @@
         heartbeat.load.demanded = static_cast<float>(rates.demanded);
     }
 
-    /*! @brief Divides the engines between the entry nodes according to their
+    /*! @brief Divides the engines between the entries according to their
      * demand. */
     void divide_engines(time_point now)
     {
@@ -451,7 +452,7 @@
             others.refused += load.refused;
         }
         exchanges.set_other_entries_rates(others, now);
-        // A node that shuts down has no share; the others count without it.
+        // An entry that shuts down has no share; the others count without it.
         book.share_limits(stopping ? std::string{} : self.address, demands,
                           now);
         book.divide(stretch_of(self.address, demands),
--- a/src/coursejunction/proxy/notice_intake.hpp
+++ b/src/coursejunction/proxy/notice_intake.hpp
@@ -1,6 +1,6 @@
 /*! @file
  * @brief Applies what upstreams report about themselves, in responses here or
- * at other entry nodes. */
+ * at other entries. */
 #ifndef COURSEJUNCTION_PROXY_NOTICE_INTAKE_HPP
 #define COURSEJUNCTION_PROXY_NOTICE_INTAKE_HPP
 
@@ -41,8 +41,8 @@
         exchange_log::notice_received(request, notice);
     }
 
-    /*! @brief Applies terms that another entry node received.
-     * @param from Address of that entry node. */
+    /*! @brief Applies terms that another entry received.
+     * @param from Address of that entry. */
     void apply_reported_terms(const message::upstream_terms& reported,
                               const std::string& from, time_point now)
     {
--- a/src/coursejunction/proxy/open_exchanges.hpp
+++ b/src/coursejunction/proxy/open_exchanges.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The requests of an entry node that have no final response yet. */
+ * @brief The requests of an entry that have no final response yet. */
 #ifndef COURSEJUNCTION_PROXY_OPEN_EXCHANGES_HPP
 #define COURSEJUNCTION_PROXY_OPEN_EXCHANGES_HPP
 
--- a/src/coursejunction/proxy/refusal_messages.hpp
+++ b/src/coursejunction/proxy/refusal_messages.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Converts refusals to and from the messages that entry nodes of a hall
+ * @brief Converts refusals to and from the messages that entries of a hall
  * exchange. Steady clocks differ between processes, so messages carry durations
  * instead of times. */
 #ifndef COURSEJUNCTION_PROXY_REFUSAL_MESSAGES_HPP
@@ -38,7 +38,7 @@
     return encoded;
 }
 
-/*! @brief Returns the refusal that another entry node reported. */
+/*! @brief Returns the refusal that another entry reported. */
 [[nodiscard]] inline refused_try
 decode_refusal(const message::refused_caller& received, time_point now)
 {
--- a/src/coursejunction/proxy/retry_budgets.hpp
+++ b/src/coursejunction/proxy/retry_budgets.hpp
@@ -15,7 +15,7 @@
 {
 
 /*! @brief Holds one retry window for each service. The reserve is divided
- * between all entry nodes. */
+ * between all entries. */
 class retry_budgets
 {
 public:
@@ -24,7 +24,7 @@
     {
     }
 
-    /*! @brief Sets the number of entry nodes that share the reserve. */
+    /*! @brief Sets the number of entries that share the reserve. */
     void set_entry_count(std::size_t count)
     {
         entry_count = std::max<std::size_t>(count, 1);
--- a/src/coursejunction/proxy/terms_messages.hpp
+++ b/src/coursejunction/proxy/terms_messages.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Converts upstreams' terms to and from the messages that entry nodes
+ * @brief Converts upstreams' terms to and from the messages that entries
  * exchange. Steady clocks differ between processes, so messages carry durations
  * instead of times. */
 #ifndef COURSEJUNCTION_PROXY_TERMS_MESSAGES_HPP
@@ -21,7 +21,7 @@
 inline constexpr std::size_t max_terms_per_heartbeat = 16;
 
 /*! @brief Returns messages for the terms that responses recently reported to
- * this entry node. */
+ * this entry. */
 [[nodiscard]] inline std::vector<message::upstream_terms>
 recent_terms(const upstream_book& book, time_point now)
 {
@@ -50,7 +50,7 @@
     return messages;
 }
 
-/*! @brief Returns the terms that another entry node reported. */
+/*! @brief Returns the terms that another entry reported. */
 [[nodiscard]] inline told_terms
 decode_terms(const message::upstream_terms& received, time_point now)
 {
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief Applies published model versions at an entry node: which versions may
- * still start requests, which facts to persist in the store, when to ask the
- * origin, and what to alarm operators about. */
+ * @brief Applies published model versions at an entry: which versions may still
+ * start requests, which facts to persist in the store, when to ask the origin,
+ * and what to alarm operators about. */
 #ifndef COURSEJUNCTION_PROXY_VERSION_CONTROLLER_HPP
 #define COURSEJUNCTION_PROXY_VERSION_CONTROLLER_HPP
 
@@ -27,7 +27,7 @@
 namespace coursejunction
 {
 
-/*! @brief Tracks the published versions for one entry node.
+/*! @brief Tracks the published versions for one entry.
  * @tparam Platform Provides the types `store`, `catalogue` and `origin`. */
 template <typename Platform>
 class version_controller
@@ -39,7 +39,7 @@
 
     /*! @param grace How long after a version was published older ones may start
      * requests.
-     * @param seed Differs between entry nodes. */
+     * @param seed Differs between entries. */
     version_controller(event_loop& owner, node_type& peers, view_type& view,
                        version_floor& bounds, metrics& counted,
                        milliseconds grace, std::uint32_t seed)
@@ -93,7 +93,7 @@
         return versions_to_tell(fleet, now);
     }
 
-    /*! @brief Runs the periodic work. `active` is false while this node shuts
+    /*! @brief Runs the periodic work. `active` is false while this entry shuts
      * down; then only the alarms are updated. */
     void tick(bool active, time_point now)
     {
@@ -164,8 +164,7 @@
     }
 
     /*! @brief Persists the newest published and the minimum version of each
-     * model. An entry node that starts when no other one runs would know
-     * neither. */
+     * model. An entry that starts when no other one runs would know neither. */
     void persist(std::size_t rank, time_point now)
     {
         for (const auto& [published, published_at] : fleet.versions())
--- a/tests/proxy/crash_guard.cpp
+++ b/tests/proxy/crash_guard.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-/*! @brief A guard that notes what it keeps. */
-struct noting_guard
+/*! @brief A crash guard that counts the records it persists and removes. */
+struct guard_fixture
 {
-    explicit noting_guard(bool owner)
+    explicit guard_fixture(bool runs_trials)
     {
         running.on_loop(
             [&]
@@ -24,20 +24,21 @@
                 client = std::make_unique<stream_client>(running.loop);
                 guard = std::make_unique<crash_guard>(
                     *client, counters,
-                    [this](const request_content& what)
-                    { quarantined.push_back(what); });
-                guard->set_trial_owner([owner](const auto&) { return owner; });
+                    [this](const request_content& content)
+                    { quarantined.push_back(content); });
+                guard->set_trial_owner([runs_trials](const auto&)
+                                       { return runs_trials; });
                 guard->on_persist(
                     [this](const request_content&,
                            const message::crash_record* record)
                     {
-                        kept += record != nullptr ? 1 : 0;
-                        dropped += record == nullptr ? 1 : 0;
+                        persisted += record != nullptr ? 1 : 0;
+                        removed += record == nullptr ? 1 : 0;
                     });
             });
     }
 
-    ~noting_guard()
+    ~guard_fixture()
     {
         running.on_loop(
             [&]
@@ -48,26 +49,28 @@
         running.stop();
     }
 
-    /*! @brief An upstream is seen to have ended under a request. */
-    void end(const std::string& upstream, const request_content& what)
+    /*! @brief An attempt is lost and its upstream is known to have crashed. */
+    void crash(const std::string& upstream, const request_content& content)
     {
         running.on_loop(
             [&]
             {
                 const instance_id id(upstream);
                 guard->attempt_lost(
-                    {id, "127.0.0.1:1", {what, crash_of(id, {})}},
+                    {id, "127.0.0.1:1", {content, crash_of(id, {})}},
                     event_loop::now());
                 guard->upstream_crashed(id, "seen");
             });
     }
 
-    void told(const std::string& upstream, const request_content& what)
+    void receive_report(const std::string& upstream,
+                        const request_content& content)
     {
         const auto end = crash_of(instance_id(upstream), {});
         running.on_loop(
             [&] {
-                guard->merge_records({{what, {{end.value(), 1}}, {}, 0}}, "x");
+                guard->merge_records({{content, {{end.value(), 1}}, {}, 0}},
+                                     "x");
             });
     }
 
@@ -76,57 +79,61 @@
     std::unique_ptr<stream_client> client;
     std::unique_ptr<crash_guard> guard;
     std::vector<request_content> quarantined;
-    int kept{0};
-    int dropped{0};
+    int persisted{0};
+    int removed{0};
 };
 
 } // namespace
 
-SCENARIO("one of the entries keeps what all of them found", "[proxy]")
+SCENARIO("exactly one entry persists a quarantine that all entries found",
+         "[proxy]")
 {
     const auto bad = request_content::of("school", "/", "bad");
 
-    SECTION("each saw one end: the one that runs the trials keeps it")
+    SECTION(
+        "each entry saw one crash: the one that runs the trials persists it")
     {
-        noting_guard owner(true);
-        noting_guard other(false);
-        for (auto* one : {&owner, &other})
+        guard_fixture trial_owner(true);
+        guard_fixture other(false);
+        for (auto* fixture : {&trial_owner, &other})
         {
-            one->end("a", bad);
-            one->told("b", bad);
-            one->told("c", bad);
-            CHECK(one->quarantined.size() == 1);
+            fixture->crash("a", bad);
+            fixture->receive_report("b", bad);
+            fixture->receive_report("c", bad);
+            CHECK(fixture->quarantined.size() == 1);
         }
-        CHECK(owner.kept == 1);
-        CHECK(other.kept == 0);
+        CHECK(trial_owner.persisted == 1);
+        CHECK(other.persisted == 0);
     }
-    SECTION("who saw the last of them keeps it, whoever runs the trials")
+    SECTION(
+        "the entry that saw the last crash persists it, even without running "
+        "the trials")
     {
-        noting_guard other(false);
-        other.told("a", bad);
-        other.told("b", bad);
-        other.end("c", bad);
-        CHECK(other.kept == 1);
+        guard_fixture other(false);
+        other.receive_report("a", bad);
+        other.receive_report("b", bad);
+        other.crash("c", bad);
+        CHECK(other.persisted == 1);
 
-        SECTION("and drops it once an operator lifts it")
+        SECTION("and removes it when an operator lifts the quarantine")
         {
             other.running.on_loop(
                 [&] { CHECK(other.guard->lift_quarantine(bad)); });
-            CHECK(other.dropped == 1);
+            CHECK(other.removed == 1);
         }
     }
-    SECTION("what the store kept is not written again")
+    SECTION("a quarantine restored from the store is not written again")
     {
-        noting_guard owner(true);
-        owner.running.on_loop(
+        guard_fixture trial_owner(true);
+        trial_owner.running.on_loop(
             [&]
             {
-                owner.guard->restore_quarantine(
+                trial_owner.guard->restore_quarantine(
                     {bad, {{1, 1}, {2, 1}, {3, 1}}, {}, 200});
-                CHECK(owner.guard->status(bad, event_loop::now()) ==
+                CHECK(trial_owner.guard->status(bad, event_loop::now()) ==
                       crash_standing::quarantined);
             });
-        CHECK(owner.kept == 0);
-        CHECK(owner.quarantined.size() == 1);
+        CHECK(trial_owner.persisted == 0);
+        CHECK(trial_owner.quarantined.size() == 1);
     }
 }
--- a/tests/proxy/entry_on_loopback.hpp
+++ b/tests/proxy/entry_on_loopback.hpp
@@ -1,7 +1,6 @@
 /*! @file
- * @brief An entry's service between a caller's connection and scripted
- * upstreams.
- */
+ * @brief An exchange service between a caller's connection and scripted
+ * upstreams. */
 #ifndef COURSEJUNCTION_TESTS_PROXY_ENTRY_ON_LOOPBACK_HPP
 #define COURSEJUNCTION_TESTS_PROXY_ENTRY_ON_LOOPBACK_HPP
 
@@ -24,19 +23,20 @@
 using namespace std::chrono_literals;
 using scripted_upstream = loopback::scripted_peer;
 
-/*! @brief Headers of a made-up edge: the service knows none by name. */
-struct plain_codec
+/*! @brief A codec with header names of its own, since the service must not
+ * depend on any. */
+struct test_codec
 {
     static cj::caller_request decode_request(const cj::stream_request& from)
     {
-        cj::caller_request made;
-        made.id = cj::request_id(std::string(from.headers.find("Id")));
-        made.host = std::string(from.headers.find("Host"));
-        made.path = from.target;
-        made.model = std::string(from.headers.find("Model"));
+        cj::caller_request decoded;
+        decoded.id = cj::request_id(std::string(from.headers.find("Id")));
+        decoded.host = std::string(from.headers.find("Host"));
+        decoded.path = from.target;
+        decoded.model = std::string(from.headers.find("Model"));
         if (from.headers.contains("Key"))
-            made.api_key = std::string(from.headers.find("Key"));
-        return made;
+            decoded.api_key = std::string(from.headers.find("Key"));
+        return decoded;
     }
 
     static cj::header_list attempt_headers(const cj::stream_request& original,
@@ -85,11 +85,11 @@
     }
 };
 
-/*! @brief An entry between a caller's connection and scripted upstreams. */
+/*! @brief An exchange service with a server on the loopback interface. */
 struct entry_on_loopback
 {
-    /*! @param first_event_slack How long the first event of a stream may be
-     * late. */
+    /*! @param first_event_slack Allowed delay of a stream's first event beyond
+     * its prediction. */
     explicit entry_on_loopback(cj::milliseconds first_event_slack =
                                    cj::exchange_options{}.first_event_slack)
     {
@@ -101,7 +101,7 @@
                 options.retry_reserve = 10;
                 options.first_event_slack = first_event_slack;
                 options.old_weights_cancel_delay = 100ms;
-                service = std::make_unique<cj::exchange_service<plain_codec>>(
+                service = std::make_unique<cj::exchange_service<test_codec>>(
                     running.loop, *client, book, counters,
                     cj::placer({}, cj::hall_id("h"), "self"), options);
                 auto made = cj::stream_server::create(
@@ -128,69 +128,70 @@
         running.stop();
     }
 
-    /*! @brief Puts one route to one service into force. */
-    void route(cj::request_kind kind, bool resumable = false,
-               cj::milliseconds timeout = 5000ms)
+    /*! @brief Applies a configuration with two routes to one service; `/keyed/`
+     * requires an API key. */
+    void configure_route(cj::request_kind kind, bool resumable = false,
+                         cj::milliseconds timeout = 5000ms)
     {
-        auto rules = std::make_shared<cj::installation>();
-        rules->version = 1;
-        cj::route_rule one;
-        one.name = "r";
-        one.host = "h";
-        one.prefix = "/";
-        one.kind = kind;
-        one.resumable = resumable;
-        one.open = true;
-        one.timeout = timeout;
-        one.target = 1000ms;
-        one.most_upstreams = 2;
-        one.services = {{cj::service_name("s"), 1}};
-        rules->routes.push_back(one);
-        one.prefix = "/keyed/";
-        one.open = false;
-        rules->routes.push_back(one);
-        rules->keyed = true;
-        rules->keys["k"] = {cj::organisation_id("o"), 0};
+        auto configuration = std::make_shared<cj::installation>();
+        configuration->version = 1;
+        cj::route_rule rule;
+        rule.name = "r";
+        rule.host = "h";
+        rule.prefix = "/";
+        rule.kind = kind;
+        rule.resumable = resumable;
+        rule.open = true;
+        rule.timeout = timeout;
+        rule.target = 1000ms;
+        rule.most_upstreams = 2;
+        rule.services = {{cj::service_name("s"), 1}};
+        configuration->routes.push_back(rule);
+        rule.prefix = "/keyed/";
+        rule.open = false;
+        configuration->routes.push_back(rule);
+        configuration->keyed = true;
+        configuration->keys["k"] = {cj::organisation_id("o"), 0};
         cj::service_profile profile;
         profile.name = cj::service_name("s");
-        rules->services[profile.name] = profile;
-        running.on_loop([&] { service->configure(rules); });
+        configuration->services[profile.name] = profile;
+        running.on_loop([&] { service->configure(configuration); });
     }
 
-    void upstream(const std::string& id, const std::string& address)
+    void add_upstream(const std::string& id, const std::string& address)
     {
-        cj::upstream_record one;
-        one.id = cj::instance_id(id);
-        one.service = cj::service_name("s");
-        one.address = address;
-        // Ids in order of preference: the first in this entry's hall.
-        one.hall = cj::hall_id(id == "a" ? "h" : "other");
-        one.slots = 4;
-        running.on_loop([&] { book.record(one); });
+        cj::upstream_record record;
+        record.id = cj::instance_id(id);
+        record.service = cj::service_name("s");
+        record.address = address;
+        // The upstream "a" is preferred, since it is in this entry's hall.
+        record.hall = cj::hall_id(id == "a" ? "h" : "other");
+        record.slots = 4;
+        running.on_loop([&] { book.record(record); });
     }
 
-    /*! @brief An upstream's record goes. */
-    void forget(const std::string& id)
+    /*! @brief Removes an upstream's record. */
+    void remove_upstream(const std::string& id)
     {
         running.on_loop(
             [&]
             {
-                const cj::instance_id gone(id);
-                service->crashes().record_expired(gone);
-                book.remove(gone, false, cj::event_loop::now());
+                const cj::instance_id removed(id);
+                service->crashes().upstream_record_expired(removed);
+                book.remove(removed, false, cj::event_loop::now());
             });
     }
 
     std::string ask(const std::string& path = "/x",
-                    const std::string& more = {},
+                    const std::string& extra_headers = {},
                     const std::string& body = "hi")
     {
         loopback::raw_connection caller(port);
         caller.send("POST " + path +
                     " HTTP/1.1\r\nHost: h\r\nId: 7\r\n"
                     "Connection: close\r\nContent-Length: " +
-                    std::to_string(body.size()) + "\r\n" + more + "\r\n" +
-                    body);
+                    std::to_string(body.size()) + "\r\n" + extra_headers +
+                    "\r\n" + body);
         return caller.drain();
     }
 
@@ -198,30 +199,32 @@
     cj::metrics counters;
     loopback::running_loop running;
     std::unique_ptr<cj::stream_client> client;
-    std::unique_ptr<cj::exchange_service<plain_codec>> service;
+    std::unique_ptr<cj::exchange_service<test_codec>> service;
     std::unique_ptr<cj::stream_server> server;
     std::uint16_t port{0};
 };
 
-/*! @param more Further headers, each with its end of line. */
-inline std::string whole(const std::string& body, const std::string& id = "7",
-                         const std::string& status = "200 OK",
-                         const std::string& more = {})
+/*! @brief Returns an HTTP response with a complete body.
+ * @param extra_headers Further header lines, each with its line end. */
+inline std::string response(const std::string& body,
+                            const std::string& id = "7",
+                            const std::string& status = "200 OK",
+                            const std::string& extra_headers = {})
 {
-    return "HTTP/1.1 " + status + "\r\nId: " + id + "\r\n" + more +
+    return "HTTP/1.1 " + status + "\r\nId: " + id + "\r\n" + extra_headers +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/*! @brief Events in chunks, as streams come.
- * @param ended Whether the last chunk follows. */
-inline std::string stream(const std::string& events, bool ended,
-                          const std::string& signature = "one")
+/*! @brief Returns an HTTP response with events in chunked encoding.
+ * @param complete Whether the last chunk follows. */
+inline std::string event_stream(const std::string& events, bool complete,
+                                const std::string& signature = "one")
 {
     char size[32];
     std::snprintf(size, sizeof size, "%zx", events.size());
     return "HTTP/1.1 200 OK\r\nId: 7\r\nSigned: " + signature +
            "\r\nTransfer-Encoding: chunked\r\n\r\n" + size + "\r\n" + events +
-           "\r\n" + (ended ? "0\r\n\r\n" : "");
+           "\r\n" + (complete ? "0\r\n\r\n" : "");
 }
 
 } // namespace proxy_test
--- a/tests/proxy/event_splitter.cpp
+++ b/tests/proxy/event_splitter.cpp
@@ -5,7 +5,7 @@
 
 namespace cj = coursejunction;
 
-SCENARIO("only whole events are given", "[proxy]")
+SCENARIO("only complete events are returned", "[proxy]")
 {
     cj::event_splitter events;
     CHECK(events.append("id: 1\ndata: a\n").empty());
@@ -13,10 +13,10 @@
     CHECK(events.last_id() == 1);
     CHECK(events.incomplete() == "id: 2\nda");
 
-    WHEN("the sender is lost")
+    WHEN("the sender is replaced by another one")
     {
         events.discard_incomplete();
-        THEN("the half event is not joined with another sender's")
+        THEN("the incomplete event is not joined with the new sender's events")
         {
             CHECK(events.append("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
             CHECK(events.last_id() == 2);
@@ -31,27 +31,27 @@
     }
 }
 
-TEST_CASE("events do not depend on how the bytes are cut", "[proxy]")
+TEST_CASE("events do not depend on how the bytes are split", "[proxy]")
 {
     rc::prop("same bytes",
              []
              {
                  const auto count = *rc::gen::inRange(0, 12);
                  std::string text;
-                 for (int at = 0; at < count; ++at)
-                     text += "id: " + std::to_string(at) + "\ndata: x\n\n";
+                 for (int index = 0; index < count; ++index)
+                     text += "id: " + std::to_string(index) + "\ndata: x\n\n";
                  text += "id: 99\nda";
                  cj::event_splitter events;
-                 std::string given;
-                 std::size_t from = 0;
-                 while (from < text.size())
+                 std::string returned;
+                 std::size_t position = 0;
+                 while (position < text.size())
                  {
                      const auto size =
                          static_cast<std::size_t>(*rc::gen::inRange(1, 9));
-                     given += events.append(text.substr(from, size));
-                     from += size;
+                     returned += events.append(text.substr(position, size));
+                     position += size;
                  }
-                 RC_ASSERT(given + events.incomplete() == text);
+                 RC_ASSERT(returned + events.incomplete() == text);
                  RC_ASSERT(events.size() == static_cast<std::size_t>(count));
              });
 }
--- a/tests/proxy/exchange_service.cpp
+++ b/tests/proxy/exchange_service.cpp
@@ -17,15 +17,15 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 using proxy_test::entry_on_loopback;
+using proxy_test::event_stream;
+using proxy_test::response;
 using proxy_test::scripted_upstream;
-using proxy_test::stream;
-using proxy_test::whole;
 
 SCENARIO("a request is answered by its upstream", "[proxy]")
 {
     entry_on_loopback entry;
 
-    SECTION("nothing is known yet: it has not run")
+    SECTION("without a configuration the request is refused")
     {
         const auto answer = entry.ask();
         CHECK(answer.starts_with("HTTP/1.1 503"));
@@ -33,18 +33,19 @@
     }
     GIVEN("a configuration")
     {
-        entry.route(cj::request_kind::repeatable);
-        SECTION("a path without a route")
+        entry.configure_route(cj::request_kind::repeatable);
+        SECTION("a path without a route is rejected")
         {
             CHECK(entry.ask("nowhere").starts_with("HTTP/1.1 4"));
         }
-        SECTION("a key that nobody has")
+        SECTION("a missing or unknown API key is rejected")
         {
             CHECK(entry.ask("/keyed/x").starts_with("HTTP/1.1 401"));
             CHECK(entry.ask("/keyed/x", "Key: z\r\n")
                       .starts_with("HTTP/1.1 401"));
         }
-        SECTION("an entry that knows its configuration to be old cannot tell")
+        SECTION(
+            "an entry with an outdated configuration responds with 503 instead")
         {
             entry.running.on_loop(
                 [&] { entry.service->set_configuration_outdated(true); });
@@ -56,34 +57,37 @@
             CHECK(entry.ask("/keyed/x", "Key: z\r\n")
                       .starts_with("HTTP/1.1 401"));
         }
-        SECTION("no upstream: refused, with the time that one needs to come")
+        SECTION("without an upstream it is refused, with the time that one "
+                "takes to "
+                "appear")
         {
             const auto answer = entry.ask();
             CHECK(answer.starts_with("HTTP/1.1 503"));
             CHECK(answer.find("Retry-After: 2000\r\n") != std::string::npos);
         }
-        SECTION("all places taken: refused, with the time until one is free")
+        SECTION("without a free slot it is refused, with the time until one is "
+                "free")
         {
-            scripted_upstream one({scripted_upstream::hang});
-            entry.upstream("a", one.address);
+            scripted_upstream first({scripted_upstream::hang});
+            entry.add_upstream("a", first.address);
             entry.running.on_loop(
                 [&]
                 {
-                    // Four slots, and what may wait beyond them.
-                    for (std::uint64_t at = 0; at < 9; ++at)
-                        entry.book.begin(cj::instance_id("a"), at, 0,
+                    // Four slots, and the queue beyond them.
+                    for (std::uint64_t attempt = 0; attempt < 9; ++attempt)
+                        entry.book.begin(cj::instance_id("a"), attempt, 0,
                                          cj::event_loop::now());
                 });
             const auto answer = entry.ask();
             CHECK(answer.starts_with("HTTP/1.1 503"));
             CHECK(answer.find("Retry-After: 200\r\n") != std::string::npos);
         }
-        SECTION("an upstream: its answer, unchanged")
+        SECTION("the response of an upstream is forwarded unchanged")
         {
-            scripted_upstream one({whole("hello")});
-            entry.upstream("a", one.address);
+            scripted_upstream first({response("hello")});
+            entry.add_upstream("a", first.address);
             CHECK(entry.ask("/x?b=2&a").ends_with("hello"));
-            const auto seen = one.arrivals();
+            const auto seen = first.arrivals();
             REQUIRE(seen.size() == 1);
             CHECK(seen[0].starts_with("POST /x?b=2&a HTTP/1.1"));
             CHECK(seen[0].ends_with("hi"));
@@ -91,146 +95,152 @@
     }
 }
 
-SCENARIO("what may run once is sent once", "[proxy]")
+SCENARIO("an at-most-once request is not sent again after it may have run",
+         "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::single);
+    entry.configure_route(cj::request_kind::single);
 
-    SECTION("a connection that breaks after the request: unknown, at once")
+    SECTION("a connection that breaks after the request gives 502 at once")
     {
-        scripted_upstream one({""});
-        scripted_upstream two({whole("no")});
-        entry.upstream("a", one.address);
-        entry.upstream("b", two.address);
+        scripted_upstream first({""});
+        scripted_upstream second({response("no")});
+        entry.add_upstream("a", first.address);
+        entry.add_upstream("b", second.address);
         CHECK(entry.ask().starts_with("HTTP/1.1 502"));
-        CHECK(one.arrivals().size() == 1);
-        CHECK(two.arrivals().empty());
+        CHECK(first.arrivals().size() == 1);
+        CHECK(second.arrivals().empty());
     }
-    SECTION("an upstream that says that it did not run it")
+    SECTION("it is sent again if the upstream states that it did not run")
     {
-        scripted_upstream one({"HTTP/1.1 503 No\r\nId: 7\r\nNot-Run: 1\r\n"
-                               "Content-Length: 0\r\n\r\n"});
-        scripted_upstream two({whole("yes")});
-        entry.upstream("a", one.address);
-        entry.upstream("b", two.address);
+        scripted_upstream first({"HTTP/1.1 503 No\r\nId: 7\r\nNot-Run: 1\r\n"
+                                 "Content-Length: 0\r\n\r\n"});
+        scripted_upstream second({response("yes")});
+        entry.add_upstream("a", first.address);
+        entry.add_upstream("b", second.address);
         CHECK(entry.ask().ends_with("yes"));
     }
-    SECTION("503 without that proof is not passed on as a promise")
+    SECTION(
+        "503 without that statement is not forwarded, since callers would take "
+        "it as one")
     {
-        scripted_upstream one({whole("", "7", "503 No")});
-        entry.upstream("a", one.address);
+        scripted_upstream first({response("", "7", "503 No")});
+        entry.add_upstream("a", first.address);
         CHECK(entry.ask().starts_with("HTTP/1.1 502"));
     }
-    SECTION("the answer to another request is not passed on")
+    SECTION("the response to another request is not forwarded")
     {
-        scripted_upstream one({whole("other's", "8")});
-        entry.upstream("a", one.address);
+        scripted_upstream first({response("other's", "8")});
+        entry.add_upstream("a", first.address);
         const auto answer = entry.ask();
         CHECK(answer.starts_with("HTTP/1.1 502"));
         CHECK(answer.find("other's") == std::string::npos);
     }
-    SECTION("an answer that ends early does not look whole")
+    SECTION("a truncated response is not forwarded as a complete one")
     {
-        scripted_upstream one(
+        scripted_upstream first(
             {"HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 9\r\n\r\nhalf"});
-        entry.upstream("a", one.address);
+        entry.add_upstream("a", first.address);
         CHECK(entry.ask().starts_with("HTTP/1.1 502"));
     }
 }
 
-SCENARIO("what may be repeated goes to a second upstream", "[proxy]")
+SCENARIO("a repeatable request is sent to a second upstream", "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::repeatable);
+    entry.configure_route(cj::request_kind::repeatable);
 
     SECTION("after a broken connection")
     {
-        scripted_upstream one({""});
-        scripted_upstream two({whole("second")});
-        entry.upstream("a", one.address);
-        entry.upstream("b", two.address);
+        scripted_upstream first({""});
+        scripted_upstream second({response("second")});
+        entry.add_upstream("a", first.address);
+        entry.add_upstream("b", second.address);
         CHECK(entry.ask().ends_with("second"));
     }
-    SECTION("after the upstream's own failure")
+    SECTION("after a server error of the upstream")
     {
-        scripted_upstream one({whole("", "7", "500 Bad")});
-        scripted_upstream two({whole("second")});
-        entry.upstream("a", one.address);
-        entry.upstream("b", two.address);
+        scripted_upstream first({response("", "7", "500 Bad")});
+        scripted_upstream second({response("second")});
+        entry.add_upstream("a", first.address);
+        entry.add_upstream("b", second.address);
         CHECK(entry.ask().ends_with("second"));
     }
-    SECTION("and without a second one that failure is passed on, not a "
-            "promise that it did not run")
+    SECTION(
+        "without a second one the server error is forwarded, not a statement "
+        "that it did not run")
     {
-        scripted_upstream one({whole("why", "7", "500 Bad"), ""});
-        entry.upstream("a", one.address);
+        scripted_upstream first({response("why", "7", "500 Bad"), ""});
+        entry.add_upstream("a", first.address);
         const auto answer = entry.ask();
         CHECK(answer.starts_with("HTTP/1.1 500"));
         CHECK(answer.ends_with("why"));
-        // It is given once, and counted as what the caller got.
+        // The response is sent once and counted as the outcome that the caller
+        // saw.
         const auto counted = entry.counters.text();
         CHECK(counted.find("outcome=\"failed\"") != std::string::npos);
         CHECK(counted.find("outcome=\"unknown\"") == std::string::npos);
     }
-    SECTION("also to the same upstream, when it is the only one and said so "
-            "itself")
+    SECTION(
+        "after a server error also to the same upstream, if it is the only one")
     {
-        scripted_upstream one({whole("", "7", "500 Bad"), whole("second")});
-        entry.upstream("a", one.address);
+        scripted_upstream first(
+            {response("", "7", "500 Bad"), response("second")});
+        entry.add_upstream("a", first.address);
         CHECK(entry.ask().ends_with("second"));
     }
-    SECTION("but no further than the route allows")
+    SECTION("but not more often than the route allows")
     {
-        scripted_upstream one({""});
-        scripted_upstream two({""});
-        scripted_upstream three({""});
-        entry.upstream("a", one.address);
-        entry.upstream("b", two.address);
-        entry.upstream("c", three.address);
+        scripted_upstream first({""});
+        scripted_upstream second({""});
+        scripted_upstream third({""});
+        entry.add_upstream("a", first.address);
+        entry.add_upstream("b", second.address);
+        entry.add_upstream("c", third.address);
         CHECK(entry.ask().starts_with("HTTP/1.1 502"));
-        CHECK(one.arrivals().size() + two.arrivals().size() +
-                  three.arrivals().size() ==
+        CHECK(first.arrivals().size() + second.arrivals().size() +
+                  third.arrivals().size() ==
               2);
     }
 }
 
-SCENARIO("an upstream starts again while a request is with it", "[proxy]")
+SCENARIO("an upstream restarts while it has a request", "[proxy]")
 {
     entry_on_loopback entry;
-    scripted_upstream one({scripted_upstream::hang});
-    scripted_upstream two({whole("second")});
-    const auto ask_across_restart = [&]
+    scripted_upstream first({scripted_upstream::hang});
+    scripted_upstream second({response("second")});
+    const auto ask_during_restart = [&]
     {
-        entry.upstream("a", one.address);
-        entry.upstream("b", two.address);
+        entry.add_upstream("a", first.address);
+        entry.add_upstream("b", second.address);
         auto answer =
             std::async(std::launch::async, [&] { return entry.ask(); });
-        while (one.arrivals().empty())
+        while (first.arrivals().empty())
             std::this_thread::sleep_for(5ms);
         entry.running.on_loop(
             [&]
             {
                 entry.service->upstream_restarted(
-                    {one.address, {1}, cj::instance_id("a"), {}});
+                    {first.address, {1}, cj::instance_id("a"), {}});
             });
         return answer.get();
     };
 
-    SECTION("what may be repeated goes to another one at once")
+    SECTION("a repeatable request goes to another upstream at once")
     {
-        entry.route(cj::request_kind::repeatable);
-        CHECK(ask_across_restart().ends_with("second"));
+        entry.configure_route(cj::request_kind::repeatable);
+        CHECK(ask_during_restart().ends_with("second"));
     }
-    SECTION("what may run once may have run, and its caller hears so")
+    SECTION("an at-most-once request may have run, and its caller gets 502")
     {
-        entry.route(cj::request_kind::single);
-        CHECK(ask_across_restart().starts_with("HTTP/1.1 502"));
-        CHECK(two.arrivals().empty());
+        entry.configure_route(cj::request_kind::single);
+        CHECK(ask_during_restart().starts_with("HTTP/1.1 502"));
+        CHECK(second.arrivals().empty());
     }
-    SECTION("the new life is not blamed for it")
+    SECTION("the lost attempt is not counted against the new incarnation")
     {
-        entry.route(cj::request_kind::repeatable);
-        ask_across_restart();
+        entry.configure_route(cj::request_kind::repeatable);
+        ask_during_restart();
         entry.running.on_loop(
             [&]
             {
@@ -240,68 +250,70 @@
     }
 }
 
-SCENARIO("a stream goes on at another upstream", "[proxy]")
+SCENARIO("a broken stream is continued by another upstream", "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::stream, true);
-    scripted_upstream one(
-        {stream("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", false)});
-    scripted_upstream two({stream("id: 3\ndata: c\n\n", true, "two")});
+    entry.configure_route(cj::request_kind::stream, true);
+    scripted_upstream first(
+        {event_stream("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", false)});
+    scripted_upstream second({event_stream("id: 3\ndata: c\n\n", true, "two")});
 
-    SECTION("after the last whole event, with the first head")
+    SECTION("after the last complete event, with the first response head")
     {
-        entry.upstream("a", one.address);
-        entry.upstream("b", two.address);
+        entry.add_upstream("a", first.address);
+        entry.add_upstream("b", second.address);
         const auto answer = entry.ask();
         CHECK(answer.find("Signed: one") != std::string::npos);
         CHECK(answer.find("Signed: two") == std::string::npos);
         CHECK(answer.find("data: c") != std::string::npos);
         CHECK(answer.find("id: 3\nda\r") == std::string::npos);
         CHECK(answer.ends_with("0\r\n\r\n"));
-        const auto seen = two.arrivals();
+        const auto seen = second.arrivals();
         REQUIRE(seen.size() == 1);
         CHECK(seen[0].find("Last: 2\r\n") != std::string::npos);
     }
-    SECTION("or is cut visibly when there is none")
+    SECTION("without another upstream it ends without the last chunk")
     {
-        entry.upstream("a", one.address);
+        entry.add_upstream("a", first.address);
         const auto answer = entry.ask();
         CHECK(answer.find("data: b") != std::string::npos);
         CHECK_FALSE(answer.ends_with("0\r\n\r\n"));
     }
 }
 
-SCENARIO("an entry that stood still does not take that for its upstream's "
-         "silence",
+SCENARIO("an entry that was suspended does not take that for silence of its "
+         "upstream",
          "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::stream, true);
+    entry.configure_route(cj::request_kind::stream, true);
     loopback::pacing_peer steady(20, 100ms);
-    scripted_upstream other({stream("id: 1\ndata: y\n\n", true)});
-    entry.upstream("a", steady.address);
-    entry.upstream("b", other.address);
+    scripted_upstream other({event_stream("id: 1\ndata: y\n\n", true)});
+    entry.add_upstream("a", steady.address);
+    entry.add_upstream("b", other.address);
     std::string answer;
     std::thread caller([&] { answer = entry.ask(); });
     std::this_thread::sleep_for(300ms);
-    // Longer than a stream may be silent; events arrive meanwhile.
+    // Longer than the silence timeout of a stream; events arrive meanwhile.
     entry.running.on_loop([] { std::this_thread::sleep_for(1200ms); });
     caller.join();
     CHECK(answer.find("id: 20\n") != std::string::npos);
     CHECK(other.arrivals().empty());
 }
 
-SCENARIO("an attempt that waits on weights that grow too old is taken back",
-         "[proxy]")
+SCENARIO(
+    "a queued attempt is cancelled when its version must not start requests "
+    "any more",
+    "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::stream, true);
-    scripted_upstream one({scripted_upstream::hang});
-    scripted_upstream two({stream("id: 1\ndata: a\n\n", true)});
-    const auto serve =
+    entry.configure_route(cj::request_kind::stream, true);
+    scripted_upstream first({scripted_upstream::hang});
+    scripted_upstream second({event_stream("id: 1\ndata: a\n\n", true)});
+    const auto add_upstream_with_version =
         [&](const char* id, const std::string& address, std::uint64_t version)
     {
-        entry.upstream(id, address);
+        entry.add_upstream(id, address);
         entry.running.on_loop(
             [&]
             {
@@ -310,59 +322,60 @@
                 entry.book.record(record);
             });
     };
-    serve("a", one.address, 2);
-    serve("b", two.address, 3);
-    const auto name = [&](cj::milliseconds allowed)
+    add_upstream_with_version("a", first.address, 2);
+    add_upstream_with_version("b", second.address, 3);
+    const auto publish = [&](cj::milliseconds grace)
     {
         entry.running.on_loop(
             [&] {
                 entry.service->floors().name("m", 3, cj::event_loop::now(),
-                                             allowed);
+                                             grace);
             });
     };
 
-    SECTION("one that was sent before goes to newer weights")
+    SECTION("an attempt sent before is sent again to the newer version")
     {
-        // The older weights take requests for a second more, and an attempt
-        // that waits there is taken back 100 ms later, before the silence of
-        // 700 ms and three predictions of 250 ms would end it.
-        name(1000ms);
+        // The older version may start requests for one more second, and a
+        // queued attempt is cancelled 100 ms later. Otherwise the first-event
+        // timeout would cancel it after 700 ms plus three times the predicted
+        // 250 ms.
+        publish(1000ms);
         CHECK(entry.ask("/x", "Model: m\r\n").find("data: a") !=
               std::string::npos);
-        CHECK(one.arrivals().size() == 1);
-        one.closed_by_caller.wait(false);
+        CHECK(first.arrivals().size() == 1);
+        first.closed_by_caller.wait(false);
     }
-    SECTION("none is sent to them afterwards")
+    SECTION("no attempt is sent to the older version afterwards")
     {
-        name(0ms);
+        publish(0ms);
         CHECK(entry.ask("/x", "Model: m\r\n").find("data: a") !=
               std::string::npos);
-        CHECK(one.arrivals().empty());
+        CHECK(first.arrivals().empty());
     }
 }
 
-SCENARIO("time limits and callers that leave end the work", "[proxy]")
+SCENARIO("a deadline or a caller that disconnects ends the attempt", "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::single, false, 100ms);
-    scripted_upstream one({scripted_upstream::hang});
-    entry.upstream("a", one.address);
+    entry.configure_route(cj::request_kind::single, false, 100ms);
+    scripted_upstream first({scripted_upstream::hang});
+    entry.add_upstream("a", first.address);
 
-    SECTION("the route's timeout gives the final answer")
+    SECTION("the route's timeout gives the final response")
     {
         CHECK(entry.ask().starts_with("HTTP/1.1 504"));
-        one.closed_by_caller.wait(false);
+        first.closed_by_caller.wait(false);
     }
-    SECTION("a caller that leaves cancels at the upstream")
+    SECTION("a caller that disconnects cancels the attempt at the upstream")
     {
-        entry.route(cj::request_kind::single, false, 60'000ms);
+        entry.configure_route(cj::request_kind::single, false, 60'000ms);
         {
             loopback::raw_connection caller(entry.port);
             caller.send("GET /x HTTP/1.1\r\nHost: h\r\nId: 7\r\n\r\n");
-            while (one.arrivals().empty())
+            while (first.arrivals().empty())
                 std::this_thread::sleep_for(1ms);
         }
-        one.closed_by_caller.wait(false);
-        CHECK(one.closed_by_caller);
+        first.closed_by_caller.wait(false);
+        CHECK(first.closed_by_caller);
     }
 }
--- a/tests/proxy/gateway.cpp
+++ b/tests/proxy/gateway.cpp
@@ -18,9 +18,9 @@
 namespace
 {
 
-/*! @brief Configurations and names of versions as `VERSION`, upstreams as
- * `COUNT STATE`. */
-struct plain_catalogue
+/*! @brief Reads configurations and published versions as `VERSION`, upstreams
+ * as `COUNT STATE`. */
+struct test_catalogue
 {
     static cj::item_kind kind(const std::string& key)
     {
@@ -40,30 +40,30 @@
     static cj::result<cj::installation>
     configuration(const std::string& payload)
     {
-        cj::installation made;
-        made.version = std::stoull(payload);
+        cj::installation installation;
+        installation.version = std::stoull(payload);
         cj::service_profile service;
         service.name = cj::service_name("s");
         service.engine = cj::engine_profile{};
         service.engine->models = {"m"};
         service.engine->chunks = proxy_test::origin_chunks;
         service.engine->chunk_bytes = proxy_test::origin_chunk_bytes;
-        made.services[service.name] = service;
+        installation.services[service.name] = service;
         cj::service_profile weights;
         weights.name = cj::service_name("weights");
         weights.origin = "origin";
-        made.services[weights.name] = weights;
-        return made;
+        installation.services[weights.name] = weights;
+        return installation;
     }
     static cj::result<cj::upstream_record> upstream(const std::string& key,
                                                     const std::string& payload)
     {
-        cj::upstream_record made;
-        made.id = cj::instance_id(key);
-        made.address = "127.0.0.1:9";
-        made.leaving = payload.ends_with(" leaves");
-        made.count = std::stoull(payload);
-        return made;
+        cj::upstream_record record;
+        record.id = cj::instance_id(key);
+        record.address = "127.0.0.1:9";
+        record.leaving = payload.ends_with(" leaves");
+        record.count = std::stoull(payload);
+        return record;
     }
     static cj::instance_id upstream_id(const std::string& key)
     {
@@ -90,11 +90,11 @@
     }
 };
 
-struct plain_platform
+struct test_platform
 {
     using store = proxy_test::memory_store;
-    using catalogue = plain_catalogue;
-    using codec = proxy_test::plain_codec;
+    using catalogue = test_catalogue;
+    using codec = proxy_test::test_codec;
     using origin = proxy_test::memory_origin;
 };
 
@@ -102,9 +102,9 @@
 class entry_process
 {
 public:
-    using entry = cj::gateway<plain_platform>;
+    using entry = cj::gateway<test_platform>;
 
-    entry_process(proxy_test::stored_keys& keys, int host)
+    entry_process(proxy_test::store_content& keys, int host)
         : address(loopback::own_address(host))
     {
         running.on_loop(
@@ -118,18 +118,18 @@
                 peers.hall = cj::hall_id("h");
                 peers.entry = true;
                 peers.seeds = {address};
-                peers.items = {plain_catalogue::order,
-                               plain_catalogue::is_operators};
+                peers.items = {test_catalogue::order,
+                               test_catalogue::is_operators};
                 node = std::move(entry::node_type::create(running.loop, *store,
                                                           counters, peers)
                                      .value());
                 cj::gateway_options options;
                 options.listen_address = address + ":0";
                 options.readiness_address = address + ":0";
-                made = std::move(
+                gateway = std::move(
                     entry::create(running.loop, *node, counters, options)
                         .value());
-                made->start();
+                gateway->start();
             });
     }
 
@@ -138,39 +138,42 @@
         running.on_loop(
             [&]
             {
-                made.reset();
+                gateway.reset();
                 node.reset();
                 store.reset();
             });
         running.stop();
     }
 
-    /*! @brief Changes the store while nothing reads it. */
+    /*! @brief Changes the store on the event loop, so that nothing reads it
+     * meanwhile. */
     template <typename Change>
-    void change(Change work)
+    void on_loop(Change work)
     {
         running.on_loop(work);
     }
 
-    [[nodiscard]] std::uint64_t newest()
+    [[nodiscard]] std::uint64_t newest_version()
     {
         std::uint64_t version = 0;
-        running.on_loop([&] { version = made->view().newest("m"); });
+        running.on_loop([&] { version = gateway->view().newest("m"); });
         return version;
     }
 
-    /*! @brief Waits until a version is the newest one that is known. */
-    [[nodiscard]] bool learns(std::uint64_t version)
+    /*! @brief Waits until a version is the newest known one. */
+    [[nodiscard]] bool reaches_version(std::uint64_t version)
     {
-        return holds_soon([&] { return made->view().newest("m") == version; });
+        return becomes_true([&]
+                            { return gateway->view().newest("m") == version; });
     }
 
-    /*! @brief Waits until the store's record of versions has a newest one. */
-    [[nodiscard]] bool has_kept(const proxy_test::stored_keys& keys,
-                                std::uint64_t version)
+    /*! @brief Waits until the version record in the store has this newest
+     * version. */
+    [[nodiscard]] bool stores_version(const proxy_test::store_content& keys,
+                                      std::uint64_t version)
     {
         const auto key = cj::version_record_key("m");
-        return holds_soon(
+        return becomes_true(
             [&]
             {
                 const auto found = keys.items.find(key);
@@ -182,63 +185,63 @@
             });
     }
 
-    /*! @brief Returns the number of the configuration in force; 0 for none. */
-    [[nodiscard]] std::uint64_t configuration()
+    /*! @brief Returns the number of the applied configuration; 0 for none. */
+    [[nodiscard]] std::uint64_t configuration_number()
     {
         std::uint64_t number = 0;
-        running.on_loop([&] { number = in_force(); });
+        running.on_loop([&] { number = current_configuration(); });
         return number;
     }
 
-    /*! @brief Waits until a configuration is in force. */
-    [[nodiscard]] bool obeys(std::uint64_t number)
+    /*! @brief Waits until a configuration is applied. */
+    [[nodiscard]] bool applies_configuration(std::uint64_t number)
     {
-        return holds_soon([&] { return in_force() == number; });
+        return becomes_true([&] { return current_configuration() == number; });
     }
 
-    [[nodiscard]] bool knows(const std::string& upstream)
+    [[nodiscard]] bool has_upstream(const std::string& upstream)
     {
-        return holds_soon([&] { return record_of(upstream) != nullptr; });
+        return becomes_true([&] { return find_upstream(upstream) != nullptr; });
     }
 
-    [[nodiscard]] bool knows_leaving(const std::string& upstream)
+    [[nodiscard]] bool has_leaving_upstream(const std::string& upstream)
     {
-        return holds_soon(
+        return becomes_true(
             [&]
             {
-                const auto* one = record_of(upstream);
-                return one != nullptr && one->record.leaving;
+                const auto* found = find_upstream(upstream);
+                return found != nullptr && found->record.leaving;
             });
     }
 
-    /*! @brief Waits until a request is known to end upstreams. */
-    [[nodiscard]] bool suspects(const cj::request_content& what)
+    /*! @brief Waits until a request is quarantined. */
+    [[nodiscard]] bool quarantines(const cj::request_content& content)
     {
-        return holds_soon([&]
-                          { return made->crashes().records().suspects(what); });
+        return becomes_true(
+            [&] { return gateway->crashes().records().suspects(content); });
     }
 
     /*! @brief Waits until the store does not hold a key. */
-    [[nodiscard]] bool misses(const proxy_test::stored_keys& keys,
-                              const std::string& key)
+    [[nodiscard]] bool key_disappears(const proxy_test::store_content& keys,
+                                      const std::string& key)
     {
-        return holds_soon([&] { return !keys.holds(key); });
+        return becomes_true([&] { return !keys.holds(key); });
     }
 
     /*! @brief Waits until the store holds a key. */
-    [[nodiscard]] bool sees(const proxy_test::stored_keys& keys,
-                            const std::string& key)
+    [[nodiscard]] bool key_appears(const proxy_test::store_content& keys,
+                                   const std::string& key)
     {
-        return holds_soon([&] { return keys.holds(key); });
+        return becomes_true([&] { return keys.holds(key); });
     }
 
-    [[nodiscard]] bool knows_ready(const std::string& upstream)
+    [[nodiscard]] bool has_ready_upstream(const std::string& upstream)
     {
-        return holds_soon(
+        return becomes_true(
             [&]
             {
-                const auto* one = record_of(upstream);
-                return one != nullptr && !one->record.leaving;
+                const auto* found = find_upstream(upstream);
+                return found != nullptr && !found->record.leaving;
             });
     }
 
@@ -246,9 +249,9 @@
     static constexpr std::uint16_t port{21'731};
 
     template <typename Condition>
-    bool holds_soon(Condition condition)
+    bool becomes_true(Condition condition)
     {
-        for (int tries = 0; tries < 100; ++tries)
+        for (int attempt = 0; attempt < 100; ++attempt)
         {
             bool holds = false;
             running.on_loop([&] { holds = condition(); });
@@ -259,16 +262,16 @@
         return false;
     }
 
-    [[nodiscard]] std::uint64_t in_force() const
+    [[nodiscard]] std::uint64_t current_configuration() const
     {
-        const auto* rules = made->view().rules();
-        return rules == nullptr ? 0 : rules->version;
+        const auto* configuration = gateway->view().rules();
+        return configuration == nullptr ? 0 : configuration->version;
     }
 
     [[nodiscard]] const cj::known_upstream*
-    record_of(const std::string& upstream) const
+    find_upstream(const std::string& upstream) const
     {
-        return made->upstreams().find(cj::instance_id(upstream));
+        return gateway->upstreams().find(cj::instance_id(upstream));
     }
 
     std::string address;
@@ -276,161 +279,164 @@
     loopback::running_loop running;
     std::unique_ptr<proxy_test::memory_store> store;
     std::unique_ptr<entry::node_type> node;
-    std::unique_ptr<entry> made;
+    std::unique_ptr<entry> gateway;
 };
 
 } // namespace
 
-SCENARIO("an older version is not served again after all entries start anew",
+SCENARIO("the newest version is still known after all entries restart",
          "[proxy]")
 {
-    proxy_test::stored_keys keys;
+    proxy_test::store_content keys;
     keys.write("configuration", "1");
     keys.write("named/m", "2");
     {
         entry_process before(keys, 1);
-        REQUIRE(before.learns(2));
-        before.change([&] { keys.write("named/m", "3"); });
-        REQUIRE(before.learns(3));
+        REQUIRE(before.reaches_version(2));
+        before.on_loop([&] { keys.write("named/m", "3"); });
+        REQUIRE(before.reaches_version(3));
 
-        REQUIRE(before.has_kept(keys, 3));
+        REQUIRE(before.stores_version(keys, 3));
 
-        // A write whose answer was lost is done once more.
-        before.change([&] { keys.write("named/m", "2"); });
+        // A write whose response was lost is sent again, and overwrites a newer
+        // one.
+        before.on_loop([&] { keys.write("named/m", "2"); });
         std::this_thread::sleep_for(200ms);
-        CHECK(before.newest() == 3);
+        CHECK(before.newest_version() == 3);
     }
     entry_process after(keys, 1);
-    CHECK(after.learns(3));
+    CHECK(after.reaches_version(3));
 }
 
-SCENARIO("a version that was overwritten before any entry read it is known",
-         "[proxy]")
+SCENARIO(
+    "a version that was overwritten before any entry read it is learned from "
+    "the origin",
+    "[proxy]")
 {
-    proxy_test::named_versions named;
-    named.name("m", 3);
-    proxy_test::stored_keys keys;
+    proxy_test::origin_versions origin;
+    origin.publish("m", 3);
+    proxy_test::store_content keys;
     keys.write("configuration", "1");
 
-    SECTION("when the entry starts after that")
+    SECTION("by an entry that starts later")
     {
         keys.write("named/m", "2");
         entry_process entry(keys, 1);
-        CHECK(entry.learns(3));
-        CHECK(entry.has_kept(keys, 3));
+        CHECK(entry.reaches_version(3));
+        CHECK(entry.stores_version(keys, 3));
     }
-    SECTION("when the entry lives and its watch shows the last write only")
+    SECTION("by a running entry whose watch shows only the last write")
     {
-        named.name("m", 2);
+        origin.publish("m", 2);
         keys.write("named/m", "2");
         entry_process entry(keys, 1);
-        REQUIRE(entry.learns(2));
-        entry.change(
+        REQUIRE(entry.reaches_version(2));
+        entry.on_loop(
             [&]
             {
-                named.name("m", 3);
+                origin.publish("m", 3);
                 keys.write("named/m", "3");
                 keys.write("named/m", "2");
             });
-        CHECK(entry.learns(3));
-        CHECK(entry.has_kept(keys, 3));
+        CHECK(entry.reaches_version(3));
+        CHECK(entry.stores_version(keys, 3));
     }
 }
 
-SCENARIO("a version that a watch tells before a later write is known",
+SCENARIO("a version that a watch returns before a later write is kept",
          "[proxy]")
 {
-    proxy_test::stored_keys keys;
-    keys.tells_history = true;
+    proxy_test::store_content keys;
+    keys.watch_returns_history = true;
     keys.write("configuration", "1");
     keys.write("named/m", "2");
     entry_process entry(keys, 1);
-    REQUIRE(entry.learns(2));
-    entry.change(
+    REQUIRE(entry.reaches_version(2));
+    entry.on_loop(
         [&]
         {
             keys.write("named/m", "3");
             keys.write("named/m", "2");
         });
-    CHECK(entry.learns(3));
-    CHECK(entry.has_kept(keys, 3));
+    CHECK(entry.reaches_version(3));
+    CHECK(entry.stores_version(keys, 3));
 }
 
-SCENARIO("one spoilt answer of the origin names no version", "[proxy]")
+SCENARIO("a single corrupted response of the origin is not believed", "[proxy]")
 {
-    proxy_test::named_versions named;
-    named.name("m", 2);
-    named.spoil_once(9);
-    proxy_test::stored_keys keys;
+    proxy_test::origin_versions origin;
+    origin.publish("m", 2);
+    origin.corrupt_next_answer(9);
+    proxy_test::store_content keys;
     keys.write("configuration", "1");
     keys.write("named/m", "2");
     entry_process entry(keys, 1);
-    REQUIRE(entry.learns(2));
+    REQUIRE(entry.reaches_version(2));
     std::this_thread::sleep_for(2s);
-    CHECK(entry.newest() == 2);
-    CHECK(entry.has_kept(keys, 2));
+    CHECK(entry.newest_version() == 2);
+    CHECK(entry.stores_version(keys, 2));
 }
 
-SCENARIO("a late write does not bring an upstream back that leaves", "[proxy]")
+SCENARIO("a delayed write does not make a leaving upstream ready again",
+         "[proxy]")
 {
-    proxy_test::stored_keys keys;
+    proxy_test::store_content keys;
     keys.write("configuration", "1");
     keys.write("up/a", "1 ready");
     entry_process entry(keys, 1);
-    REQUIRE(entry.knows("up/a"));
-    entry.change([&] { keys.write("up/a", "3 leaves"); });
-    REQUIRE(entry.knows_leaving("up/a"));
-    entry.change([&] { keys.write("up/a", "2 ready"); });
+    REQUIRE(entry.has_upstream("up/a"));
+    entry.on_loop([&] { keys.write("up/a", "3 leaves"); });
+    REQUIRE(entry.has_leaving_upstream("up/a"));
+    entry.on_loop([&] { keys.write("up/a", "2 ready"); });
     std::this_thread::sleep_for(500ms);
-    CHECK(entry.knows_leaving("up/a"));
+    CHECK(entry.has_leaving_upstream("up/a"));
 
-    SECTION("its next word that it is ready does")
+    SECTION("its next ready record does")
     {
-        entry.change([&] { keys.write("up/a", "4 ready"); });
-        CHECK(entry.knows_ready("up/a"));
+        entry.on_loop([&] { keys.write("up/a", "4 ready"); });
+        CHECK(entry.has_ready_upstream("up/a"));
     }
 }
 
-SCENARIO("an absurd record of versions does not bind entries for good",
-         "[proxy]")
+SCENARIO("an implausible version record is not believed", "[proxy]")
 {
-    constexpr std::uint64_t absurd = 1'000'000'000'000;
+    constexpr std::uint64_t implausible = 1'000'000'000'000;
     const auto key = cj::version_record_key("m");
-    const auto payload = cj::version_record_payload({"m", absurd, absurd});
-    proxy_test::stored_keys keys;
+    const auto payload =
+        cj::version_record_payload({"m", implausible, implausible});
+    proxy_test::store_content keys;
     keys.write("configuration", "1");
     keys.write("named/m", "3");
 
-    SECTION("that start after it was written")
+    SECTION("by an entry that starts after it was written")
     {
         keys.write(key, payload);
         entry_process entry(keys, 1);
-        CHECK(entry.learns(3));
-        CHECK(entry.has_kept(keys, 3));
-        CHECK(entry.newest() == 3);
+        CHECK(entry.reaches_version(3));
+        CHECK(entry.stores_version(keys, 3));
+        CHECK(entry.newest_version() == 3);
     }
-    SECTION("that live when it is written")
+    SECTION("by an entry that runs when it is written")
     {
         entry_process entry(keys, 1);
-        REQUIRE(entry.has_kept(keys, 3));
-        entry.change([&] { keys.write(key, payload); });
-        CHECK(entry.has_kept(keys, absurd));
-        CHECK(entry.has_kept(keys, 3));
-        CHECK(entry.newest() == 3);
+        REQUIRE(entry.stores_version(keys, 3));
+        entry.on_loop([&] { keys.write(key, payload); });
+        CHECK(entry.stores_version(keys, implausible));
+        CHECK(entry.stores_version(keys, 3));
+        CHECK(entry.newest_version() == 3);
     }
 }
 
-SCENARIO("news of a store that came back from an older copy are not missed",
-         "[proxy]")
+SCENARIO("changes after a rollback of the store are not missed", "[proxy]")
 {
-    proxy_test::stored_keys keys;
+    proxy_test::store_content keys;
     keys.write("configuration", "1");
     keys.write("up/a", "1 ready");
     keys.write("up/b", "1 ready");
-    const auto copy = keys;
+    const auto snapshot = keys;
     entry_process entry(keys, 1);
-    REQUIRE(entry.obeys(1));
-    entry.change(
+    REQUIRE(entry.applies_configuration(1));
+    entry.on_loop(
         [&]
         {
             for (int change = 0; change < 10; ++change)
@@ -439,132 +445,134 @@
             keys.write("up/b", "2 ready");
             keys.write("up/a", "2 leaves");
         });
-    REQUIRE(entry.obeys(2));
-    REQUIRE(entry.knows_leaving("up/a"));
-    entry.change([&] { keys.come_back(copy); });
+    REQUIRE(entry.applies_configuration(2));
+    REQUIRE(entry.has_leaving_upstream("up/a"));
+    entry.on_loop([&] { keys.restore_from(snapshot); });
 
-    SECTION("a configuration comes into force")
+    SECTION("a configuration is applied")
     {
-        entry.change([&] { keys.write("configuration", "3"); });
-        CHECK(entry.obeys(3));
+        entry.on_loop([&] { keys.write("configuration", "3"); });
+        CHECK(entry.applies_configuration(3));
     }
-    SECTION("an upstream leaves")
+    SECTION("an upstream is marked as leaving")
     {
-        entry.change([&] { keys.write("up/b", "3 leaves"); });
-        CHECK(entry.knows_leaving("up/b"));
+        entry.on_loop([&] { keys.write("up/b", "3 leaves"); });
+        CHECK(entry.has_leaving_upstream("up/b"));
     }
     SECTION("a new upstream is used")
     {
-        entry.change([&] { keys.write("up/c", "1 ready"); });
-        CHECK(entry.knows("up/c"));
+        entry.on_loop([&] { keys.write("up/c", "1 ready"); });
+        CHECK(entry.has_upstream("up/c"));
     }
-    SECTION("what the copy lacks stands until it is written anew")
+    SECTION(
+        "values that the rollback lost stay valid until they are written again")
     {
-        entry.change([&] { keys.write("other", ""); });
+        entry.on_loop([&] { keys.write("other", ""); });
         std::this_thread::sleep_for(1s);
-        CHECK(entry.configuration() == 2);
-        CHECK(entry.knows_leaving("up/a"));
+        CHECK(entry.configuration_number() == 2);
+        CHECK(entry.has_leaving_upstream("up/a"));
     }
 }
 
 namespace
 {
 
-/*! @brief A quarantine whose last upstream ended just now. */
-std::string fresh_quarantine(const cj::request_content& what)
+/*! @brief Returns the stored form of a quarantine whose last crash was just
+ * now. */
+std::string quarantine_from_now(const cj::request_content& content)
 {
     const auto now = std::chrono::duration_cast<cj::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
-    return cj::quarantine_payload({what, {{1, 2}, {2, 2}, {3, 2}}, {}, 0},
+    return cj::quarantine_payload({content, {{1, 2}, {2, 2}, {3, 2}}, {}, 0},
                                   now.count());
 }
 
 } // namespace
 
-SCENARIO("quarantines that a restored copy of the store lacks are kept again",
+SCENARIO("quarantines that a rollback of the store lost are written again",
          "[proxy]")
 {
     const auto bad = cj::request_content::of("school", "/", "bad");
     const auto key = cj::quarantine_key(bad);
-    proxy_test::stored_keys keys;
+    proxy_test::store_content keys;
     keys.write("configuration", "1");
-    const auto copy = keys;
-    keys.write(key, fresh_quarantine(bad));
+    const auto snapshot = keys;
+    keys.write(key, quarantine_from_now(bad));
 
-    SECTION("and an entry that starts after that knows them")
+    SECTION("and an entry that starts later loads them")
     {
         {
             entry_process entry(keys, 1);
-            REQUIRE(entry.suspects(bad));
-            entry.change([&] { keys.come_back(copy); });
-            CHECK(entry.sees(keys, key));
+            REQUIRE(entry.quarantines(bad));
+            entry.on_loop([&] { keys.restore_from(snapshot); });
+            CHECK(entry.key_appears(keys, key));
         }
         entry_process after(keys, 1);
-        REQUIRE(after.obeys(1));
-        CHECK(after.suspects(bad));
+        REQUIRE(after.applies_configuration(1));
+        CHECK(after.quarantines(bad));
     }
-    SECTION("unless they had been removed before")
+    SECTION("unless they had been removed before the rollback")
     {
         entry_process entry(keys, 1);
-        REQUIRE(entry.suspects(bad));
-        entry.change([&] { keys.remove(key); });
+        REQUIRE(entry.quarantines(bad));
+        entry.on_loop([&] { keys.remove(key); });
         std::this_thread::sleep_for(300ms);
-        entry.change([&] { keys.come_back(copy); });
+        entry.on_loop([&] { keys.restore_from(snapshot); });
         std::this_thread::sleep_for(1s);
-        entry.change([&] { CHECK_FALSE(keys.holds(key)); });
+        entry.on_loop([&] { CHECK_FALSE(keys.holds(key)); });
     }
 }
 
-SCENARIO("an older configuration is not in force again after all entries start "
-         "anew",
-         "[proxy]")
+SCENARIO(
+    "an older configuration is not applied again after all entries restart",
+    "[proxy]")
 {
-    const auto copied = cj::kept_configuration_key();
-    proxy_test::stored_keys keys;
+    const auto copy_key = cj::kept_configuration_key();
+    proxy_test::store_content keys;
     keys.write("configuration", "3");
-    const auto copy = keys;
+    const auto snapshot = keys;
     {
         entry_process before(keys, 1);
-        REQUIRE(before.obeys(3));
-        before.change([&] { keys.write("configuration", "5"); });
-        REQUIRE(before.obeys(5));
+        REQUIRE(before.applies_configuration(3));
+        before.on_loop([&] { keys.write("configuration", "5"); });
+        REQUIRE(before.applies_configuration(5));
         std::this_thread::sleep_for(300ms);
-        before.change([&] { CHECK_FALSE(keys.holds(copied)); });
+        before.on_loop([&] { CHECK_FALSE(keys.holds(copy_key)); });
 
-        SECTION("though a late write put it back")
+        SECTION("even if a delayed write restored it in the store")
         {
-            before.change([&] { keys.write("configuration", "3"); });
-            CHECK(before.sees(keys, copied));
-            CHECK(before.configuration() == 5);
+            before.on_loop([&] { keys.write("configuration", "3"); });
+            CHECK(before.key_appears(keys, copy_key));
+            CHECK(before.configuration_number() == 5);
         }
-        SECTION("though the store came back from an older copy")
+        SECTION("even if the store was rolled back to it")
         {
-            before.change([&] { keys.come_back(copy); });
-            CHECK(before.sees(keys, copied));
-            CHECK(before.configuration() == 5);
+            before.on_loop([&] { keys.restore_from(snapshot); });
+            CHECK(before.key_appears(keys, copy_key));
+            CHECK(before.configuration_number() == 5);
         }
     }
     entry_process after(keys, 1);
-    CHECK(after.obeys(5));
+    CHECK(after.applies_configuration(5));
 
-    WHEN("the next one is written")
+    WHEN("a newer configuration is written")
     {
-        after.change([&] { keys.write("configuration", "6"); });
-        THEN("it is in force, and the copy goes")
+        after.on_loop([&] { keys.write("configuration", "6"); });
+        THEN("it is applied, and the copy of the previous one is removed")
         {
-            CHECK(after.obeys(6));
-            CHECK(after.misses(keys, copied));
+            CHECK(after.applies_configuration(6));
+            CHECK(after.key_disappears(keys, copy_key));
         }
     }
 }
 
-SCENARIO("an absurd copy of the configuration is not believed", "[proxy]")
+SCENARIO("an implausible copy of the configuration is not believed", "[proxy]")
 {
-    proxy_test::stored_keys keys;
+    proxy_test::store_content keys;
     keys.write(cj::kept_configuration_key(), "1000000000000");
     keys.write("configuration", "3");
     entry_process entry(keys, 1);
-    REQUIRE(entry.obeys(3));
-    CHECK(entry.misses(keys, cj::kept_configuration_key()));
-    CHECK(entry.configuration() == 3);
+    REQUIRE(entry.applies_configuration(3));
+    CHECK(entry.key_disappears(keys, cj::kept_configuration_key()));
+    CHECK(entry.configuration_number() == 3);
 }
--- a/tests/proxy/memory_origin.hpp
+++ b/tests/proxy/memory_origin.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief An origin of weights in memory for entries under test.
- */
+ * @brief An in-memory origin of model weights for tests of entries. */
 #ifndef COURSEJUNCTION_TESTS_PROXY_MEMORY_ORIGIN_HPP
 #define COURSEJUNCTION_TESTS_PROXY_MEMORY_ORIGIN_HPP
 
@@ -24,65 +23,66 @@
 inline constexpr std::size_t origin_chunks = 4;
 inline constexpr std::size_t origin_chunk_bytes = 1024;
 
-/*! @brief What the origin knows to be named while this lives; without one it
- * does not answer. */
-class named_versions
+/*! @brief The newest versions that the origin reports while this object lives.
+ * Without such an object the origin does not respond. */
+class origin_versions
 {
 public:
-    named_versions() { set(this); }
-    ~named_versions() { set(nullptr); }
-    named_versions(const named_versions&) = delete;
-    named_versions& operator=(const named_versions&) = delete;
+    origin_versions() { set(this); }
+    ~origin_versions() { set(nullptr); }
+    origin_versions(const origin_versions&) = delete;
+    origin_versions& operator=(const origin_versions&) = delete;
 
-    void name(const std::string& model, std::uint64_t version)
+    void publish(const std::string& model, std::uint64_t version)
     {
-        const std::lock_guard hold(guard());
+        const std::lock_guard lock(mutex());
         newest[model] = version;
     }
 
-    /*! @brief The next answer tells another version. */
-    void spoil_once(std::uint64_t version)
+    /*! @brief Makes the next response report another version. */
+    void corrupt_next_answer(std::uint64_t version)
     {
-        const std::lock_guard hold(guard());
-        spoilt = version;
+        const std::lock_guard lock(mutex());
+        corrupt_version = version;
     }
 
     [[nodiscard]] static cj::result<cj::offered_version>
     ask(const std::string& model)
     {
-        const std::lock_guard hold(guard());
+        const std::lock_guard lock(mutex());
         if (current() == nullptr || !current()->newest.contains(model))
             return cj::failure(cj::error_kind::unavailable, "no origin");
-        const auto version = std::exchange(current()->spoilt, std::nullopt);
+        const auto version =
+            std::exchange(current()->corrupt_version, std::nullopt);
         return cj::offered_version{version.value_or(current()->newest[model]),
                                    origin_chunks, origin_chunk_bytes,
                                    origin_chunks};
     }
 
 private:
-    static std::mutex& guard()
+    static std::mutex& mutex()
     {
-        static std::mutex one;
-        return one;
+        static std::mutex instance;
+        return instance;
     }
 
-    static named_versions*& current()
+    static origin_versions*& current()
     {
-        static named_versions* one = nullptr;
-        return one;
+        static origin_versions* instance = nullptr;
+        return instance;
     }
 
-    static void set(named_versions* next)
+    static void set(origin_versions* next)
     {
-        const std::lock_guard hold(guard());
+        const std::lock_guard lock(mutex());
         current() = next;
     }
 
     std::map<std::string, std::uint64_t> newest;
-    std::optional<std::uint64_t> spoilt;
+    std::optional<std::uint64_t> corrupt_version;
 };
 
-/*! @brief One process's access to it. */
+/*! @brief Access of one process to the origin. */
 class memory_origin
 {
 public:
@@ -92,7 +92,7 @@
     newest(const std::string&, const std::string& model,
            const std::function<void(cj::result<cj::offered_version>)>& done)
     {
-        done(named_versions::ask(model));
+        done(origin_versions::ask(model));
     }
 };
 
--- a/tests/proxy/memory_store.hpp
+++ b/tests/proxy/memory_store.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief A store in memory for entries under test.
- */
+ * @brief An in-memory store for tests of entries. */
 #ifndef COURSEJUNCTION_TESTS_PROXY_MEMORY_STORE_HPP
 #define COURSEJUNCTION_TESTS_PROXY_MEMORY_STORE_HPP
 
@@ -20,17 +19,18 @@
 
 namespace cj = coursejunction;
 
-/*! @brief Keys that outlast the processes that read and write them. */
-struct stored_keys
+/*! @brief The content of the store, which outlives the processes that use it.
+ */
+struct store_content
 {
-    /*! @brief Writes a key, whatever it holds. */
+    /*! @brief Writes a key unconditionally. */
     void write(const std::string& key, const std::string& payload)
     {
         items[key] = {key, payload, ++revision, 0, false, {}, 0};
         history.push_back(items[key]);
     }
 
-    /*! @brief Removes a key; watches tell so. */
+    /*! @brief Removes a key; watches report the removal. */
     void remove(const std::string& key)
     {
         items[key] = {key, {}, ++revision, 0, true, {}, 0};
@@ -42,44 +42,45 @@
         return found != items.end() && !found->second.removed;
     }
 
-    /*! @brief Comes back from an older copy: what was written since is gone,
-     * and its revisions are given out again. */
-    void come_back(const stored_keys& copy)
+    /*! @brief Rolls back to a snapshot: later writes are lost, and their
+     * revisions are assigned again. */
+    void restore_from(const store_content& snapshot)
     {
-        const auto next = era + 1;
-        *this = copy;
-        era = next;
+        const auto next_era = era + 1;
+        *this = snapshot;
+        era = next_era;
     }
 
     std::map<std::string, cj::message::mirror_item> items;
     std::vector<cj::message::mirror_item> history;
     std::uint64_t revision{0};
     std::uint64_t era{1};
-    bool tells_history{false}; /*!< Watches tell overwritten values as well. */
+    bool watch_returns_history{
+        false}; /*!< Watches also return overwritten values. */
 };
 
-/*! @brief One process's access to the keys. */
+/*! @brief Access of one process to the store. */
 class memory_store
 {
 public:
     using page_callback = std::function<void(cj::result<cj::store_page>)>;
     using write_callback = std::function<void(cj::result<bool>)>;
 
-    memory_store(cj::event_loop& owner, stored_keys& all)
-        : loop(owner), keys(all)
+    memory_store(cj::event_loop& owner, store_content& content)
+        : loop(owner), keys(content)
     {
     }
 
     void list(const page_callback& done)
     {
-        answer([this, done] { done(changed_after(0)); });
+        respond([this, done] { done(changed_after(0)); });
     }
 
     void watch(std::uint64_t after, cj::milliseconds wait,
                const page_callback& done)
     {
-        const auto until = cj::event_loop::now() + wait;
-        poll(after, until, done);
+        const auto deadline = cj::event_loop::now() + wait;
+        poll(after, deadline, done);
     }
 
     void cancel() { call.stop(); }
@@ -90,8 +91,8 @@
              std::uint64_t revision, cj::milliseconds,
              const write_callback& done)
     {
-        const auto at = keys.holds(key) ? keys.items.at(key).revision : 0;
-        if (at != revision)
+        const auto current = keys.holds(key) ? keys.items.at(key).revision : 0;
+        if (current != revision)
             return done(false);
         keys.write(key, payload);
         done(true);
@@ -106,33 +107,33 @@
     void remove(const std::string& key, std::uint64_t,
                 const write_callback& done)
     {
-        const bool held = keys.holds(key);
-        if (held)
+        const bool existed = keys.holds(key);
+        if (existed)
             keys.remove(key);
-        done(held);
+        done(existed);
     }
 
 private:
-    static constexpr cj::milliseconds answer_time{2};
+    static constexpr cj::milliseconds response_delay{2};
 
-    void answer(std::function<void()> work)
+    void respond(std::function<void()> work)
     {
-        call = loop.after(answer_time, std::move(work));
+        call = loop.after(response_delay, std::move(work));
     }
 
-    void poll(std::uint64_t after, cj::time_point until,
+    void poll(std::uint64_t after, cj::time_point deadline,
               const page_callback& done)
     {
-        answer(
-            [this, after, until, done]
+        respond(
+            [this, after, deadline, done]
             {
                 if (after > keys.revision)
                     return done(cj::failure(cj::error_kind::not_found,
                                             "no such revision"));
-                if (keys.revision <= after && cj::event_loop::now() < until)
-                    return poll(after, until, done);
-                done(keys.tells_history ? written_after(after)
-                                        : changed_after(after));
+                if (keys.revision <= after && cj::event_loop::now() < deadline)
+                    return poll(after, deadline, done);
+                done(keys.watch_returns_history ? written_after(after)
+                                                : changed_after(after));
             });
     }
 
@@ -165,7 +166,7 @@
     }
 
     cj::event_loop& loop;
-    stored_keys& keys;
+    store_content& keys;
     cj::timer call;
 };
 
--- a/tests/proxy/refusal_messages.cpp
+++ b/tests/proxy/refusal_messages.cpp
@@ -7,52 +7,54 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("entries tell each other of refusals in spans of time", "[proxy]")
+SCENARIO("refusals are sent between entries with durations instead of times",
+         "[proxy]")
 {
-    const cj::time_point here{100s};
-    const cj::time_point there{5000s};
-    cj::refused_try one;
-    one.what = cj::request_fingerprint(7);
-    one.first = here - 300ms;
-    one.ends = here + 5600ms;
-    one.refused = here;
-    one.due = here + 200ms;
-    const auto told = cj::encode_refusal(one, here);
+    const cj::time_point sender_now{100s};
+    const cj::time_point receiver_now{5000s};
+    cj::refused_try refusal;
+    refusal.what = cj::request_fingerprint(7);
+    refusal.first = sender_now - 300ms;
+    refusal.ends = sender_now + 5600ms;
+    refusal.refused = sender_now;
+    refusal.due = sender_now + 200ms;
+    const auto encoded = cj::encode_refusal(refusal, sender_now);
 
-    THEN("another process reads them by its own clock")
+    THEN("another process converts them to its own clock")
     {
-        const auto read = cj::decode_refusal(told, there);
-        CHECK(read.what == one.what);
-        CHECK(read.first == there - 300ms);
-        CHECK(read.ends == there + 5600ms);
-        CHECK(read.refused == there);
-        CHECK(read.due == there + 200ms);
+        const auto decoded = cj::decode_refusal(encoded, receiver_now);
+        CHECK(decoded.what == refusal.what);
+        CHECK(decoded.first == receiver_now - 300ms);
+        CHECK(decoded.ends == receiver_now + 5600ms);
+        CHECK(decoded.refused == receiver_now);
+        CHECK(decoded.due == receiver_now + 200ms);
     }
-    THEN("a caller without a deadline has none there either")
+    THEN("a missing deadline stays missing")
     {
-        one.ends.reset();
-        CHECK_FALSE(
-            cj::decode_refusal(cj::encode_refusal(one, here), there).ends);
+        refusal.ends.reset();
+        CHECK_FALSE(cj::decode_refusal(cj::encode_refusal(refusal, sender_now),
+                                       receiver_now)
+                        .ends);
     }
-    THEN("times that lie behind are no spans")
+    THEN("a time in the past becomes a duration of zero")
     {
-        one.due = here - 1s;
-        CHECK(cj::encode_refusal(one, here).due_ms == 0);
+        refusal.due = sender_now - 1s;
+        CHECK(cj::encode_refusal(refusal, sender_now).due_ms == 0);
     }
-    THEN("a heartbeat of an entry carries them")
+    THEN("the heartbeat of an entry carries them")
     {
-        cj::message::fleet_heartbeat beat;
-        beat.entry = true;
-        beat.refusals.assign(3, told);
-        const auto bytes = cj::encode(beat);
-        const auto read = cj::decode<cj::message::fleet_heartbeat>(bytes);
-        REQUIRE(read);
-        REQUIRE(read.value().refusals.size() == 3);
-        CHECK(read.value().refusals.front().left_ms == 5600);
-        AND_THEN("one that is cut off is refused")
+        cj::message::fleet_heartbeat heartbeat;
+        heartbeat.entry = true;
+        heartbeat.refusals.assign(3, encoded);
+        const auto bytes = cj::encode(heartbeat);
+        const auto decoded = cj::decode<cj::message::fleet_heartbeat>(bytes);
+        REQUIRE(decoded);
+        REQUIRE(decoded.value().refusals.size() == 3);
+        CHECK(decoded.value().refusals.front().left_ms == 5600);
+        AND_THEN("a truncated heartbeat is rejected")
         {
-            const auto part = bytes.substr(0, bytes.size() - 10);
-            CHECK_FALSE(cj::decode<cj::message::fleet_heartbeat>(part));
+            const auto truncated = bytes.substr(0, bytes.size() - 10);
+            CHECK_FALSE(cj::decode<cj::message::fleet_heartbeat>(truncated));
         }
     }
 }
--- a/tests/proxy/upstream_notices.cpp
+++ b/tests/proxy/upstream_notices.cpp
@@ -11,144 +11,152 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 using proxy_test::entry_on_loopback;
+using proxy_test::event_stream;
+using proxy_test::response;
 using proxy_test::scripted_upstream;
-using proxy_test::stream;
-using proxy_test::whole;
 
 namespace
 {
 
-void ask_often(entry_on_loopback& entry, int times)
+void ask_repeatedly(entry_on_loopback& entry, int times)
 {
-    for (int at = 0; at < times; ++at)
+    for (int count = 0; count < times; ++count)
         CHECK(entry.ask().starts_with("HTTP/1.1 200"));
 }
 
-/*! @brief Takes the other upstream away: nothing is left to choose. What an
- * entry avoids by its own judgement, it tries again after 300 ms. */
-void check_unused(entry_on_loopback& entry, scripted_upstream& one)
+/*! @brief Checks that the entry sends nothing to an upstream even when it is
+ * the only one left. An upstream that is avoided only because of failures would
+ * be tried again after 300 ms. */
+void check_unused(entry_on_loopback& entry, scripted_upstream& upstream)
 {
-    entry.forget("b");
-    const auto before = one.arrivals().size();
+    entry.remove_upstream("b");
+    const auto before = upstream.arrivals().size();
     std::this_thread::sleep_for(400ms);
     CHECK(entry.ask().starts_with("HTTP/1.1 503"));
-    CHECK(one.arrivals().size() == before);
+    CHECK(upstream.arrivals().size() == before);
 }
 
 } // namespace
 
-SCENARIO("requests beyond the limit that an upstream names", "[proxy]")
+SCENARIO("an upstream gets no more requests than the limit it reports",
+         "[proxy]")
 {
     entry_on_loopback entry;
-    entry.route(cj::request_kind::repeatable);
-    scripted_upstream other({whole("other")});
-    entry.upstream("b", other.address);
+    entry.configure_route(cj::request_kind::repeatable);
+    scripted_upstream other({response("other")});
+    entry.add_upstream("b", other.address);
 
-    GIVEN("an upstream that is preferred and takes one request a second")
+    GIVEN("a preferred upstream that takes one request a second")
     {
-        scripted_upstream limited({whole("x", "7", "200 OK", "Limit: 1\r\n")});
-        entry.upstream("a", limited.address);
-        ask_often(entry, 8);
+        scripted_upstream limited(
+            {response("x", "7", "200 OK", "Limit: 1\r\n")});
+        entry.add_upstream("a", limited.address);
+        ask_repeatedly(entry, 8);
         CHECK(limited.arrivals().size() <= 2);
         CHECK(other.arrivals().size() >= 6);
     }
 }
 
-SCENARIO("requests to an upstream whose answer said that it leaves", "[proxy]")
+SCENARIO(
+    "an upstream gets no requests after a response says that it is leaving",
+    "[proxy]")
 {
     entry_on_loopback entry;
-    scripted_upstream other({whole("other")});
-    entry.upstream("b", other.address);
-    const std::string says = "Leaving: 1\r\n";
+    scripted_upstream other({response("other")});
+    entry.add_upstream("b", other.address);
+    const std::string leaving_header = "Leaving: 1\r\n";
 
-    GIVEN("an answer that is whole")
+    GIVEN("a complete response")
     {
-        entry.route(cj::request_kind::repeatable);
-        scripted_upstream one({whole("x", "7", "200 OK", says)});
-        entry.upstream("a", one.address);
-        ask_often(entry, 4);
-        CHECK(one.arrivals().size() == 1);
-        check_unused(entry, one);
+        entry.configure_route(cj::request_kind::repeatable);
+        scripted_upstream first({response("x", "7", "200 OK", leaving_header)});
+        entry.add_upstream("a", first.address);
+        ask_repeatedly(entry, 4);
+        CHECK(first.arrivals().size() == 1);
+        check_unused(entry, first);
     }
-    GIVEN("a failure of its own")
+    GIVEN("a server error")
     {
-        entry.route(cj::request_kind::repeatable);
-        scripted_upstream one({whole("x", "7", "500 No", says)});
-        entry.upstream("a", one.address);
-        ask_often(entry, 1);
-        check_unused(entry, one);
+        entry.configure_route(cj::request_kind::repeatable);
+        scripted_upstream first({response("x", "7", "500 No", leaving_header)});
+        entry.add_upstream("a", first.address);
+        ask_repeatedly(entry, 1);
+        check_unused(entry, first);
     }
-    GIVEN("a refusal of what may run once")
+    GIVEN("a refusal of an at-most-once request")
     {
-        entry.route(cj::request_kind::single);
-        scripted_upstream one(
-            {whole("", "7", "503 No", says + "Not-Run: 1\r\n")});
-        entry.upstream("a", one.address);
-        ask_often(entry, 1);
-        check_unused(entry, one);
+        entry.configure_route(cj::request_kind::single);
+        scripted_upstream first(
+            {response("", "7", "503 No", leaving_header + "Not-Run: 1\r\n")});
+        entry.add_upstream("a", first.address);
+        ask_repeatedly(entry, 1);
+        check_unused(entry, first);
     }
-    GIVEN("the head of a stream, which breaks off")
+    GIVEN("the head of a stream that breaks off")
     {
-        entry.route(cj::request_kind::stream);
-        scripted_upstream one({"HTTP/1.1 200 OK\r\nId: 7\r\n" + says +
-                               "Transfer-Encoding: chunked\r\n\r\n"
-                               "9\r\nid: 1\n\n\r\n"});
-        entry.upstream("a", one.address);
+        entry.configure_route(cj::request_kind::stream);
+        scripted_upstream first({"HTTP/1.1 200 OK\r\nId: 7\r\n" +
+                                 leaving_header +
+                                 "Transfer-Encoding: chunked\r\n\r\n"
+                                 "9\r\nid: 1\n\n\r\n"});
+        entry.add_upstream("a", first.address);
         static_cast<void>(entry.ask());
-        CHECK(one.arrivals().size() == 1);
-        check_unused(entry, one);
+        CHECK(first.arrivals().size() == 1);
+        check_unused(entry, first);
     }
-    GIVEN("a stream that goes on: it is resumed elsewhere")
+    GIVEN("the head of a resumable stream: another upstream continues it")
     {
-        entry.route(cj::request_kind::stream, true);
-        scripted_upstream one({"HTTP/1.1 200 OK\r\nId: 7\r\n" + says +
-                               "Transfer-Encoding: chunked\r\n\r\n"
-                               "9\r\nid: 1\n\n\r\n"});
-        entry.upstream("a", one.address);
+        entry.configure_route(cj::request_kind::stream, true);
+        scripted_upstream first({"HTTP/1.1 200 OK\r\nId: 7\r\n" +
+                                 leaving_header +
+                                 "Transfer-Encoding: chunked\r\n\r\n"
+                                 "9\r\nid: 1\n\n\r\n"});
+        entry.add_upstream("a", first.address);
         static_cast<void>(entry.ask());
-        CHECK(one.arrivals().size() == 1);
+        CHECK(first.arrivals().size() == 1);
         CHECK(other.arrivals().size() == 1);
-        check_unused(entry, one);
+        check_unused(entry, first);
     }
 }
 
-SCENARIO("requests to an upstream within the rest that it asked for", "[proxy]")
+SCENARIO("an upstream gets no requests during the Retry-After time it reports",
+         "[proxy]")
 {
     entry_on_loopback entry;
-    const std::string rests =
-        whole("", "7", "503 No", "Not-Run: 1\r\nRest: 1500\r\n");
+    const std::string busy_response =
+        response("", "7", "503 No", "Not-Run: 1\r\nRest: 1500\r\n");
 
     GIVEN("another upstream")
     {
-        entry.route(cj::request_kind::single);
-        scripted_upstream one({rests});
-        scripted_upstream other({whole("other")});
-        entry.upstream("a", one.address);
-        entry.upstream("b", other.address);
-        ask_often(entry, 2);
-        CHECK(one.arrivals().size() == 1);
-        check_unused(entry, one);
-        SECTION("afterwards it is used again")
+        entry.configure_route(cj::request_kind::single);
+        scripted_upstream first({busy_response});
+        scripted_upstream other({response("other")});
+        entry.add_upstream("a", first.address);
+        entry.add_upstream("b", other.address);
+        ask_repeatedly(entry, 2);
+        CHECK(first.arrivals().size() == 1);
+        check_unused(entry, first);
+        SECTION("afterwards it gets requests again")
         {
             std::this_thread::sleep_for(1200ms);
             static_cast<void>(entry.ask());
-            CHECK(one.arrivals().size() == 2);
+            CHECK(first.arrivals().size() == 2);
         }
     }
-    GIVEN("no other one: refused at once, with the time at which it ends")
+    GIVEN("no other one: refused at once, with the remaining time")
     {
-        entry.route(cj::request_kind::repeatable);
-        scripted_upstream one({rests});
-        entry.upstream("a", one.address);
+        entry.configure_route(cj::request_kind::repeatable);
+        scripted_upstream first({busy_response});
+        entry.add_upstream("a", first.address);
         CHECK(entry.ask().starts_with("HTTP/1.1 503"));
         const auto begun = std::chrono::steady_clock::now();
         const auto answer = entry.ask();
         CHECK(std::chrono::steady_clock::now() - begun < 100ms);
-        const auto wait = answer.find("Retry-After: ");
-        REQUIRE(wait != std::string::npos);
-        const auto told = std::stoi(answer.substr(wait + 13));
-        CHECK(told > 1000);
-        CHECK(told <= 1500);
-        check_unused(entry, one);
+        const auto header = answer.find("Retry-After: ");
+        REQUIRE(header != std::string::npos);
+        const auto retry_after = std::stoi(answer.substr(header + 13));
+        CHECK(retry_after > 1000);
+        CHECK(retry_after <= 1500);
+        check_unused(entry, first);
     }
 }
