--- a/src/coursejunction/proxy/exchange.hpp
+++ b/src/coursejunction/proxy/exchange.hpp
@@ -32,7 +32,8 @@
     may_have_run    /*!< Nothing proves that the request did not run. */
 };
 
-/*! @brief A request with its attempt in progress. */
+/*! @brief A request with its attempt in progress. `number` identifies it within
+ * this process, `attempt_id` the attempt; the client's id is in `decoded`. */
 struct exchange
 {
     std::uint64_t number{0};
--- a/src/coursejunction/proxy/exchange_log.hpp
+++ b/src/coursejunction/proxy/exchange_log.hpp
@@ -162,7 +162,7 @@
 
 /*! @brief Logs a failed attempt. */
 inline void attempt_failed(const exchange& request, const std::string& why,
-                           bool may_have_run, bool sent_again, time_point now)
+                           bool may_have_run, bool resending, time_point now)
 {
     log::problem("attempt_failed",
                  {{"request", request.decoded.id.value()},
@@ -171,7 +171,7 @@
                   {"why", why},
                   {"events", std::to_string(request.events.size())},
                   {"may_have_run", may_have_run ? "true" : "false"},
-                  {"sent_again", sent_again ? "true" : "false"},
+                  {"sent_again", resending ? "true" : "false"},
                   {"after_ms", ms_between(request.sent_at, now)}});
 }
 
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -40,8 +40,8 @@
 {
 
 /*! @brief Handles each request from its arrival to its final response: admits
- * it, chooses an upstream, starts attempts, retries failed ones and reports the
- * outcome. Runs on one event loop.
+ * it, chooses an upstream, sends it there, resends it after a failed attempt
+ * and logs the outcome. Runs on one event loop.
  * @tparam Codec A `Request_codec`. */
 template <typename Codec>
 class exchange_service
@@ -69,11 +69,11 @@
         decisions.configure(*configuration);
     }
 
-    /*! @brief Returns the oldest model versions that may serve new requests;
-     * the caller keeps them up to date. */
+    /*! @brief Returns the minimum versions for new requests; the owner of this
+     * object updates them. */
     [[nodiscard]] version_floor& floors() { return floor; }
 
-    /*! @brief Returns the quarantine of requests that crash upstreams. */
+    /*! @brief Returns the guard against requests that crash upstreams. */
     [[nodiscard]] crash_guard& crashes() { return guard; }
 
     /*! @brief Sets the number of entries that share the upstreams. */
@@ -318,8 +318,8 @@
         if (status == crash_standing::clear)
             return true;
         const auto max_running = guard.max_running(request.content, now);
-        // A trial has one attempt: its failure may be the crash that it tests
-        // for.
+        // A trial has a single attempt, since a failure of it may be the crash
+        // that it tests for.
         if (max_running == 0 || (request.is_trial && request.possible_runs > 0))
         {
             refuse_quarantined(request, now);
@@ -344,10 +344,10 @@
         send_refusal(request, left);
     }
 
-    /*! @brief Returns the upstreams that run other suspects. Suspects are kept
-     * apart so that the next crash identifies the one that causes it: eight
-     * suspects that shared an upstream would otherwise crash a second one
-     * together, as they did within 0.15 s. */
+    /*! @brief Returns the upstreams that run other suspects. Suspects are sent
+     * to different upstreams, so that the next crash shows which of them causes
+     * it. Eight requests that had lost one upstream together lost a second one
+     * within 0.15 s. */
     [[nodiscard]] std::vector<instance_id>
     upstreams_of_suspects(const exchange& request, time_point now) const
     {
@@ -496,10 +496,10 @@
         arm_silence_timer(request);
     }
 
-    /*! @brief Returns whether the chosen model version must soon stop starting
-     * requests. Such an attempt opens a new connection: if the link delays
-     * packets, the connection setup stalls, and the request is not sent too
-     * late. */
+    /*! @brief Returns whether the chosen model version must stop starting
+     * requests within `old_weights_reconnect_window`. Such an attempt opens a
+     * new connection: if the link delays packets, the connection setup stalls,
+     * and the request is not sent at all instead of too late. */
     [[nodiscard]] bool weights_expire_soon(const exchange& request,
                                            time_point now) const
     {
@@ -557,9 +557,9 @@
     }
 
     /*! @brief Returns the time to wait for an attempt's first event: a multiple
-     * of the predicted time. It is cut short where the chosen model version
-     * must stop starting requests, since the attempt may still be queued there.
-     */
+     * of the predicted time, but no longer than `old_weights_cancel_delay`
+     * after the chosen model version must stop starting requests, since the
+     * attempt may still be queued at the upstream then. */
     [[nodiscard]] std::chrono::microseconds
     first_event_timeout(const exchange& request) const
     {
@@ -715,8 +715,8 @@
 
     // --- Failure ---------------------------------------------------------
 
-    /*! @brief Handles a failed attempt: retries where the route and the retry
-     * budget allow it, else sends the final response. */
+    /*! @brief Handles a failed attempt: sends the request again where the route
+     * and the retry budget allow it, or the final response otherwise. */
     void on_attempt_failed(exchange& request, attempt_failure failure,
                            const std::string& reason)
     {
@@ -732,21 +732,21 @@
                  now);
         counters.count("attempts_failed_total", 1,
                        {{"may_have_run", may_have_run ? "true" : "false"}});
-        const bool may_retry =
+        const bool may_resend =
             may_have_run ? exchange_facts::may_repeat(request)
                          : request.tried_upstreams.size() < max_total_attempts;
         request.failed_at = now;
         if (may_have_run)
             ++request.possible_runs;
         // An attempt that was never sent adds no load, so it needs no budget.
-        const bool retrying =
-            may_retry && (failure == attempt_failure::not_sent ||
-                          budgets.of(request.service).spend(now));
-        exchange_log::attempt_failed(request, reason, may_have_run, retrying,
+        const bool resending =
+            may_resend && (failure == attempt_failure::not_sent ||
+                           budgets.of(request.service).spend(now));
+        exchange_log::attempt_failed(request, reason, may_have_run, resending,
                                      now);
-        if (retrying)
+        if (resending)
             return place(request);
-        give_up(request, may_retry ? "retry budget is exhausted" : reason);
+        give_up(request, may_resend ? "retry budget is exhausted" : reason);
     }
 
     /*! @brief Returns the Retry-After time for refusals that are not due to
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -130,8 +130,9 @@
     }
 
 private:
-    /*! @brief Interval of expiry, of writing keys that the store lost, and of
-     * the steps of a shutdown. */
+    /*! @brief Interval at which expired state is dropped, shares are
+     * recalculated, keys that the store lost are rewritten and a shutdown
+     * advances. */
     static constexpr milliseconds tick_interval{100};
 
     /*! @brief The configuration counts as outdated when peers have been ahead
@@ -142,13 +143,13 @@
     /*! @brief Idle connections are closed this long after a shutdown began. The
      * load balancer checks each second and stops routing here after the second
      * failure, so no new connections arrive by then, and every response since
-     * has told its caller to leave. */
+     * has asked its caller to close the connection. */
     static constexpr milliseconds idle_close_delay{2600};
 
-    /*! @brief Requests that arrive later than this after a shutdown began are
-     * refused: a stream that began then might not end before the process must
-     * exit. */
-    static constexpr milliseconds accept_until{2800};
+    /*! @brief Requests are accepted for this long after a shutdown began and
+     * refused afterwards: a stream that began later might not end before the
+     * process must exit. */
+    static constexpr milliseconds accept_duration{2800};
 
     /*! @brief Minimum requests per second that an entry counts for when engines
      * are divided, so that one without requests so far can place its first one.
@@ -218,7 +219,7 @@
 
     void handle_request(stream_request request, stream_reply reply)
     {
-        if (stopping && event_loop::now() - stop_began_at >= accept_until)
+        if (stopping && event_loop::now() - stop_began_at >= accept_duration)
         {
             constexpr milliseconds retry_after{100};
             counters.count("requests_refused_total", 1, {{"status", "503"}});
@@ -487,7 +488,8 @@
             restore_lost_keys(now);
     }
 
-    /*! @brief Rewrites keys that the store lost. */
+    /*! @brief Rewrites keys that the store lost. The rank among the live
+     * entries decides which of them writes first. */
     void restore_lost_keys(time_point now)
     {
         const auto rank =
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -141,10 +141,8 @@
 
     struct serving_counts
     {
-        std::size_t all{
-            0}; /*!< Upstreams that serve any version of the model. */
-        std::size_t at_least{
-            0}; /*!< Upstreams that serve at least the given version. */
+        std::size_t all{0};      /*!< Upstreams with any version. */
+        std::size_t at_least{0}; /*!< Upstreams with this or a newer one. */
     };
 
     [[nodiscard]] serving_counts count_serving(const std::string& model,
@@ -183,23 +181,25 @@
         if (gaps != known_gaps)
             poller.doubt("changes of the store were missed", now);
         known_gaps = gaps;
-        const auto* rules = fleet.rules();
-        const auto* from = rules != nullptr ? rules->origin() : nullptr;
-        if (from == nullptr)
+        const auto* configuration = fleet.rules();
+        const auto* origin_service =
+            configuration != nullptr ? configuration->origin() : nullptr;
+        if (origin_service == nullptr)
             return;
-        for (const auto& [name, service] : rules->services)
+        for (const auto& [name, service] : configuration->services)
         {
             if (service.engine)
-                poll_origin(*from, *service.engine, ranking, now);
+                poll_origin(*origin_service, *service.engine, ranking, now);
         }
     }
 
-    void poll_origin(const service_profile& from, const engine_profile& engine,
+    void poll_origin(const service_profile& origin_service,
+                     const engine_profile& engine,
                      const entry_standing& ranking, time_point now)
     {
         for (const auto& model : engine.models)
             poller.consider(
-                from,
+                origin_service,
                 {model, fleet.newest(model), engine.chunks, engine.chunk_bytes},
                 ranking, now);
     }
@@ -216,10 +216,10 @@
         if (now - alarms_updated_at < alarm_interval)
             return;
         alarms_updated_at = now;
-        const auto* rules = fleet.rules();
-        if (rules == nullptr)
+        const auto* configuration = fleet.rules();
+        if (configuration == nullptr)
             return;
-        for (const auto& [name, service] : rules->services)
+        for (const auto& [name, service] : configuration->services)
         {
             if (!service.engine)
                 continue;
@@ -230,15 +230,15 @@
 
     void update_alarms(const std::string& model, time_point now)
     {
-        const auto named = fleet.named_in_store(model);
+        const auto published = fleet.named_in_store(model);
         const auto newest = fleet.newest(model);
-        const bool binds = floors.least(model, now) >= newest;
-        const bool unserved =
-            newest > 1 && binds && count_serving(model, newest).at_least == 0;
+        const bool newest_required = floors.least(model, now) >= newest;
+        const bool unserved = newest > 1 && newest_required &&
+                              count_serving(model, newest).at_least == 0;
         auto& alarm = alarms[model];
-        report("version_name_outdated", model, named,
-               alarm.outdated.note(named < newest, now));
-        report("version_unserved", model, named,
+        report("version_name_outdated", model, published,
+               alarm.outdated.note(published < newest, now));
+        report("version_unserved", model, published,
                alarm.unserved.note(unserved, now));
         const metrics::labels labels{{"model", model}};
         counters.set("version_name_outdated_seconds",
@@ -250,12 +250,13 @@
     }
 
     void report(const std::string& event, const std::string& model,
-                std::uint64_t named, lasting_condition::change change) const
+                std::uint64_t published_version,
+                lasting_condition::change change) const
     {
         if (change == lasting_condition::change::none)
             return;
         const auto newest = std::to_string(fleet.newest(model));
-        const auto published = std::to_string(named);
+        const auto published = std::to_string(published_version);
         if (change == lasting_condition::change::began)
             log::warning(
                 event,
