--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -1,13 +1,9 @@
-/* One streamed request crashed every engine that ran it, 0.05 to 0.12 s after
- * the engine had started it. The client resent it to any entry, under a new id
- * each time, and each copy was tried at the usual two upstreams. After three
- * crashes it reached engines 22 more times and crashed 42 of them in 16 s; in
- * the next series 23 more times, and 47. Of 20 engines up to eight were down at
- * once, and 297 of 533 requests of five seconds were in time.
- *
- * The entries could not recognise the request: they tracked it by its id,
- * dropped that with the response, and logged its two failures ("partial
- * message", "end of stream") like any lost connection. */
+/* Guards against a request that crashes each engine that runs it. The entries
+ * tracked requests only by id, so they did not recognise it when the client
+ * resent it under new ids, and tried each copy at two upstreams. After three
+ * crashes it crashed 42 more engines in 16 s, and 47 in the next series; up to
+ * eight of 20 engines were down at once, and 297 of 533 requests of five
+ * seconds were in time. */
 #include <chrono>
 #include <cstddef>
 #include <functional>
@@ -44,10 +40,11 @@
             cj::exchange_options{}.first_event_slack)
         : entry_on_loopback(first_event_slack)
     {
-        for (std::size_t at = 0; at < upstream_count; ++at)
+        for (std::size_t index = 0; index < upstream_count; ++index)
         {
-            peers.push_back(std::make_unique<loopback::crashing_peer>(how(at)));
-            add_upstream(std::string(1, static_cast<char>('a' + at)),
+            peers.push_back(
+                std::make_unique<loopback::crashing_peer>(how(index)));
+            add_upstream(std::string(1, static_cast<char>('a' + index)),
                          peers.back()->address);
         }
     }
@@ -65,10 +62,10 @@
      * after a few missed liveness reports. */
     void remove_crashed_upstreams()
     {
-        for (std::size_t at = 0; at < upstream_count; ++at)
+        for (std::size_t index = 0; index < upstream_count; ++index)
         {
-            if (peers[at]->ended())
-                remove_upstream(std::string(1, static_cast<char>('a' + at)));
+            if (peers[index]->ended())
+                remove_upstream(std::string(1, static_cast<char>('a' + index)));
         }
     }
 
@@ -106,15 +103,12 @@
     }
 }
 
-/* Engines that were killed one after the other had all run the same harmless
- * request, since it was resent to the next one each time. It was quarantined
- * for ten minutes like the request that crashes engines. Next to such a
- * request, content that all callers ask for was quarantined as well: of seven
- * runs of 5 s, six refused it 629 to 898 times and answered it 18 to 67 times.
- *
- * On the other hand, three attempts of one harmful request were cancelled for
- * silence before their engines were seen to have crashed: no crash was counted,
- * and it went on to four more engines. */
+/* Guards against two errors in the attribution of crashes. A harmless request
+ * that was resent after each of three unrelated crashes was quarantined for ten
+ * minutes, and so was content that all callers ask for: of seven runs of 5 s,
+ * six refused it 629 to 898 times and answered it 18 to 67 times. And three
+ * attempts of a harmful request that were cancelled for silence before the
+ * crash was seen were not counted, so that it went on to four more engines. */
 SCENARIO(
     "a crash counts against a request only if the request may have caused it",
     "[proxy]")
@@ -122,9 +116,9 @@
     SECTION("a request that had returned events each time is not quarantined")
     {
         entry_with_crashing_upstreams entry(
-            [](std::size_t at)
+            [](std::size_t index)
             {
-                const auto number = std::to_string(at + 1);
+                const auto number = std::to_string(index + 1);
                 return entry_with_crashing_upstreams::manner{
                     proxy_test::event_stream("id: " + number + "\ndata: x\n\n",
                                              false),
@@ -136,8 +130,9 @@
         CHECK(entry.crashed_count() == 4);
         scripted_upstream healthy(
             {proxy_test::event_stream("id: 1\ndata: x\n\n", true)});
-        for (std::size_t at = 0; at < upstream_count; ++at)
-            entry.remove_upstream(std::string(1, static_cast<char>('a' + at)));
+        for (std::size_t index = 0; index < upstream_count; ++index)
+            entry.remove_upstream(
+                std::string(1, static_cast<char>('a' + index)));
         entry.add_upstream("sound", healthy.address);
         CHECK(entry.ask().find("200 OK") != std::string::npos);
     }
