--- a/src/coursejunction/proxy/crash_guard.hpp
+++ b/src/coursejunction/proxy/crash_guard.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief Keeps requests that crash upstreams from the upstreams of an entry.
- */
+ * @brief Stops requests that crash upstreams from being sent again. */
 #ifndef COURSEJUNCTION_PROXY_CRASH_GUARD_HPP
 #define COURSEJUNCTION_PROXY_CRASH_GUARD_HPP
 
@@ -19,117 +18,135 @@
 namespace coursejunction
 {
 
-/*! @brief Looks into lost attempts, counts upstreams that ended under a request
- * together with the other entries, and says which requests are not sent any
- * more. */
+/*! @brief Determines which lost attempts were upstream crashes, counts the
+ * crashes under each request, shares the counts with the other entries and
+ * quarantines requests with too many. After its quarantine a request is on
+ * trial: one entry runs one copy at a time to see whether it still crashes
+ * upstreams. */
 class crash_guard
 {
 public:
-    /*! @brief Told when a request is quarantined, here or by another entry. */
+    /*! @brief Called when a request is quarantined, by this or by another
+     * entry. */
     using quarantine_callback = std::function<void(const request_content&)>;
 
-    /*! @brief Told when other entries should hear of a record at once. */
-    using news_callback = std::function<void()>;
+    /*! @brief Called when a crash record changed that the other entries should
+     * receive at once. */
+    using change_callback = std::function<void()>;
 
-    /*! @brief Tells whether trials of a request are this entry's; all entries
-     * agree on one. */
+    /*! @brief Returns whether this entry runs the trials of a request; all
+     * entries agree on one. */
     using trial_owner = std::function<bool(const request_content&)>;
 
-    /*! @brief Told what should outlast this process: a record that was found
-     * here, or nothing where a quarantine is over before its time. */
-    using keep_callback = std::function<void(
+    /*! @brief Called with a crash record to persist, or with null when a
+     * quarantine was lifted or disproved and its stored record must be removed.
+     */
+    using persist_callback = std::function<void(
         const request_content&, const message::crash_record* record)>;
 
-    crash_guard(stream_client& carrier, metrics& counted,
-                quarantine_callback call);
-
-    /*! @brief Sets who tells other entries. */
-    void on_news(news_callback call);
-
-    /*! @brief Sets who keeps quarantines beyond this process. */
-    void on_keep(keep_callback call);
-
-    /*! @brief Sets who knows whose trials are whose; until then, all are this
-     * entry's. */
-    void owns_trials(trial_owner call);
-
-    [[nodiscard]] crash_status standing(const request_content& what,
-                                        time_point now) const;
-
-    /*! @brief Returns how many copies of a request may run here at once. */
-    [[nodiscard]] std::size_t most_running(const request_content& what,
-                                           time_point now) const;
-
-    /*! @brief Tells whether an attempt of a request was lost just now and it is
-     * not known why. */
-    [[nodiscard]] bool looking_into(const request_content& what,
-                                    time_point now) const;
-
-    /*! @brief Tells whether a request may be what ended an upstream, as far as
-     * is known or just being looked into. */
-    [[nodiscard]] bool suspect(const request_content& what,
-                               time_point now) const;
-
-    /*! @brief Returns how long a request's quarantine still lasts. */
-    [[nodiscard]] milliseconds left(const request_content& what,
-                                    time_point now) const;
-
-    /*! @brief An attempt was lost before its answer was whole. Whether its
-     * upstream ended is asked at its address. */
-    void lost(lost_attempt one, time_point now);
-
-    /*! @brief An upstream was seen to have ended. */
-    void ended(const instance_id& upstream, const std::string& why);
-
-    /*! @brief An upstream's record is gone. It may only stand still where
-     * nothing but silence came from it; that is asked at its address. */
-    void record_gone(const instance_id& upstream);
-
-    /*! @brief An upstream's record names an address: whoever had it before has
-     * ended. */
-    void address_taken(const instance_id& by, const std::string& address);
-
-    /*! @brief An upstream answered a request in whole. */
-    void answered(const request_content& what);
-
-    /*! @brief Takes records of another entry. Where only all ends together
-     * quarantine a request nobody finds that by its own, so that the entry that
-     * runs the trials keeps it. */
-    void take(const std::vector<message::crash_record>& told,
-              const std::string& from);
-
-    /*! @brief Takes a quarantine that outlasted the process that found it. */
-    void restore(const message::crash_record& kept_before);
-
-    /*! @brief Returns records for other entries. */
-    [[nodiscard]] std::vector<message::crash_record> told();
-
-    /*! @brief Ends a quarantine, here and, by the next heartbeats, everywhere.
-     * @return Whether there was one. */
-    bool lift_quarantine(const request_content& what);
-
-    /*! @brief Forgets what is past, and sets the gauges. */
+    crash_guard(stream_client& upstream_client, metrics& metric_counters,
+                quarantine_callback callback);
+
+    /*! @brief Sets the callback for changed records. */
+    void on_records_changed(change_callback callback);
+
+    /*! @brief Sets the callback that persists quarantines beyond this process.
+     */
+    void on_persist(persist_callback callback);
+
+    /*! @brief Sets who runs the trials. Without it, this entry runs all of
+     * them. */
+    void set_trial_owner(trial_owner predicate);
+
+    [[nodiscard]] crash_status status(const request_content& content,
+                                      time_point now) const;
+
+    /*! @brief Returns how many copies of a request may run at once at this
+     * entry. */
+    [[nodiscard]] std::size_t max_running(const request_content& content,
+                                          time_point now) const;
+
+    /*! @brief Returns whether an attempt of a request was lost recently and the
+     * cause is still unknown. */
+    [[nodiscard]] bool has_unexplained_loss(const request_content& content,
+                                            time_point now) const;
+
+    /*! @brief Returns whether a request may have crashed an upstream: crashes
+     * are counted against it, or a lost attempt is unexplained. */
+    [[nodiscard]] bool is_suspect(const request_content& content,
+                                  time_point now) const;
+
+    /*! @brief Returns the remaining duration of a request's quarantine. */
+    [[nodiscard]] milliseconds quarantine_left(const request_content& content,
+                                               time_point now) const;
+
+    /*! @brief Records an attempt that was lost before its response was
+     * complete, and probes the upstream's address to see whether the upstream
+     * crashed. */
+    void attempt_lost(lost_attempt attempt, time_point now);
+
+    /*! @brief Records that an upstream is known to have crashed. */
+    void upstream_crashed(const instance_id& upstream,
+                          const std::string& reason);
+
+    /*! @brief Handles the disappearance of an upstream's record from the store.
+     * It confirms a crash for attempts whose connections the upstream closed.
+     * Where an attempt only timed out, the upstream may be suspended instead,
+     * so its address is probed. */
+    void upstream_record_expired(const instance_id& upstream);
+
+    /*! @brief Called for each upstream record that is read. If another upstream
+     * had this address before and attempts to it were lost, that upstream has
+     * crashed. */
+    void address_reassigned(const instance_id& upstream,
+                            const std::string& address);
+
+    /*! @brief Records a complete response to a request. */
+    void record_response(const request_content& content);
+
+    /*! @brief Merges crash records of another entry. If a request is
+     * quarantined only by the crashes of all entries together, none of them
+     * finds this alone, so the one that runs the trials persists the record. */
+    void merge_records(const std::vector<message::crash_record>& received,
+                       const std::string& from);
+
+    /*! @brief Restores a quarantine from the store, found by this or an earlier
+     * process. */
+    void restore_quarantine(const message::crash_record& stored);
+
+    /*! @brief Returns the crash records to send to the other entries. */
+    [[nodiscard]] std::vector<message::crash_record> collect_updates();
+
+    /*! @brief Ends a quarantine here and, with the next heartbeats, at all
+     * entries.
+     * @return Whether the request was quarantined. */
+    bool lift_quarantine(const request_content& content);
+
+    /*! @brief Drops expired crash records and updates the gauges. */
     void tick(time_point now);
 
     [[nodiscard]] const crash_ledger& records() const { return ledger; }
 
 private:
-    void look_at(const instance_id& upstream, const std::string& address);
-    void accuse(const std::vector<crash_report>& accused,
-                const instance_id& upstream, const std::string& why);
-    void note_quarantine(const request_content& what, const std::string& why);
-    [[nodiscard]] bool tries(const request_content& what) const;
-    void keep(const request_content& what);
-    void cleared(const request_content& what, const std::string& event);
+    void probe_upstream(const instance_id& upstream,
+                        const std::string& address);
+    void record_crash(const std::vector<crash_report>& reports,
+                      const instance_id& upstream, const std::string& reason);
+    void begin_quarantine(const request_content& content,
+                          const std::string& reason);
+    [[nodiscard]] bool runs_trials(const request_content& content) const;
+    void persist(const request_content& content);
+    void end_quarantine(const request_content& content,
+                        const std::string& event);
 
     stream_client& client;
     metrics& counters;
-    quarantine_callback quarantined;
-    news_callback news;
-    keep_callback kept;
-    trial_owner owns;
+    quarantine_callback notify_quarantined;
+    change_callback notify_records_changed;
+    persist_callback persist_record;
+    trial_owner owns_trials;
     crash_ledger ledger;
-    lost_attempt_tracker witness;
+    lost_attempt_tracker tracker;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/exchange.hpp
+++ b/src/coursejunction/proxy/exchange.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief State of one request while it is carried.
- */
+ * @brief State of one request between its arrival and its final response. */
 #ifndef COURSEJUNCTION_PROXY_EXCHANGE_HPP
 #define COURSEJUNCTION_PROXY_EXCHANGE_HPP
 
@@ -23,57 +22,62 @@
 namespace coursejunction
 {
 
-/*! @brief How far a failed attempt got. */
-enum class attempt_reach : std::uint8_t
+/*! @brief How a failed attempt ended, and so whether the request may have run.
+ */
+enum class attempt_failure : std::uint8_t
 {
-    not_sent,    /*!< No byte was written: it never arrived. */
-    not_run,     /*!< The upstream says that it did not run it. */
-    answered,    /*!< It ran, and the answer tells of a failure. */
-    may_have_run /*!< Nothing proves that it did not run. */
+    not_sent,       /*!< No byte was written to the connection. */
+    not_run,        /*!< The upstream states that it did not run the request. */
+    error_response, /*!< It ran, and the response has a server error. */
+    may_have_run    /*!< Nothing proves that the request did not run. */
 };
 
-/*! @brief A request from its arrival to its final answer, with the attempt in
- * progress. */
+/*! @brief A request with its attempt in progress. `number` identifies it within
+ * this process, `attempt_id` the attempt; the client's id is in `decoded`. */
 struct exchange
 {
     std::uint64_t number{0};
-    time_point arrived{};
-    time_point ends{};
-    caller_request asked;
+    time_point arrived_at{};
+    time_point deadline{};
+    caller_request decoded;
     stream_request original;
     stream_reply reply;
-    std::shared_ptr<const installation> rules;
+    std::shared_ptr<const installation> configuration;
     const route_rule* route{nullptr};
     service_name service;
-    std::optional<organisation_id> owner;
-    request_content content;
-    request_fingerprint fingerprint;
-    arrival_state standing;
-    timer limit;
+    std::optional<organisation_id> organisation;
+    request_content content;         /*!< Identifies copies of the request. */
+    request_fingerprint fingerprint; /*!< Identifies a client retry. */
+    arrival_state arrival;
+    timer deadline_timer;
 
-    // The attempt in progress.
+    // The attempt in progress, or the last one.
     stream_client::call_id call{0};
-    std::uint64_t attempt{0};
-    upstream_choice at;
-    time_point sent{};
+    std::uint64_t attempt_id{0};
+    upstream_choice choice;
+    time_point sent_at{};
     time_point failed_at{};
-    stream_head head;
-    std::string body;
-    timer silence;
-    bool progressed{false};
-    bool in_flight{false}; /*!< An attempt is with an upstream. */
-    bool trial{false};     /*!< It shows whether its content ends upstreams. */
+    stream_head response_head;
+    std::string response_body;
+    timer silence_timer;
+    bool has_events{false};
+    bool in_flight{false}; /*!< An upstream has the attempt and may run it. */
+    bool is_trial{false};  /*!< This attempt tests whether a request whose
+                              quarantine ended still crashes upstreams. */
 
-    // An upstream's own failure, passed on when no other attempt is left.
-    std::optional<stream_head> own_failure;
-    std::string own_failure_body;
-    bool answered_failure{false}; /*!< The last attempt ended so. */
+    // The last server error of an upstream. It is the final response when no
+    // other attempt is left, unless its status is 503.
+    std::optional<stream_head> error_response_head;
+    std::string error_response_body;
+    bool upstream_errored{
+        false}; /*!< The last attempt failed with a server error. */
 
-    std::vector<instance_id> tried;
-    std::size_t runs{0}; /*!< Attempts that may have run. */
+    std::vector<instance_id> tried_upstreams;
+    std::size_t possible_runs{0}; /*!< Number of attempts that may have run. */
     event_splitter events;
-    bool streaming{false}; /*!< The caller has our head. */
-    bool in_queue{false};
+    bool response_begun{
+        false}; /*!< The response head was sent to the caller. */
+    bool queued{false};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief The entry role: takes callers' requests, says whether it is ready,
- * and stops without cutting anything.
- */
+ * @brief The process role `entry`: accepts callers' requests and forwards them
+ * to upstreams, reports whether it is ready, and shuts down without cutting
+ * connections short. */
 #ifndef COURSEJUNCTION_PROXY_GATEWAY_HPP
 #define COURSEJUNCTION_PROXY_GATEWAY_HPP
 
@@ -31,24 +31,27 @@
 namespace coursejunction
 {
 
-/*! @brief Addresses and times of an entry. */
+/*! @brief Addresses and timeouts of an entry. */
 struct gateway_options
 {
-    std::string listen_address; /*!< `IP:port` for callers. */
-    std::string
-        readiness_address; /*!< `IP:port` for the balancer's question. */
+    std::string listen_address;    /*!< `IP:port` where callers connect. */
+    std::string readiness_address; /*!< `IP:port` of the load balancer's health
+                                              check. */
     std::string readiness_path;
-    /*! @brief Time after which older weights take no request any more:
-     * `version_deadlines::send_until`. */
+    /*! @brief How long after a version was published requests are still sent to
+     * upstreams with older ones: `version_deadlines::send_deadline`. */
     milliseconds old_weights_grace{6000};
-    /*! @brief A stop that takes longer is ended by force. */
+    /*! @brief Maximum duration of a shutdown. Connections that remain shortly
+     * before its end (`forced_stop_margin`) are cut. */
     milliseconds stop_grace{8000};
     exchange_options exchange;
     placement_weights placement;
 };
 
-/*! @brief Serves callers.
- * @tparam Platform Names the `store`, `catalogue`, `codec` and `origin`. */
+/*! @brief Serves callers: connects the store's state and the peers' heartbeats
+ * to an `exchange_service`.
+ * @tparam Platform Provides the types `store`, `catalogue`, `codec` and
+ * `origin`. */
 template <typename Platform>
 class gateway
 {
@@ -62,52 +65,62 @@
     create(event_loop& loop, node_type& node, metrics& counters,
            gateway_options options)
     {
-        std::unique_ptr<gateway> made(
+        std::unique_ptr<gateway> entry(
             new gateway(loop, node, counters, std::move(options)));
-        auto opened = made->open();
+        auto opened = entry->open();
         if (!opened)
             return failure(opened.error().kind, opened.error().message);
-        return made;
+        return entry;
     }
 
-    /*! @brief Starts to act. */
+    /*! @brief Starts reading the store, exchanging heartbeats with peers and
+     * the periodic work. */
     void start()
     {
         fleet_hooks hooks;
         hooks.keys_changed =
             [this](const std::vector<std::string>& keys, bool store_returned)
-        { changed(keys, store_returned); };
-        hooks.value_overwritten = [this](const message::mirror_item& one)
-        { fleet.add_overwritten_version(one, event_loop::now()); };
+        { on_keys_changed(keys, store_returned); };
+        hooks.value_overwritten = [this](const message::mirror_item& item)
+        { fleet.add_overwritten_version(item, event_loop::now()); };
         hooks.heartbeat_received =
-            [this](const std::string& from, const message::fleet_heartbeat& one)
-        { heard(from, one); };
-        hooks.fill_heartbeat = [this](message::fleet_heartbeat& into,
-                                      chunk_detail) { describe(into); };
-        hooks.crash_records = [this] { return exchanges.crashing().told(); };
-        hooks.refused_callers = [this] { return refusals_told(); };
+            [this](const std::string& from,
+                   const message::fleet_heartbeat& heartbeat)
+        { on_heartbeat(from, heartbeat); };
+        hooks.fill_heartbeat =
+            [this](message::fleet_heartbeat& heartbeat, chunk_detail)
+        { fill_heartbeat(heartbeat); };
+        hooks.crash_records = [this]
+        { return exchanges.crashes().collect_updates(); };
+        hooks.refused_callers = [this] { return take_refusals_to_send(); };
         hooks.recent_terms = [this]
         { return recent_terms(book, event_loop::now()); };
-        exchanges.on_refusals([this] { node.announce_refusals(); });
-        exchanges.crashing().on_news([this] { node.announce_crashes(); });
-        exchanges.crashing().on_keep([this](const request_content& what,
-                                            const message::crash_record* record)
-                                     { keep_quarantine(what, record); });
-        exchanges.crashing().owns_trials([this](const request_content& what)
-                                         { return owns_trials(what); });
+        exchanges.on_unsent_refusals([this] { node.announce_refusals(); });
+        exchanges.crashes().on_records_changed([this]
+                                               { node.announce_crashes(); });
+        exchanges.crashes().on_persist(
+            [this](const request_content& content,
+                   const message::crash_record* record)
+            { persist_quarantine(content, record); });
+        exchanges.crashes().set_trial_owner(
+            [this](const request_content& content)
+            { return owns_trials(content); });
         node.start(std::move(hooks));
-        ticking = loop.every(tick_interval, [this] { tick(); });
+        tick_timer = loop.every(tick_interval, [this] { tick(); });
     }
 
-    /*! @brief Begins a planned stop; `done` is called when nothing is open. */
+    /*! @brief Begins a graceful shutdown. `done` is called once, after
+     * `idle_close_delay` at the earliest: when no request and no caller
+     * connection is open, or at the latest `forced_stop_margin` before
+     * `stop_grace` is over. Further calls are ignored. */
     void stop(std::function<void()> done)
     {
-        if (leaving)
+        if (stopping)
             return;
-        leaving = true;
-        stopped_at = event_loop::now();
-        stopped = std::move(done);
-        callers->retire();
+        stopping = true;
+        stop_began_at = event_loop::now();
+        on_stopped = std::move(done);
+        caller_server->retire();
         log::state("stop_begun",
                    {{"open_requests", std::to_string(exchanges.size())}});
         node.leave();
@@ -115,143 +128,161 @@
 
     [[nodiscard]] const fleet_view<Platform>& view() const { return fleet; }
     [[nodiscard]] const upstream_registry& upstreams() const { return book; }
-    [[nodiscard]] crash_guard& crashes() { return exchanges.crashing(); }
+    [[nodiscard]] crash_guard& crashes() { return exchanges.crashes(); }
     [[nodiscard]] std::size_t open_requests() const { return exchanges.size(); }
     [[nodiscard]] std::size_t queued_requests() const
     {
-        return exchanges.queued();
+        return exchanges.queued_count();
     }
 
 private:
-    /*! @brief How often lapses, readiness and a stop are looked at. */
+    /*! @brief Interval at which expired state is dropped, shares are
+     * recalculated, keys that the store lost are rewritten and a shutdown
+     * advances. */
     static constexpr milliseconds tick_interval{100};
 
-    /*! @brief After peers have known more for this long, the configuration here
-     * counts as old: changes take 0.1 to 0.6 s to come, and 2 s are allowed. */
-    static constexpr milliseconds outdated_time{1000};
-
-    /*! @brief Idle connections are closed this long after a stop began: the
-     * balancer asks each second and believes the second miss, so that no new
-     * ones come, and every answer since has told its caller to leave. */
-    static constexpr milliseconds idle_notice{2600};
-
-    /*! @brief Requests that come later are refused: a stream that begins now
-     * may not end before the process must. */
-    static constexpr milliseconds last_taken{2800};
-
-    /*! @brief Requests a second that an entry counts for at least: one whose
-     * callers have asked nothing yet has a place for the first of them. An
-     * engine of the installations ends 4.8 a second. */
-    static constexpr double least_demand{0.5};
-
-    /*! @brief Refusals in one heartbeat, so that it fits a packet; more wait
-     * for the next tick. */
-    static constexpr std::size_t most_refusals_told = 48;
-
-    /*! @brief What is left of the grace when the rest is cut. */
-    static constexpr milliseconds last_moment{250};
-
-    gateway(event_loop& owner, node_type& peers, metrics& counted,
-            gateway_options set)
-        : loop(owner), node(peers), counters(counted), options(std::move(set)),
-          exchanges(owner, peers.client(), book, counted,
-                    placer(options.placement, peers.settings().hall,
-                           peers.settings().address),
+    /*! @brief The configuration counts as outdated when peers have been ahead
+     * for this long. Changes take 0.1 to 0.6 s to arrive, and 2 s are allowed
+     * for applying them. */
+    static constexpr milliseconds outdated_after{1000};
+
+    /*! @brief Idle connections are closed this long after a shutdown began. The
+     * load balancer checks each second and stops routing here after the second
+     * failure, so no new connections arrive by then, and every response since
+     * has asked its caller to close the connection. */
+    static constexpr milliseconds idle_close_delay{2600};
+
+    /*! @brief Requests are accepted for this long after a shutdown began and
+     * refused afterwards: a stream that began later might not end before the
+     * process must exit. */
+    static constexpr milliseconds accept_duration{2800};
+
+    /*! @brief Minimum requests per second that an entry counts for when engines
+     * are divided, so that one without requests so far can place its first one.
+     * An engine of the installations completes 4.8 per second. */
+    static constexpr double min_demand{0.5};
+
+    /*! @brief Maximum number of refusals in one heartbeat, so that it fits into
+     * a packet. The rest goes with the next one, which is requested within
+     * `queue_poll_interval`. */
+    static constexpr std::size_t max_refusals_per_heartbeat = 48;
+
+    /*! @brief Time left of `stop_grace` when the remaining connections are cut,
+     * for the process to exit in. */
+    static constexpr milliseconds forced_stop_margin{250};
+
+    gateway(event_loop& owner, node_type& own_node, metrics& metric_counters,
+            gateway_options chosen_options)
+        : loop(owner), node(own_node), counters(metric_counters),
+          options(std::move(chosen_options)),
+          exchanges(owner, own_node.client(), book, metric_counters,
+                    placer(options.placement, own_node.settings().hall,
+                           own_node.settings().address),
                     options.exchange),
-          keeper(owner, peers.store_client(), peers.mirror(), counted,
-                 seed_of(peers)),
-          configurations(owner, peers.store_client(), peers.mirror(), counted,
-                         seed_of(peers)),
-          versions(owner, peers, fleet, exchanges.floors(), counted,
-                   options.old_weights_grace, seed_of(peers))
+          quarantine_store(owner, own_node.store_client(), own_node.mirror(),
+                           metric_counters, jitter_seed(own_node)),
+          configuration_copies(owner, own_node.store_client(),
+                               own_node.mirror(), metric_counters,
+                               jitter_seed(own_node)),
+          version_control(owner, own_node, fleet, exchanges.minimum_versions(),
+                          metric_counters, options.old_weights_grace,
+                          jitter_seed(own_node))
     {
     }
 
-    /*! @brief Returns a number that differs between entries. */
-    [[nodiscard]] static std::uint32_t seed_of(const node_type& node)
+    /*! @brief Returns a seed that differs between entries. */
+    [[nodiscard]] static std::uint32_t jitter_seed(const node_type& node)
     {
         return static_cast<std::uint32_t>(stable_hash(node.settings().address));
     }
 
     result<bool> open()
     {
-        auto made = listen(options.listen_address,
-                           [this](stream_request request, stream_reply reply)
-                           { take(std::move(request), std::move(reply)); });
-        if (!made)
-            return failure(made.error().kind, made.error().message);
-        callers = std::move(made.value());
-        auto asked = listen(options.readiness_address,
-                            [this](const stream_request&, stream_reply reply)
-                            { reply.send(ready() ? 200 : 503, {}, ""); });
-        if (!asked)
-            return failure(asked.error().kind, asked.error().message);
-        readiness = std::move(asked.value());
+        auto caller_listener =
+            listen(options.listen_address,
+                   [this](stream_request request, stream_reply reply)
+                   { handle_request(std::move(request), std::move(reply)); });
+        if (!caller_listener)
+            return failure(caller_listener.error().kind,
+                           caller_listener.error().message);
+        caller_server = std::move(caller_listener.value());
+        auto readiness_listener =
+            listen(options.readiness_address,
+                   [this](const stream_request&, stream_reply reply)
+                   { reply.send(ready() ? 200 : 503, {}, ""); });
+        if (!readiness_listener)
+            return failure(readiness_listener.error().kind,
+                           readiness_listener.error().message);
+        readiness_server = std::move(readiness_listener.value());
         return true;
     }
 
-    result<std::unique_ptr<stream_server>> listen(const std::string& address,
-                                                  stream_server::handler call)
+    result<std::unique_ptr<stream_server>>
+    listen(const std::string& address, stream_server::handler handler)
     {
         const auto colon = address.rfind(':');
         const auto port = static_cast<std::uint16_t>(
             std::strtoul(address.c_str() + colon + 1, nullptr, 10));
         return stream_server::create(loop, address.substr(0, colon), port, {},
-                                     std::move(call));
+                                     std::move(handler));
     }
 
-    void take(stream_request request, stream_reply reply)
+    void handle_request(stream_request request, stream_reply reply)
     {
-        if (leaving && event_loop::now() - stopped_at >= last_taken)
+        if (stopping && event_loop::now() - stop_began_at >= accept_duration)
         {
-            constexpr milliseconds elsewhere{100};
+            // The client retry goes to another entry.
+            constexpr milliseconds retry_after{100};
             counters.count("requests_refused_total", 1, {{"status", "503"}});
             log::problem(
                 "request_refused",
                 {{"request", codec::decode_request(request).id.value()},
-                 {"reason", "this entry stops"}});
-            return reply.send(503, codec::refusal_headers(elsewhere), "");
+                 {"reason", "this entry is shutting down"}});
+            return reply.send(503, codec::refusal_headers(retry_after), "");
         }
-        exchanges.request(std::move(request), std::move(reply));
+        exchanges.handle_request(std::move(request), std::move(reply));
     }
 
-    /*! @brief Ready means: knows what to do with a request. */
+    /*! @brief Returns whether this entry can handle a request. */
     [[nodiscard]] bool ready() const
     {
-        return !leaving && fleet.configuration() != nullptr;
+        return !stopping && fleet.configuration() != nullptr;
     }
 
-    /*! @param lapse Whether records that are gone may come back. */
-    void changed(const std::vector<std::string>& keys, bool lapse)
+    /*! @brief Applies changed keys of the store.
+     * @param store_returned Whether the store is reachable again after an
+     * outage, so that missing records may come back. */
+    void on_keys_changed(const std::vector<std::string>& keys,
+                         bool store_returned)
     {
         const auto now = event_loop::now();
-        const auto* before = fleet.configuration();
-        take_quarantines(keys);
-        for (const auto& one : fleet.update(node.mirror(), keys))
+        const auto* previous = fleet.configuration();
+        load_quarantines(keys);
+        for (const auto& change : fleet.update(node.mirror(), keys))
         {
-            if (one.removed)
-                drop_record(one, lapse, now);
+            if (change.removed)
+                remove_upstream(change, store_returned, now);
             else
-                take_record(fleet.upstreams().at(one.id));
+                update_upstream(fleet.upstreams().at(change.id));
             log::state("upstream_changed",
-                       {{"upstream", one.id.value()},
-                        {"life", std::to_string(one.life.value())},
-                        {"removed", one.removed ? "true" : "false"},
-                        {"lapse", lapse ? "true" : "false"}});
+                       {{"upstream", change.id.value()},
+                        {"life", std::to_string(change.life.value())},
+                        {"removed", change.removed ? "true" : "false"},
+                        {"lapse", store_returned ? "true" : "false"}});
         }
-        versions.read(before == nullptr, now);
-        if (fleet.configuration() != before)
+        version_control.on_keys_changed(previous == nullptr, now);
+        if (fleet.configuration() != previous)
             configure();
-        const auto* rules = fleet.configuration();
-        configurations.on_keys_changed(keys,
-                                       rules == nullptr ? 0 : rules->version);
-        name_sides();
+        const auto* configuration = fleet.configuration();
+        configuration_copies.on_keys_changed(
+            keys, configuration == nullptr ? 0 : configuration->version);
+        register_sidecars();
     }
 
-    /*! @brief Takes in quarantines that the store keeps. They come with the
-     * configuration: an entry that has just started knows them before it takes
-     * a request. */
-    void take_quarantines(const std::vector<std::string>& keys)
+    /*! @brief Loads quarantines that the store keeps. They arrive together with
+     * the configuration, so a new process knows them before it takes a request.
+     */
+    void load_quarantines(const std::vector<std::string>& keys)
     {
         for (const auto& key : keys)
         {
@@ -259,228 +290,244 @@
             if (value == nullptr ||
                 Platform::catalogue::kind(key) != item_kind::quarantine)
                 continue;
-            const auto read = read_quarantine(key, value->payload, wall_ms());
-            if (read)
-                exchanges.crashing().restore(read.value());
+            const auto record = read_quarantine(key, value->payload, unix_ms());
+            if (record)
+                exchanges.crashes().restore_quarantine(record.value());
             else
                 log::warning("quarantine_unreadable",
-                             {{"key", key}, {"why", read.error().message}});
+                             {{"key", key}, {"why", record.error().message}});
         }
     }
 
-    /*! @param record Nothing where the quarantine is over. */
-    void keep_quarantine(const request_content& what,
-                         const message::crash_record* record)
+    /*! @brief Writes the record of a quarantine to the store, or removes it.
+     * @param record Null if the quarantine is over. */
+    void persist_quarantine(const request_content& content,
+                            const message::crash_record* record)
     {
         if (record != nullptr)
-            keeper.persist(what, quarantine_payload(*record, wall_ms()));
+            quarantine_store.persist(content,
+                                     quarantine_payload(*record, unix_ms()));
         else
-            keeper.remove(what);
+            quarantine_store.remove(content);
     }
 
-    /*! @brief Writes quarantines again that the store lost by coming back from
-     * an older copy: an entry that starts now would not know them. */
-    void restore_quarantines(std::size_t rank, time_point now)
+    /*! @brief Writes quarantines again that were lost when the store was rolled
+     * back to an older snapshot. An entry that starts now would not know them.
+     * @param rank Number of live entries before this one; 0 writes first. */
+    void rewrite_lost_quarantines(std::size_t rank, time_point now)
     {
-        if (!restoring.due(node.mirror().position(), rank, now))
+        if (!quarantine_restores.due(node.mirror().position(), rank, now))
             return;
-        const auto& records = exchanges.crashing().records();
-        for (const auto& [what, one] : records.histories())
+        const auto& records = exchanges.crashes().records();
+        for (const auto& [content, history] : records.histories())
         {
-            if (records.is_blocked(what) &&
-                node.mirror().absent_without_removal(quarantine_key(what)))
-                keeper.restore(what, quarantine_payload(
-                                         records.record(what, now), wall_ms()));
+            if (records.is_blocked(content) &&
+                node.mirror().absent_without_removal(quarantine_key(content)))
+                quarantine_store.restore(
+                    content, quarantine_payload(records.record(content, now),
+                                                unix_ms()));
         }
     }
 
     /*! @brief Returns the Unix time in milliseconds. */
-    [[nodiscard]] static std::int64_t wall_ms()
+    [[nodiscard]] static std::int64_t unix_ms()
     {
         return std::chrono::duration_cast<milliseconds>(
                    std::chrono::system_clock::now().time_since_epoch())
             .count();
     }
 
-    void drop_record(const upstream_change& one, bool lapse, time_point now)
+    void remove_upstream(const upstream_change& change, bool store_returned,
+                         time_point now)
     {
-        const auto* known = book.find(one.id);
+        const auto* known = book.find(change.id);
         const bool expected = known == nullptr || known->leaving();
-        if (!expected && !lapse && !one.malformed)
-            exchanges.crashing().record_gone(one.id);
-        book.remove(one.id, lapse && !one.malformed, now);
+        if (!expected && !store_returned && !change.malformed)
+            exchanges.crashes().upstream_record_expired(change.id);
+        book.remove(change.id, store_returned && !change.malformed, now);
     }
 
-    void take_record(const upstream_record& one)
+    void update_upstream(const upstream_record& record)
     {
-        exchanges.crashing().address_taken(one.id, one.address);
-        if (const auto ended = book.apply_record(one))
-            exchanges.life_ended(*ended);
+        exchanges.crashes().address_reassigned(record.id, record.address);
+        if (const auto restarted = book.apply_record(record))
+            exchanges.upstream_restarted(*restarted);
     }
 
-    void take_status(const std::string& host,
-                     const message::upstream_status& told, time_point at)
+    void update_status(const std::string& host,
+                       const message::upstream_status& status,
+                       time_point sent_at)
     {
-        for (const auto& one : book.apply_status(host, told, at))
-            exchanges.life_ended(one);
+        for (const auto& restarted : book.apply_status(host, status, sent_at))
+            exchanges.upstream_restarted(restarted);
     }
 
     void configure()
     {
         exchanges.configure(fleet.shared_configuration());
-        callers->limits(fleet.configuration()->caller_limits);
+        caller_server->limits(fleet.configuration()->caller_limits);
     }
 
-    /*! @brief Sides stand beside the upstreams that have an engine. */
-    void name_sides()
+    /*! @brief Registers the sidecars; each upstream that has an engine has one
+     * on its host. */
+    void register_sidecars()
     {
-        const auto* rules = fleet.configuration();
-        if (rules == nullptr)
+        const auto* configuration = fleet.configuration();
+        if (configuration == nullptr)
             return;
-        for (const auto& [id, one] : fleet.upstreams())
+        for (const auto& [id, upstream] : fleet.upstreams())
         {
-            const auto* service = rules->service(one.service);
+            const auto* service = configuration->service(upstream.service);
             if (service != nullptr && service->engine)
-                node.add_side(host_of(one.address), one.hall);
+                node.add_side(host_of(upstream.address), upstream.hall);
         }
     }
 
-    void heard(const std::string& from, const message::fleet_heartbeat& one)
+    void on_heartbeat(const std::string& from,
+                      const message::fleet_heartbeat& heartbeat)
     {
         const auto now = event_loop::now();
-        for (const auto& told : one.digest.sides)
-            take_status(format_ipv4(told.address), status_in(one.digest, told),
-                        now - milliseconds(told.age_ms));
-        if (one.entry)
+        for (const auto& sidecar : heartbeat.digest.sides)
+            update_status(format_ipv4(sidecar.address),
+                          status_in(heartbeat.digest, sidecar),
+                          now - milliseconds(sidecar.age_ms));
+        if (heartbeat.entry)
         {
-            for (const auto& told : one.refusals)
-                exchanges.sent_away_elsewhere(decode_refusal(told, now), now);
-            for (const auto& told : one.terms)
-                exchanges.notices().told(told, from, now);
-            versions.heard(one.versions, now);
-            return exchanges.crashing().take(one.crashes, from);
+            for (const auto& refusal : heartbeat.refusals)
+                exchanges.record_remote_refusal(decode_refusal(refusal, now),
+                                                now);
+            for (const auto& terms : heartbeat.terms)
+                exchanges.notices().apply_reported_terms(terms, from, now);
+            version_control.merge_reported(heartbeat.versions, now);
+            return exchanges.crashes().merge_records(heartbeat.crashes, from);
         }
-        take_status(from, one.upstream, now);
-        if (exchanges.queued() > 0)
-            exchanges.tick();
+        update_status(from, heartbeat.upstream, now);
+        if (exchanges.queued_count() > 0)
+            exchanges.place_waiting();
     }
 
-    [[nodiscard]] std::vector<message::refused_caller> refusals_told()
+    [[nodiscard]] std::vector<message::refused_caller> take_refusals_to_send()
     {
         const auto now = event_loop::now();
-        std::vector<message::refused_caller> told;
-        for (const auto& one : exchanges.news_of_refusals(most_refusals_told))
-            told.push_back(encode_refusal(one, now));
-        return told;
+        std::vector<message::refused_caller> messages;
+        for (const auto& refusal :
+             exchanges.take_unsent_refusals(max_refusals_per_heartbeat))
+            messages.push_back(encode_refusal(refusal, now));
+        return messages;
     }
 
-    /*! @brief All entries agree on the one that runs the trials of a request,
-     * by a rendezvous among those that live. */
-    [[nodiscard]] bool owns_trials(const request_content& what) const
+    /*! @brief Returns whether this entry runs the trials of a request. All
+     * entries choose the same live one by rendezvous hashing. */
+    [[nodiscard]] bool owns_trials(const request_content& content) const
     {
         const auto now = event_loop::now();
-        const auto key = what.hex();
+        const auto key = content.hex();
         const auto own = rendezvous_weight(key, node.settings().address);
-        for (const auto& [address, one] : node.peers().all())
+        for (const auto& [address, peer] : node.peers().all())
         {
-            if (one.entry && !one.last_heartbeat.leaving &&
-                peer_directory::alive(one, now) &&
+            if (peer.entry && !peer.last_heartbeat.leaving &&
+                peer_directory::alive(peer, now) &&
                 rendezvous_weight(key, address) > own)
                 return false;
         }
-        return !leaving;
+        return !stopping;
     }
 
-    /*! @brief Adds what this entry's callers ask to a heartbeat, and versions
+    /*! @brief Adds this entry's request rates to a heartbeat, and the versions
      * that the store does not show. */
-    void describe(message::fleet_heartbeat& into) const
+    void fill_heartbeat(message::fleet_heartbeat& heartbeat) const
     {
         const auto now = event_loop::now();
         const auto rates = exchanges.rates(now);
-        into.versions = versions.told(now);
-        into.load.asked = static_cast<float>(rates.arrived);
-        into.load.refused = static_cast<float>(rates.refused);
-        into.load.demanded = static_cast<float>(rates.demand);
+        heartbeat.versions = version_control.versions_to_report(now);
+        heartbeat.load.asked = static_cast<float>(rates.arrived);
+        heartbeat.load.refused = static_cast<float>(rates.refused);
+        heartbeat.load.demanded = static_cast<float>(rates.demand);
     }
 
-    /*! @brief Takes in what the other entries tell of their callers. */
-    void share_engines(time_point now)
+    /*! @brief Divides the engines between the entries according to their
+     * demand. */
+    void divide_engines(time_point now)
     {
         const auto& self = node.settings();
         std::vector<entry_demand> demands{
-            demand_of(self.hall, self.address, exchanges.rates(now).demand)};
+            make_demand(self.hall, self.address, exchanges.rates(now).demand)};
         request_rates others;
-        for (const auto& [address, one] : node.peers().all())
+        for (const auto& [address, peer] : node.peers().all())
         {
-            if (!one.entry || one.last_heartbeat.leaving ||
-                !peer_directory::alive(one, now))
+            if (!peer.entry || peer.last_heartbeat.leaving ||
+                !peer_directory::alive(peer, now))
                 continue;
-            const auto& told = one.last_heartbeat.load;
-            demands.push_back(demand_of(hall_id(one.last_heartbeat.hall),
-                                        address, told.demanded));
-            others.arrived += told.asked;
-            others.refused += told.refused;
+            const auto& load = peer.last_heartbeat.load;
+            demands.push_back(make_demand(hall_id(peer.last_heartbeat.hall),
+                                          address, load.demanded));
+            others.arrived += load.asked;
+            others.refused += load.refused;
         }
-        exchanges.elsewhere(others, now);
-        // An entry that stops has no share: the others count without it.
-        book.assign_limit_shares(leaving ? std::string{} : self.address,
+        exchanges.set_other_entries_rates(others, now);
+        // An entry that shuts down passes no address, so it gets no share; the
+        // other entries divide the limits without it.
+        book.assign_limit_shares(stopping ? std::string{} : self.address,
                                  demands, now);
-        book.assign_engine_shares(demand_interval_of(self.address, demands),
-                                  [&](const known_upstream& one)
-                                  { return exchanges.takes_new(one, now); });
+        book.assign_engine_shares(
+            demand_interval_of(self.address, demands),
+            [&](const known_upstream& upstream)
+            { return exchanges.accepts_new_requests(upstream, now); });
     }
 
     [[nodiscard]] static entry_demand
-    demand_of(const hall_id& hall, const std::string& address, double rate)
+    make_demand(const hall_id& hall, const std::string& address, double demand)
     {
-        return {hall, address, std::max(rate, least_demand)};
+        return {hall, address, std::max(demand, min_demand)};
     }
 
     void tick()
     {
         const auto now = event_loop::now();
         book.expire(now);
-        exchanges.crashing().tick(now);
+        exchanges.crashes().tick(now);
         exchanges.expire(now);
         counters.set("upstream_records_unreadable",
                      static_cast<double>(fleet.unreadable_records()));
         const auto entries = node.peers().live_entries(now) + 1;
-        exchanges.entries(entries);
-        exchanges.outdated(node.mirror_lag(now) >= outdated_time);
+        exchanges.set_entry_count(entries);
+        exchanges.set_configuration_outdated(node.mirror_lag(now) >=
+                                             outdated_after);
         book.set_entry_count(entries);
-        share_engines(now);
-        versions.tick(!leaving, now);
-        if (leaving)
-            go_on_stopping(now);
+        divide_engines(now);
+        version_control.tick(!stopping, now);
+        if (stopping)
+            continue_stop(now);
         else
-            keep_up(now);
+            restore_lost_keys(now);
     }
 
-    /*! @brief Writes what the store lacks. */
-    void keep_up(time_point now)
+    /*! @brief Rewrites keys that the store lost. The entry with rank 0 among
+     * the live ones writes first. */
+    void restore_lost_keys(time_point now)
     {
         const auto rank =
             node.peers().entries_before(node.settings().address, now);
-        restore_quarantines(rank, now);
-        configurations.write_if_due(rank, now);
+        rewrite_lost_quarantines(rank, now);
+        configuration_copies.write_if_due(rank, now);
     }
 
-    void go_on_stopping(time_point now)
+    void continue_stop(time_point now)
     {
-        const auto since = now - stopped_at;
-        if (since >= idle_notice)
-            callers->close_idle();
-        const bool idle = since >= idle_notice && callers->size() == 0 &&
-                          exchanges.size() == 0;
-        if (!idle && since < options.stop_grace - last_moment)
+        const auto since = now - stop_began_at;
+        if (since >= idle_close_delay)
+            caller_server->close_idle();
+        const bool idle = since >= idle_close_delay &&
+                          caller_server->size() == 0 && exchanges.size() == 0;
+        if (!idle && since < options.stop_grace - forced_stop_margin)
             return;
-        const auto call = std::exchange(stopped, nullptr);
-        if (!call)
+        const auto callback = std::exchange(on_stopped, nullptr);
+        if (!callback)
             return;
         log::state("stop_done",
                    {{"open_requests", std::to_string(exchanges.size())},
-                    {"connections", std::to_string(callers->size())}});
-        call();
+                    {"connections", std::to_string(caller_server->size())}});
+        callback();
     }
 
     event_loop& loop;
@@ -490,18 +537,18 @@
     upstream_registry book;
     fleet_view<Platform> fleet;
     exchange_service<codec> exchanges;
-    quarantine_writer<typename Platform::store> keeper;
-    restore_schedule restoring;
+    quarantine_writer<typename Platform::store> quarantine_store;
+    restore_schedule quarantine_restores;
     configuration_copy_writer<typename Platform::store,
                               typename Platform::catalogue>
-        configurations;
-    version_controller<Platform> versions;
-    std::unique_ptr<stream_server> callers;
-    std::unique_ptr<stream_server> readiness;
-    std::function<void()> stopped;
-    time_point stopped_at{};
-    bool leaving{false};
-    timer ticking;
+        configuration_copies;
+    version_controller<Platform> version_control;
+    std::unique_ptr<stream_server> caller_server;
+    std::unique_ptr<stream_server> readiness_server;
+    std::function<void()> on_stopped;
+    time_point stop_began_at{};
+    bool stopping{false};
+    timer tick_timer;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/notice_intake.hpp
+++ b/src/coursejunction/proxy/notice_intake.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Takes in what upstreams say of themselves, here and elsewhere.
- */
+ * @brief Applies what upstreams report about themselves, in responses here or
+ * at other entries. */
 #ifndef COURSEJUNCTION_PROXY_NOTICE_INTAKE_HPP
 #define COURSEJUNCTION_PROXY_NOTICE_INTAKE_HPP
 
@@ -15,39 +15,40 @@
 namespace coursejunction
 {
 
-/*! @brief Keeps the terms of upstreams, tells changes and counts notices. */
+/*! @brief Updates the terms of upstreams (whether one is leaving, its rate
+ * limit and how long it backs off), logs changes and counts notices. */
 class notice_intake
 {
 public:
-    notice_intake(upstream_registry& known, metrics& counted)
-        : book(known), counters(counted)
+    notice_intake(upstream_registry& upstreams, metrics& metric_counters)
+        : book(upstreams), counters(metric_counters)
     {
     }
 
-    /*! @brief Takes what an answer says of its upstream. Its head tells it: a
-     * stream may end seconds later.
-     * @param one The request, with the head of the answer. */
-    void heard(const exchange& one, const upstream_notice& notice,
-               time_point now)
+    /*! @brief Applies the notice in a response. It is read from the head of the
+     * response, since a stream may end seconds later.
+     * @param request The request, with the head of the response. */
+    void apply_notice(const exchange& request, const upstream_notice& notice,
+                      time_point now)
     {
-        const received_notice heard{notice, one.sent,
-                                    succeeded(one.head.status)};
-        if (book.apply_notice(one.at.upstream, heard, now))
-            log_terms(one.at.upstream, now);
+        const received_notice received{notice, request.sent_at,
+                                       succeeded(request.response_head.status)};
+        if (book.apply_notice(request.choice.upstream, received, now))
+            log_terms(request.choice.upstream, now);
         if (notice.empty())
             return;
         count(notice);
-        exchange_log::noticed(one, notice);
+        exchange_log::notice_received(request, notice);
     }
 
-    /*! @brief Takes what an answer told another entry.
+    /*! @brief Applies terms that another entry received.
      * @param from Address of that entry. */
-    void told(const message::upstream_terms& news, const std::string& from,
-              time_point now)
+    void apply_reported_terms(const message::upstream_terms& reported,
+                              const std::string& from, time_point now)
     {
-        const instance_id id(news.upstream);
-        if (book.apply_reported_terms(id, incarnation(news.life),
-                                      decode_terms(news, now), from, now))
+        const instance_id id(reported.upstream);
+        if (book.apply_reported_terms(id, incarnation(reported.life),
+                                      decode_terms(reported, now), from, now))
             log_terms(id, now);
     }
 
@@ -61,15 +62,15 @@
 
     void count(const upstream_notice& notice)
     {
-        const auto add = [this](bool is, const char* kind)
+        const auto count_kind = [this](bool present, const char* kind)
         {
-            if (is)
+            if (present)
                 counters.count("upstream_notices_total", 1, {{"kind", kind}});
         };
-        add(notice.leaving, "leaving");
-        add(notice.retry_after.has_value(), "rest");
-        add(notice.requests_per_second.has_value(), "limit");
-        add(notice.unreadable, "unreadable");
+        count_kind(notice.leaving, "leaving");
+        count_kind(notice.retry_after.has_value(), "rest");
+        count_kind(notice.requests_per_second.has_value(), "limit");
+        count_kind(notice.unreadable, "unreadable");
     }
 
     void log_terms(const instance_id& id, time_point now) const
--- a/src/coursejunction/proxy/open_exchanges.hpp
+++ b/src/coursejunction/proxy/open_exchanges.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief The requests of an entry that are not answered yet.
- */
+ * @brief The requests of an entry that have no final response yet. */
 #ifndef COURSEJUNCTION_PROXY_OPEN_EXCHANGES_HPP
 #define COURSEJUNCTION_PROXY_OPEN_EXCHANGES_HPP
 
@@ -18,78 +17,82 @@
 namespace coursejunction
 {
 
-/*! @brief Requests by number; what is done with one may end others. */
+/*! @brief Open requests by number. A callback on one request may erase others,
+ * so requests are looked up again by number. */
 class open_exchanges
 {
 public:
-    void add(std::shared_ptr<exchange> one)
+    void add(std::shared_ptr<exchange> request)
     {
-        const auto number = one->number;
-        all.emplace(number, std::move(one));
+        const auto number = request->number;
+        requests.emplace(number, std::move(request));
     }
 
-    void erase(std::uint64_t number) { all.erase(number); }
+    void erase(std::uint64_t number) { requests.erase(number); }
 
-    [[nodiscard]] std::size_t size() const { return all.size(); }
+    [[nodiscard]] std::size_t size() const { return requests.size(); }
 
-    /*! @brief Returns the numbers of the requests that fit. */
+    /*! @brief Returns the numbers of the requests that satisfy a predicate. */
     template <typename Predicate>
-    [[nodiscard]] std::vector<std::uint64_t> numbers_of(Predicate fits) const
+    [[nodiscard]] std::vector<std::uint64_t>
+    numbers_of(Predicate predicate) const
     {
         std::vector<std::uint64_t> numbers;
-        for (const auto& [number, one] : all)
+        for (const auto& [number, request] : requests)
         {
-            if (fits(*one))
+            if (predicate(*request))
                 numbers.push_back(number);
         }
         return numbers;
     }
 
-    /*! @brief Calls with a request, if it is still open. */
-    template <typename Call>
-    void with(std::uint64_t number, Call call)
+    /*! @brief Calls back with a request if it is still open. */
+    template <typename Callback>
+    void with(std::uint64_t number, Callback callback)
     {
-        const auto found = all.find(number);
-        if (found == all.end())
+        const auto found = requests.find(number);
+        if (found == requests.end())
             return;
-        const auto held = found->second;
-        call(*held);
+        const auto request = found->second;
+        callback(*request);
     }
 
-    /*! @brief Returns how many other copies of a request are with upstreams. */
-    [[nodiscard]] std::size_t copies_running(const exchange& one) const
+    /*! @brief Returns how many other requests with the same content are at
+     * upstreams. */
+    [[nodiscard]] std::size_t running_copies(const exchange& request) const
     {
         return static_cast<std::size_t>(
-            std::count_if(all.begin(), all.end(),
+            std::count_if(requests.begin(), requests.end(),
                           [&](const auto& other)
                           {
-                              return runs_beside(one, *other.second) &&
-                                     other.second->content == one.content;
+                              return is_other_running(request, *other.second) &&
+                                     other.second->content == request.content;
                           }));
     }
 
-    /*! @brief Returns the upstreams of the other requests that fit. */
+    /*! @brief Returns the upstreams that run other requests that satisfy a
+     * predicate. */
     template <typename Predicate>
     [[nodiscard]] std::vector<instance_id>
-    upstreams_beside(const exchange& one, Predicate fits) const
+    upstreams_of_others(const exchange& request, Predicate predicate) const
     {
         std::vector<instance_id> found;
-        for (const auto& [number, other] : all)
+        for (const auto& [number, other] : requests)
         {
-            if (runs_beside(one, *other) && fits(*other))
-                found.push_back(other->at.upstream);
+            if (is_other_running(request, *other) && predicate(*other))
+                found.push_back(other->choice.upstream);
         }
         return found;
     }
 
 private:
-    [[nodiscard]] static bool runs_beside(const exchange& one,
-                                          const exchange& other)
+    [[nodiscard]] static bool is_other_running(const exchange& request,
+                                               const exchange& other)
     {
-        return other.in_flight && other.number != one.number;
+        return other.in_flight && other.number != request.number;
     }
 
-    std::map<std::uint64_t, std::shared_ptr<exchange>> all;
+    std::map<std::uint64_t, std::shared_ptr<exchange>> requests;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/refusal_messages.hpp
+++ b/src/coursejunction/proxy/refusal_messages.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief Turns refusals into what entries of a hall tell each other; pure.
- * Steady clocks differ between processes, so times go as spans.
- */
+ * @brief Converts refusals to and from the messages that entries of a hall
+ * exchange. Steady clocks differ between processes, so messages carry durations
+ * instead of times. */
 #ifndef COURSEJUNCTION_PROXY_REFUSAL_MESSAGES_HPP
 #define COURSEJUNCTION_PROXY_REFUSAL_MESSAGES_HPP
 
@@ -16,7 +16,8 @@
 namespace coursejunction
 {
 
-/*! @brief Returns a span in whole ms, from none to what the wire carries. */
+/*! @brief Returns a duration in whole milliseconds, limited to the range of the
+ * message field. */
 [[nodiscard]] inline std::uint32_t wire_ms(std::chrono::microseconds span)
 {
     const auto ms = std::chrono::duration_cast<milliseconds>(span).count();
@@ -24,31 +25,31 @@
         ms, 0, std::numeric_limits<std::uint32_t>::max()));
 }
 
-/*! @brief Returns what to tell of a refusal. */
+/*! @brief Returns the message for a refusal. */
 [[nodiscard]] inline message::refused_caller
-encode_refusal(const refusal_record& one, time_point now)
+encode_refusal(const refusal_record& refusal, time_point now)
 {
-    message::refused_caller made;
-    made.fingerprint = one.fingerprint.value();
-    made.waited_ms = wire_ms(now - one.first_arrival);
-    if (one.deadline)
-        made.left_ms = std::max(wire_ms(*one.deadline - now), 1U);
-    made.due_ms = wire_ms(one.retry_at - now);
-    return made;
+    message::refused_caller encoded;
+    encoded.fingerprint = refusal.fingerprint.value();
+    encoded.waited_ms = wire_ms(now - refusal.first_arrival);
+    if (refusal.deadline) // 0 means no deadline.
+        encoded.left_ms = std::max(wire_ms(*refusal.deadline - now), 1U);
+    encoded.due_ms = wire_ms(refusal.retry_at - now);
+    return encoded;
 }
 
-/*! @brief Reads what another entry told of a refusal. */
+/*! @brief Returns the refusal that another entry reported. */
 [[nodiscard]] inline refusal_record
-decode_refusal(const message::refused_caller& told, time_point now)
+decode_refusal(const message::refused_caller& received, time_point now)
 {
-    refusal_record made;
-    made.fingerprint = request_fingerprint(told.fingerprint);
-    made.first_arrival = now - milliseconds(told.waited_ms);
-    if (told.left_ms > 0)
-        made.deadline = now + milliseconds(told.left_ms);
-    made.refused_at = now;
-    made.retry_at = now + milliseconds(told.due_ms);
-    return made;
+    refusal_record refusal;
+    refusal.fingerprint = request_fingerprint(received.fingerprint);
+    refusal.first_arrival = now - milliseconds(received.waited_ms);
+    if (received.left_ms > 0)
+        refusal.deadline = now + milliseconds(received.left_ms);
+    refusal.refused_at = now;
+    refusal.retry_at = now + milliseconds(received.due_ms);
+    return refusal;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/proxy/retry_budgets.hpp
+++ b/src/coursejunction/proxy/retry_budgets.hpp
@@ -1,6 +1,5 @@
 /*! @file
- * @brief Bounds the retries of each service.
- */
+ * @brief Limits the retries of each service. */
 #ifndef COURSEJUNCTION_PROXY_RETRY_BUDGETS_HPP
 #define COURSEJUNCTION_PROXY_RETRY_BUDGETS_HPP
 
@@ -15,22 +14,24 @@
 namespace coursejunction
 {
 
-/*! @brief One window a service; the reserve is shared by all entries. */
+/*! @brief Holds one retry window for each service. The reserve is divided
+ * between all entries. */
 class retry_budgets
 {
 public:
-    explicit retry_budgets(const exchange_options& set)
-        : limits{set.retry_window, set.retry_portion, set.retry_reserve}
+    explicit retry_budgets(const exchange_options& options)
+        : limits{options.retry_window, options.retry_ratio,
+                 options.retry_reserve}
     {
     }
 
-    /*! @brief Tells how many entries share the reserve. */
-    void entries(std::size_t count)
+    /*! @brief Sets the number of entries that share the reserve. */
+    void set_entry_count(std::size_t count)
     {
         entry_count = std::max<std::size_t>(count, 1);
     }
 
-    /*! @brief Returns the window of a service. */
+    /*! @brief Returns the retry window of a service. */
     [[nodiscard]] retry_window& of(const service_name& service)
     {
         auto own = limits;
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief What an entry does about named versions: from when on each binds, what
- * the store has to keep, whom else to ask, and what operators have to see.
- */
+ * @brief Applies published model versions at an entry: which versions upstreams
+ * must serve to get new requests, which facts to persist in the store, when to
+ * ask the origin, and what to alarm operators about. */
 #ifndef COURSEJUNCTION_PROXY_VERSION_CONTROLLER_HPP
 #define COURSEJUNCTION_PROXY_VERSION_CONTROLLER_HPP
 
@@ -27,8 +27,8 @@
 namespace coursejunction
 {
 
-/*! @brief Acts for one entry.
- * @tparam Platform Names the `store`, `catalogue` and `origin`. */
+/*! @brief Tracks the published versions for one entry.
+ * @tparam Platform Provides the types `store`, `catalogue` and `origin`. */
 template <typename Platform>
 class version_controller
 {
@@ -37,237 +37,260 @@
     using view_type = fleet_view<Platform>;
     using origin_type = typename Platform::origin;
 
-    /*! @param allowed How long after its naming older weights may begin
-     * requests.
-     * @param seed Another one for each entry. */
-    version_controller(event_loop& owner, node_type& peers, view_type& known,
-                       version_floor& bounds, metrics& counted,
-                       milliseconds allowed, std::uint32_t seed)
-        : node(peers), fleet(known), floors(bounds), counters(counted),
-          version_time(allowed),
-          keeper(owner, peers.store_client(), peers.mirror(), counted, seed),
-          origin(peers.client()),
-          inquiry(origin, counted, seed,
-                  [this](const missed_version& one) { take_unheard(one); })
+    /*! @param grace How long after a version was published requests are still
+     * sent to upstreams with older ones.
+     * @param seed Differs between entries. */
+    version_controller(event_loop& owner, node_type& own_node, view_type& view,
+                       version_floor& minimum_versions,
+                       metrics& metric_counters, milliseconds grace,
+                       std::uint32_t seed)
+        : node(own_node), fleet(view), minimums(minimum_versions),
+          counters(metric_counters), old_weights_grace(grace),
+          record_writer(owner, own_node.store_client(), own_node.mirror(),
+                        metric_counters, seed),
+          origin(own_node.client()), poller(origin, metric_counters, seed,
+                                            [this](const missed_version& missed)
+                                            { add_missed_version(missed); })
     {
     }
 
-    /*! @brief Keys of the store were read.
-     * @param first Nothing was known before. */
-    void read(bool first, time_point now)
+    /*! @brief Applies versions after keys of the store were read.
+     * @param first Whether no configuration was known before. The versions
+     * found now may have been published long ago. */
+    void on_keys_changed(bool first, time_point now)
     {
-        for (const auto& [key, named] : fleet.versions())
+        for (const auto& [key, published_at] : fleet.versions())
         {
             const auto& [model, version] = key;
             if (first && version == fleet.newest(model))
-                floors.add_found_at_startup(model, version, named,
-                                            version_time);
+                minimums.add_found_at_startup(model, version, published_at,
+                                              old_weights_grace);
         }
-        bind();
+        update_minimums();
         if (fleet.consume_nonincreasing_publish())
-            inquiry.request_recheck("named again without rising", now);
+            poller.request_recheck("published again without a higher number",
+                                   now);
     }
 
-    /*! @brief Takes what a peer was told of versions that the store lacks. */
-    void heard(const std::vector<message::told_version>& told, time_point now)
+    /*! @brief Merges versions that a peer reported and that the store does not
+     * show. */
+    void merge_reported(const std::vector<message::told_version>& reported,
+                        time_point now)
     {
-        const auto naming = [&](const std::string& model, time_point word)
-        { return std::max(word, inquiry.latest_publish_time(model, now)); };
+        const auto publish_time = [&](const std::string& model,
+                                      time_point reported_time) {
+            return std::max(reported_time,
+                            poller.latest_publish_time(model, now));
+        };
         if (fleet.configuration() == nullptr ||
-            !merge_gossiped_versions(fleet, told, now, naming))
+            !merge_gossiped_versions(fleet, reported, now, publish_time))
             return;
-        bind();
-        for (const auto& one : told)
-            floors.postpone(one.model, one.version,
-                            fleet.published_at(one.model, one.version),
-                            version_time, now);
+        update_minimums();
+        for (const auto& version : reported)
+            minimums.postpone(
+                version.model, version.version,
+                fleet.published_at(version.model, version.version),
+                old_weights_grace, now);
     }
 
-    /*! @brief Returns what the store does not show, for other processes. */
-    [[nodiscard]] std::vector<message::told_version> told(time_point now) const
+    /*! @brief Returns the versions that the store does not show, to be sent to
+     * peers. */
+    [[nodiscard]] std::vector<message::told_version>
+    versions_to_report(time_point now) const
     {
         return versions_to_gossip(fleet, now);
     }
 
-    /*! @brief Called often; `takes_part` is false while this entry stops. */
-    void tick(bool takes_part, time_point now)
+    /*! @brief Runs the periodic work. `active` is false while this entry shuts
+     * down; then only the alarms are updated. */
+    void tick(bool active, time_point now)
     {
-        watch(now);
-        if (!takes_part)
+        update_alarms(now);
+        if (!active)
             return;
         const auto rank =
             node.peers().entries_before(node.settings().address, now);
-        keep(rank, now);
-        ask({rank, node.peers().live_entries(now)}, now);
+        persist(rank, now);
+        poll_origin({rank, node.peers().live_entries(now)}, now);
     }
 
 private:
-    /*! @brief How often the alarms are looked at. */
+    /*! @brief Interval at which alarms are updated. */
     static constexpr milliseconds alarm_interval{1000};
 
-    void bind()
+    void update_minimums()
     {
-        for (const auto& [key, named] : fleet.versions())
-            floors.add_published(key.first, key.second, named, version_time);
+        for (const auto& [key, published_at] : fleet.versions())
+            minimums.add_published(key.first, key.second, published_at,
+                                   old_weights_grace);
         for (const auto& [model, version] : fleet.minimum_versions())
-            floors.enforce(model, version);
-        judge_found();
+            minimums.enforce(model, version);
+        apply_found_versions();
     }
 
-    /*! @brief A version that was found at the start binds once most upstreams
-     * serve it. */
-    void judge_found()
+    /*! @brief Makes a version that was found at startup the minimum once at
+     * least half of the upstreams serve it or a newer one. Its time of
+     * publication is unknown. */
+    void apply_found_versions()
     {
-        for (const auto& [key, named] : fleet.versions())
+        for (const auto& [key, published_at] : fleet.versions())
         {
             const auto& [model, version] = key;
-            if (floors.publish_time_unknown(model, version) &&
-                served_by_most(model, version))
-                floors.mark_widely_served(model, version);
+            if (minimums.publish_time_unknown(model, version) &&
+                served_by_half(model, version))
+                minimums.mark_widely_served(model, version);
         }
     }
 
-    [[nodiscard]] bool served_by_most(const std::string& model,
+    [[nodiscard]] bool served_by_half(const std::string& model,
                                       std::uint64_t version) const
     {
-        const auto count = serving(model, version);
-        return count.newest > 0 && 2 * count.newest >= count.all;
+        const auto counts = count_serving(model, version);
+        return counts.at_least > 0 && 2 * counts.at_least >= counts.all;
     }
 
-    struct serving_count
+    struct serving_counts
     {
-        std::size_t all{0};    /*!< Serve any version of the model. */
-        std::size_t newest{0}; /*!< Serve at least the one asked for. */
+        std::size_t all{0};      /*!< Upstreams with any version. */
+        std::size_t at_least{0}; /*!< Upstreams with this or a newer one. */
     };
 
-    [[nodiscard]] serving_count serving(const std::string& model,
-                                        std::uint64_t version) const
+    [[nodiscard]] serving_counts count_serving(const std::string& model,
+                                               std::uint64_t version) const
     {
-        serving_count made;
-        for (const auto& [id, one] : fleet.upstreams())
+        serving_counts counts;
+        for (const auto& [id, upstream] : fleet.upstreams())
         {
-            const auto weights = one.model_versions.find(model);
-            if (weights == one.model_versions.end() || weights->second == 0)
+            const auto weights = upstream.model_versions.find(model);
+            if (weights == upstream.model_versions.end() ||
+                weights->second == 0)
                 continue;
-            ++made.all;
+            ++counts.all;
             if (weights->second >= version)
-                ++made.newest;
+                ++counts.at_least;
         }
-        return made;
+        return counts;
     }
 
-    /*! @brief Has the store keep which versions were named and which bind: an
-     * entry that starts alone knows neither otherwise. */
-    void keep(std::size_t rank, time_point now)
+    /*! @brief Persists the newest published and the minimum version of each
+     * model. An entry that starts when no other one runs would know neither.
+     * @param rank Number of live entries before this one; 0 writes first. */
+    void persist(std::size_t rank, time_point now)
     {
-        for (const auto& [named, known] : fleet.versions())
+        for (const auto& [published, published_at] : fleet.versions())
         {
-            const auto& [model, version] = named;
-            const auto binding = floors.known_minimum(model, now);
-            keeper.add_known({model, std::max(version, binding), binding},
-                             fleet.newest_corroborated(model));
+            const auto& [model, version] = published;
+            const auto minimum = minimums.known_minimum(model, now);
+            record_writer.add_known(
+                {model, std::max(version, minimum), minimum},
+                fleet.newest_corroborated(model));
         }
-        keeper.write_if_due(rank, now);
+        record_writer.write_if_due(rank, now);
     }
 
-    void ask(const entry_ranking& at, time_point now)
+    void poll_origin(const entry_ranking& ranking, time_point now)
     {
         const auto gaps = node.gaps();
-        if (gaps != gaps_seen)
-            inquiry.request_recheck("a gap in what was heard of the store",
-                                    now);
-        gaps_seen = gaps;
-        const auto* rules = fleet.configuration();
-        const auto* from = rules != nullptr ? rules->origin() : nullptr;
-        if (from == nullptr)
+        if (gaps != handled_store_gaps)
+            poller.request_recheck("changes of the store were missed", now);
+        handled_store_gaps = gaps;
+        const auto* configuration = fleet.configuration();
+        const auto* origin_service =
+            configuration != nullptr ? configuration->origin() : nullptr;
+        if (origin_service == nullptr)
             return;
-        for (const auto& [name, service] : rules->services)
+        for (const auto& [name, service] : configuration->services)
         {
             if (service.engine)
-                ask(*from, *service.engine, at, now);
+                poll_origin(*origin_service, *service.engine, ranking, now);
         }
     }
 
-    void ask(const service_profile& from, const engine_profile& engine,
-             const entry_ranking& at, time_point now)
+    void poll_origin(const service_profile& origin_service,
+                     const engine_profile& engine, const entry_ranking& ranking,
+                     time_point now)
     {
         for (const auto& model : engine.models)
-            inquiry.poll_if_due(
-                from,
+            poller.poll_if_due(
+                origin_service,
                 {model, fleet.newest(model), engine.chunks, engine.chunk_bytes},
-                at, now);
+                ranking, now);
     }
 
-    void take_unheard(const missed_version& one)
+    void add_missed_version(const missed_version& missed)
     {
-        fleet.add_version(one.model, one.version, one.published_at);
-        bind();
+        fleet.add_version(missed.model, missed.version, missed.published_at);
+        update_minimums();
         node.announce();
     }
 
-    void watch(time_point now)
+    void update_alarms(time_point now)
     {
-        if (now - watched_at < alarm_interval)
+        if (now - alarms_updated_at < alarm_interval)
             return;
-        watched_at = now;
-        const auto* rules = fleet.configuration();
-        if (rules == nullptr)
+        alarms_updated_at = now;
+        const auto* configuration = fleet.configuration();
+        if (configuration == nullptr)
             return;
-        for (const auto& [name, service] : rules->services)
+        for (const auto& [name, service] : configuration->services)
         {
             if (!service.engine)
                 continue;
             for (const auto& model : service.engine->models)
-                watch(model, now);
+                update_alarms(model, now);
         }
     }
 
-    void watch(const std::string& model, time_point now)
+    void update_alarms(const std::string& model, time_point now)
     {
-        const auto named = fleet.published_in_store(model);
+        const auto published = fleet.published_in_store(model);
         const auto newest = fleet.newest(model);
-        const bool binds = floors.minimum(model, now) >= newest;
-        const bool unserved =
-            newest > 1 && binds && serving(model, newest).newest == 0;
-        auto& one = alarms[model];
-        report("version_name_outdated", model, named,
-               one.outdated.update(named < newest, now));
-        report("version_unserved", model, named,
-               one.unserved.update(unserved, now));
-        const metrics::labels of{{"model", model}};
+        const bool newest_required = minimums.minimum(model, now) >= newest;
+        // Version 1 means that none was published.
+        const bool unserved = newest > 1 && newest_required &&
+                              count_serving(model, newest).at_least == 0;
+        auto& alarm = alarms[model];
+        report("version_name_outdated", model, published,
+               alarm.outdated.update(published < newest, now));
+        report("version_unserved", model, published,
+               alarm.unserved.update(unserved, now));
+        const metrics::labels labels{{"model", model}};
         counters.set("version_name_outdated_seconds",
-                     to_seconds(one.outdated.duration(now)), of);
+                     to_seconds(alarm.outdated.duration(now)), labels);
         counters.set("version_unserved_seconds",
-                     to_seconds(one.unserved.duration(now)), of);
+                     to_seconds(alarm.unserved.duration(now)), labels);
         counters.set("version_unconfirmed_seconds",
-                     to_seconds(inquiry.unconfirmed_for(model, now)), of);
+                     to_seconds(poller.unconfirmed_for(model, now)), labels);
     }
 
-    void report(const std::string& what, const std::string& model,
-                std::uint64_t named, timed_condition::change change) const
+    void report(const std::string& event, const std::string& model,
+                std::uint64_t published_version,
+                timed_condition::change change) const
     {
         if (change == timed_condition::change::none)
             return;
         const auto newest = std::to_string(fleet.newest(model));
-        const auto name = std::to_string(named);
+        const auto published = std::to_string(published_version);
         if (change == timed_condition::change::began)
             log::warning(
-                what, {{"model", model}, {"named", name}, {"newest", newest}});
+                event,
+                {{"model", model}, {"named", published}, {"newest", newest}});
         else
-            log::state(what + "_ended",
-                       {{"model", model}, {"named", name}, {"newest", newest}});
+            log::state(
+                event + "_ended",
+                {{"model", model}, {"named", published}, {"newest", newest}});
     }
 
     node_type& node;
     view_type& fleet;
-    version_floor& floors;
+    version_floor& minimums;
     metrics& counters;
-    milliseconds version_time;
-    version_record_writer<typename Platform::store> keeper;
+    milliseconds old_weights_grace;
+    version_record_writer<typename Platform::store> record_writer;
     origin_type origin;
-    version_poller<origin_type> inquiry;
-    std::uint64_t gaps_seen{0};
-    time_point watched_at{};
+    version_poller<origin_type> poller;
+    std::uint64_t handled_store_gaps{0};
+    time_point alarms_updated_at{};
     std::map<std::string, version_alarms> alarms;
 };
 
--- a/tests/proxy/event_splitter.cpp
+++ b/tests/proxy/event_splitter.cpp
@@ -5,53 +5,54 @@
 
 namespace cj = coursejunction;
 
-SCENARIO("only whole events are given", "[proxy]")
+SCENARIO("only complete events are returned", "[proxy]")
 {
     cj::event_splitter events;
-    CHECK(events.take("id: 1\ndata: a\n").empty());
-    CHECK(events.take("\nid: 2\nda") == "id: 1\ndata: a\n\n");
+    CHECK(events.append("id: 1\ndata: a\n").empty());
+    CHECK(events.append("\nid: 2\nda") == "id: 1\ndata: a\n\n");
     CHECK(events.last_id() == 1);
-    CHECK(events.rest() == "id: 2\nda");
+    CHECK(events.incomplete() == "id: 2\nda");
 
-    WHEN("the sender is lost")
+    WHEN("the sender is replaced by another one")
     {
-        events.drop_rest();
-        THEN("the half event is not joined with another sender's")
+        events.discard_incomplete();
+        THEN("the incomplete event is not joined with the new sender's events")
         {
-            CHECK(events.take("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
+            CHECK(events.append("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
             CHECK(events.last_id() == 2);
-            CHECK(events.size() == 2);
+            CHECK(events.event_count() == 2);
         }
     }
     WHEN("lines end with carriage returns")
     {
-        events.drop_rest();
-        CHECK(events.take("id: 9\r\ndata: b\r\n\r\n").size() == 18);
+        events.discard_incomplete();
+        CHECK(events.append("id: 9\r\ndata: b\r\n\r\n").size() == 18);
         CHECK(events.last_id() == 9);
     }
 }
 
-TEST_CASE("events do not depend on how the bytes are cut", "[proxy]")
+TEST_CASE("events do not depend on how the bytes are split", "[proxy]")
 {
     rc::prop("same bytes",
              []
              {
                  const auto count = *rc::gen::inRange(0, 12);
                  std::string text;
-                 for (int at = 0; at < count; ++at)
-                     text += "id: " + std::to_string(at) + "\ndata: x\n\n";
+                 for (int index = 0; index < count; ++index)
+                     text += "id: " + std::to_string(index) + "\ndata: x\n\n";
                  text += "id: 99\nda";
                  cj::event_splitter events;
-                 std::string given;
-                 std::size_t from = 0;
-                 while (from < text.size())
+                 std::string returned;
+                 std::size_t position = 0;
+                 while (position < text.size())
                  {
                      const auto size =
                          static_cast<std::size_t>(*rc::gen::inRange(1, 9));
-                     given += events.take(text.substr(from, size));
-                     from += size;
+                     returned += events.append(text.substr(position, size));
+                     position += size;
                  }
-                 RC_ASSERT(given + events.rest() == text);
-                 RC_ASSERT(events.size() == static_cast<std::size_t>(count));
+                 RC_ASSERT(returned + events.incomplete() == text);
+                 RC_ASSERT(events.event_count() ==
+                           static_cast<std::size_t>(count));
              });
 }
--- a/tests/proxy/refusal_messages.cpp
+++ b/tests/proxy/refusal_messages.cpp
@@ -7,52 +7,54 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("entries tell each other of refusals in spans of time", "[proxy]")
+SCENARIO("refusals are sent between entries with durations instead of times",
+         "[proxy]")
 {
-    const cj::time_point here{100s};
-    const cj::time_point there{5000s};
-    cj::refusal_record one;
-    one.fingerprint = cj::request_fingerprint(7);
-    one.first_arrival = here - 300ms;
-    one.deadline = here + 5600ms;
-    one.refused_at = here;
-    one.retry_at = here + 200ms;
-    const auto told = cj::encode_refusal(one, here);
+    const cj::time_point sender_now{100s};
+    const cj::time_point receiver_now{5000s};
+    cj::refusal_record refusal;
+    refusal.fingerprint = cj::request_fingerprint(7);
+    refusal.first_arrival = sender_now - 300ms;
+    refusal.deadline = sender_now + 5600ms;
+    refusal.refused_at = sender_now;
+    refusal.retry_at = sender_now + 200ms;
+    const auto encoded = cj::encode_refusal(refusal, sender_now);
 
-    THEN("another process reads them by its own clock")
+    THEN("another process converts them to its own clock")
     {
-        const auto read = cj::decode_refusal(told, there);
-        CHECK(read.fingerprint == one.fingerprint);
-        CHECK(read.first_arrival == there - 300ms);
-        CHECK(read.deadline == there + 5600ms);
-        CHECK(read.refused_at == there);
-        CHECK(read.retry_at == there + 200ms);
+        const auto decoded = cj::decode_refusal(encoded, receiver_now);
+        CHECK(decoded.fingerprint == refusal.fingerprint);
+        CHECK(decoded.first_arrival == receiver_now - 300ms);
+        CHECK(decoded.deadline == receiver_now + 5600ms);
+        CHECK(decoded.refused_at == receiver_now);
+        CHECK(decoded.retry_at == receiver_now + 200ms);
     }
-    THEN("a caller without a deadline has none there either")
+    THEN("a missing deadline stays missing")
     {
-        one.deadline.reset();
-        CHECK_FALSE(
-            cj::decode_refusal(cj::encode_refusal(one, here), there).deadline);
+        refusal.deadline.reset();
+        CHECK_FALSE(cj::decode_refusal(cj::encode_refusal(refusal, sender_now),
+                                       receiver_now)
+                        .deadline);
     }
-    THEN("times that lie behind are no spans")
+    THEN("a time in the past becomes a duration of zero")
     {
-        one.retry_at = here - 1s;
-        CHECK(cj::encode_refusal(one, here).due_ms == 0);
+        refusal.retry_at = sender_now - 1s;
+        CHECK(cj::encode_refusal(refusal, sender_now).due_ms == 0);
     }
-    THEN("a heartbeat of an entry carries them")
+    THEN("the heartbeat of an entry carries them")
     {
-        cj::message::fleet_heartbeat beat;
-        beat.entry = true;
-        beat.refusals.assign(3, told);
-        const auto bytes = cj::encode(beat);
-        const auto read = cj::decode<cj::message::fleet_heartbeat>(bytes);
-        REQUIRE(read);
-        REQUIRE(read.value().refusals.size() == 3);
-        CHECK(read.value().refusals.front().left_ms == 5600);
-        AND_THEN("one that is cut off is refused")
+        cj::message::fleet_heartbeat heartbeat;
+        heartbeat.entry = true;
+        heartbeat.refusals.assign(3, encoded);
+        const auto bytes = cj::encode(heartbeat);
+        const auto decoded = cj::decode<cj::message::fleet_heartbeat>(bytes);
+        REQUIRE(decoded);
+        REQUIRE(decoded.value().refusals.size() == 3);
+        CHECK(decoded.value().refusals.front().left_ms == 5600);
+        AND_THEN("a truncated heartbeat is rejected")
         {
-            const auto part = bytes.substr(0, bytes.size() - 10);
-            CHECK_FALSE(cj::decode<cj::message::fleet_heartbeat>(part));
+            const auto truncated = bytes.substr(0, bytes.size() - 10);
+            CHECK_FALSE(cj::decode<cj::message::fleet_heartbeat>(truncated));
         }
     }
 }
