--- a/src/coursejunction/fleet/fleet_view.hpp
+++ b/src/coursejunction/fleet/fleet_view.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief The mirror's items as the product's own types.
+ * @brief Typed view of the mirrored store: the configuration, upstreams and
+ * published versions.
  */
 #ifndef COURSEJUNCTION_FLEET_FLEET_VIEW_HPP
 #define COURSEJUNCTION_FLEET_FLEET_VIEW_HPP
@@ -24,27 +25,27 @@
 namespace coursejunction
 {
 
-/*! @brief What a key of the store holds. */
+/*! @brief What kind of value a key of the store holds. */
 enum class item_kind : std::uint8_t
 {
-    configuration,
-    upstream,
-    version,
-    version_record, /*!< What is known of a model's versions. */
+    configuration,  /*!< Written by the operator. */
+    upstream,       /*!< Written by the upstream itself. */
+    version,        /*!< Version of a model that the operator published. */
+    version_record, /*!< A `version_record`, written by entries. */
     quarantine,     /*!< A request that crashes upstreams. */
-    /*! @brief The newest configuration, while the operator's key shows an older
-     * one. */
+    /*! @brief Copy of the newest configuration, written by entries while the
+     * operator's key holds an older one. */
     configuration_copy,
     other
 };
 
-/*! @brief Returns the key of that copy. */
+/*! @brief Returns the key of the configuration copy. */
 [[nodiscard]] inline std::string configuration_copy_key()
 {
     return "configuration/newest";
 }
 
-/*! @brief Reads the platform's items; pure. */
+/*! @brief Classifies the platform's keys and parses their values; pure. */
 template <typename Catalogue>
 concept Item_catalogue = requires(const std::string& key,
                                   const std::string& payload)
@@ -66,30 +67,36 @@
         } -> std::same_as<result<version_target>>;
 };
 
-/*! @brief One change of an upstream's record. */
+/*! @brief A change to an upstream's record. */
 struct upstream_change
 {
     instance_id id;
-    incarnation life; /*!< Of its record; empty when that is gone. */
+    incarnation life; /*!< Incarnation in the record; empty once removed. */
     bool removed{false};
-    bool malformed{false}; /*!< A record is there that cannot be read. */
+    bool malformed{false}; /*!< The record exists but cannot be parsed. */
 };
 
-/*! @brief Configuration, upstreams and named versions, kept up to date.
- * @tparam Platform Names the `catalogue`, an `Item_catalogue`. */
+/*! @brief The configuration, the upstreams and the published versions, updated
+ * as keys of the mirror change.
+ *
+ * Versions come from four sources: the operator's version key, the version
+ * records that entries write to the store, gossip from peers, and the second
+ * source that entries poll. The set of known versions only grows, since the
+ * store may lose or revert a key.
+ * @tparam Platform Provides `catalogue`, an `Item_catalogue`. */
 template <typename Platform>
 class fleet_view
 {
 public:
     using catalogue = typename Platform::catalogue;
 
-    /*! @brief Reads keys that changed.
-     * @return The upstreams that changed. */
+    /*! @brief Reads the changed keys from the mirror.
+     * @return The changes to upstream records. */
     std::vector<upstream_change> update(const store_mirror& mirror,
                                         const std::vector<std::string>& keys)
     {
         std::vector<upstream_change> changes;
-        bool configured = false;
+        bool configuration_changed = false;
         for (const auto& key : keys)
         {
             const auto* value = mirror.find(key);
@@ -98,10 +105,10 @@
             case item_kind::configuration:
                 if (value != nullptr)
                     read_configuration(key, *value);
-                configured = true;
+                configuration_changed = true;
                 break;
             case item_kind::configuration_copy:
-                configured = true;
+                configuration_changed = true;
                 break;
             case item_kind::upstream:
                 if (auto change = read_upstream(mirror, key))
@@ -115,26 +122,27 @@
                 if (value != nullptr)
                     read_record(key, *value);
                 else
-                    kept.erase(key.substr(version_record_prefix.size()));
+                    recorded.erase(key.substr(version_record_prefix.size()));
                 break;
             case item_kind::quarantine:
             case item_kind::other:
                 break;
             }
         }
-        judge_records();
-        if (configured)
-            read_kept_configuration(mirror);
+        apply_plausible_records();
+        if (configuration_changed)
+            read_configuration_copy(mirror);
         return changes;
     }
 
-    /*! @brief Returns the configuration in force, or null. */
+    /*! @brief Returns the configuration in force, or null if there is none. */
     [[nodiscard]] const installation* configuration() const
     {
         return current.get();
     }
 
-    /*! @brief Returns the configuration in force for sharing, or null. */
+    /*! @brief Returns shared ownership of the configuration in force, or null.
+     */
     [[nodiscard]] std::shared_ptr<const installation>
     shared_configuration() const
     {
@@ -147,22 +155,26 @@
         return records;
     }
 
-    /*! @brief Returns the named versions with the times of their naming. */
+    /*! @brief Returns the publication times by model and version. */
     [[nodiscard]] const std::map<std::pair<std::string, std::uint64_t>,
                                  time_point>&
     versions() const
     {
-        return targets;
+        return publish_times;
     }
 
-    /*! @brief Returns how many records of upstreams could not be read. */
-    [[nodiscard]] std::size_t unreadable_records() const { return refused; }
+    /*! @brief Returns how often an upstream record could not be parsed. */
+    [[nodiscard]] std::size_t unreadable_records() const
+    {
+        return unreadable_count;
+    }
 
-    /*! @brief Returns the newest version of a model; 1 when none was named. */
+    /*! @brief Returns the newest known version of a model; 1 if none was
+     * published. */
     [[nodiscard]] std::uint64_t newest(const std::string& model) const
     {
         std::uint64_t version = 1;
-        for (const auto& [key, known] : targets)
+        for (const auto& [key, known] : publish_times)
         {
             if (key.first == model)
                 version = std::max(version, key.second);
@@ -170,53 +182,56 @@
         return version;
     }
 
-    /*! @brief Returns the versions that are known to bind, by model: older
-     * ones begin no request any more. */
+    /*! @brief Returns the minimum versions by model, as version records state
+     * them: older versions must not begin new requests. */
     [[nodiscard]] const std::map<std::string, std::uint64_t>&
     minimum_versions() const
     {
-        return bound;
+        return minimums;
     }
 
-    /*! @brief Takes a version that the store does not show.
-     * @param known When it was named. Of several words the latest counts: each
-     * is the earliest that somebody could tell.
-     * @return Whether it is new, or was named later than was known. */
+    /*! @brief Adds a version that was learnt from a peer or from the second
+     * source.
+     * @param time The earliest time at which it can have been published, as far
+     * as the reporter knows; the latest of several such bounds is kept.
+     * @return True if the version is new or its publication time moved. */
     bool add_version(const std::string& model, std::uint64_t version,
-                     time_point known)
+                     time_point time)
     {
-        vouch(model, version);
-        judge_records();
-        if (version < newest(model) && !targets.contains({model, version}))
+        corroborate(model, version);
+        apply_plausible_records();
+        if (version < newest(model) &&
+            !publish_times.contains({model, version}))
             return false;
-        const auto [place, added] =
-            targets.try_emplace({model, version}, known);
+        const auto [position, added] =
+            publish_times.try_emplace({model, version}, time);
         if (added)
         {
-            only_told.insert({model, version});
+            learnt_elsewhere.insert({model, version});
             log::state("version_told", {{"model", model},
                                         {"version", std::to_string(version)}});
             return true;
         }
-        if (!only_told.contains({model, version}) ||
-            known - place->second < least_correction)
+        if (!learnt_elsewhere.contains({model, version}) ||
+            time - position->second < min_correction)
             return false;
-        place->second = known;
+        position->second = time;
         return true;
     }
 
-    /*! @brief A peer told a version that cannot be; logged once for a model. */
+    /*! @brief Logs an implausible version that a peer reported, once per model.
+     */
     void report_implausible_version(const std::string& model,
                                     std::uint64_t version)
     {
-        if (absurd.insert(model).second)
+        if (implausible_models.insert(model).second)
             log::warning(
                 "version_told_absurd",
                 {{"model", model}, {"version", std::to_string(version)}});
     }
 
-    /*! @brief Takes a name of a version that a later one replaced before it was
-     * read: the mirror keeps the last one only. */
+    /*! @brief Adds the version in a value that was overwritten before this view
+     * read it: the mirror keeps only the last value of a key. */
     void add_overwritten_version(const message::mirror_item& one,
                                  time_point now)
     {
@@ -226,103 +241,111 @@
         if (!read)
             return;
         const auto& [model, version] = read.value();
-        vouch(model, version);
-        targets.try_emplace({model, version}, now);
+        corroborate(model, version);
+        publish_times.try_emplace({model, version}, now);
         log::state("version_passed", {{"model", model},
                                       {"version", std::to_string(version)},
                                       {"revision", one.position().text()}});
     }
 
-    /*! @brief Returns the newest version of a model that anything but a record
-     * told; 1 when nothing did. */
+    /*! @brief Returns the newest version of a model that some source other than
+     * a version record reported; 1 if none did. */
     [[nodiscard]] std::uint64_t
     newest_corroborated(const std::string& model) const
     {
-        const auto found = vouched_for.find(model);
-        return found == vouched_for.end() ? 1 : found->second;
+        const auto found = corroborated.find(model);
+        return found == corroborated.end() ? 1 : found->second;
     }
 
-    /*! @brief Returns the newest version that a name or a record of the store
-     * tells; 1 when none does. */
+    /*! @brief Returns the newest version in the store, in the operator's key or
+     * in the version record; 1 if there is none. */
     [[nodiscard]] std::uint64_t newest_stored(const std::string& model) const
     {
-        const auto name = named.find(model);
-        const auto record = kept.find(model);
+        const auto version = published.find(model);
+        const auto record = recorded.find(model);
         return std::max({std::uint64_t{1},
-                         name == named.end() ? 0 : name->second,
-                         record == kept.end() ? 0 : record->second});
+                         version == published.end() ? 0 : version->second,
+                         record == recorded.end() ? 0 : record->second});
     }
 
-    /*! @brief Returns the version that the store names now; 1 when none. */
+    /*! @brief Returns the version that the operator's key holds now; 1 if there
+     * is none. */
     [[nodiscard]] std::uint64_t
     published_in_store(const std::string& model) const
     {
-        const auto found = named.find(model);
-        return found == named.end() ? 1 : found->second;
+        const auto found = published.find(model);
+        return found == published.end() ? 1 : found->second;
     }
 
-    /*! @brief Tells, once, whether a name was written anew without rising:
-     * another one may have been written and overwritten in between. */
+    /*! @brief Returns whether a version key was rewritten without a higher
+     * version since the last call: a newer version may have been written and
+     * overwritten in between. */
     [[nodiscard]] bool consume_nonincreasing_publish()
     {
-        return std::exchange(repeated, false);
+        return std::exchange(nonincreasing_publish, false);
     }
 
-    /*! @brief Returns when a version was named, as far as is known. */
+    /*! @brief Returns when a version was published, as far as is known; the
+     * epoch if the version is unknown. */
     [[nodiscard]] time_point published_at(const std::string& model,
                                           std::uint64_t version) const
     {
-        const auto found = targets.find({model, version});
-        return found == targets.end() ? time_point{} : found->second;
+        const auto found = publish_times.find({model, version});
+        return found == publish_times.end() ? time_point{} : found->second;
     }
 
 private:
-    /*! @brief Words of one naming differ by what they took to arrive. */
-    static constexpr milliseconds least_correction{1000};
+    /*! @brief Smaller corrections are ignored: reports of the same publication
+     * differ by the time they took to arrive. */
+    static constexpr milliseconds min_correction{1000};
 
-    /*! @brief A record of versions that was read. */
-    struct record_claim
+    /*! @brief A version record that is not plausible yet. */
+    struct unconfirmed_record
     {
         version_record record;
-        time_point learnt{};
-        bool refused{false}; /*!< That it is not believed was logged. */
+        time_point first_seen{};
+        bool logged{false}; /*!< That it is implausible. */
     };
 
-    /*! @brief The latest life of an upstream. A write without an answer may be
-     * done seconds later, over what was written since. */
-    struct known_life
+    /*! @brief The latest known incarnation of an upstream, to detect outdated
+     * records: a write that got no response may take effect seconds later and
+     * overwrite newer ones. */
+    struct known_incarnation
     {
-        /*! @brief Tells whether a record was written before what is known: in
-         * an earlier life, or in this one before it was to end. */
-        [[nodiscard]] bool precludes(const upstream_record& one) const
+        /*! @brief Returns whether a record was written before the latest known
+         * one: by an earlier incarnation, or by this one before it announced
+         * its end. */
+        [[nodiscard]] bool supersedes(const upstream_record& one) const
         {
-            return one.life < life || (one.life == life && closed &&
-                                       !one.leaving && one.count < count);
+            return one.life < number || (one.life == number && ended &&
+                                         !one.leaving && one.count < sequence);
         }
 
-        void take(const upstream_record& one)
+        void apply(const upstream_record& one)
         {
-            count = one.life == life ? std::max(count, one.count) : one.count;
-            life = one.life;
-            closed = one.leaving;
+            sequence =
+                one.life == number ? std::max(sequence, one.count) : one.count;
+            number = one.life;
+            ended = one.leaving;
         }
 
-        incarnation life;
-        std::uint64_t count{0}; /*!< The highest of its records. */
-        bool closed{false};     /*!< It said that it leaves, or is gone. */
+        incarnation number;
+        std::uint64_t sequence{0}; /*!< The highest of its records. */
+        bool ended{false};         /*!< It is leaving, or was removed. */
     };
 
     void read_configuration(const std::string& key, const mirrored_value& value)
     {
         auto read = catalogue::configuration(value.payload);
         if (!read)
-            return unreadable(key, value, read.error().message);
+            return log_unreadable(key, value, read.error().message);
         if (current && read.value().version < current->version)
-            return unreadable(key, value, "version goes back");
-        configure(std::move(read.value()), value);
+            return log_unreadable(key, value,
+                                  "version is lower than the current one");
+        set_configuration(std::move(read.value()), value);
     }
 
-    void configure(installation next, const mirrored_value& value)
+    void set_configuration(installation next, const mirrored_value& value)
     {
         current = std::make_shared<const installation>(std::move(next));
         log::state("configuration_in_force",
@@ -330,30 +353,31 @@
                     {"revision", value.position().text()}});
     }
 
-    /*! @brief Takes the copy of a newer configuration than the operator's key
-     * shows. It says nothing without that one: a number that was spoilt would
-     * stay in force for good. */
-    void read_kept_configuration(const store_mirror& mirror)
+    /*! @brief Uses the copy if it is newer than the configuration in force. It
+     * is ignored while the operator's key was never read: without that number
+     * to compare with, a corrupted number would stay in force for good. */
+    void read_configuration_copy(const store_mirror& mirror)
     {
         const auto* value = mirror.find(configuration_copy_key());
         if (value == nullptr || !current)
             return;
         auto read = catalogue::configuration(value->payload);
         if (!read)
-            return unreadable(configuration_copy_key(), *value,
-                              read.error().message);
+            return log_unreadable(configuration_copy_key(), *value,
+                                  read.error().message);
         const auto version = read.value().version;
         if (version <= current->version)
             return;
         if (!plausible_successor(current->version, version))
-            return unreadable(configuration_copy_key(), *value,
-                              "absurd version: " + std::to_string(version));
-        configure(std::move(read.value()), *value);
+            return log_unreadable(configuration_copy_key(), *value,
+                                  "implausible version: " +
+                                      std::to_string(version));
+        set_configuration(std::move(read.value()), *value);
     }
 
-    /*! @brief Reads an upstream's record. One that cannot be read names no
-     * upstream to use, and what it replaced is not kept in its place.
-     * @return What changed; nothing for what was written before. */
+    /*! @brief Reads an upstream's record. If it cannot be parsed, the upstream
+     * is removed: the record that it replaced is no longer valid.
+     * @return The change; nothing for an outdated record. */
     std::optional<upstream_change> read_upstream(const store_mirror& mirror,
                                                  const std::string& key)
     {
@@ -361,39 +385,39 @@
         const auto* value = mirror.find(key);
         if (value == nullptr)
         {
-            const auto known = lives.find(id);
-            if (known != lives.end() && !mirror.lacks_by_loss(key))
-                known->second.closed = true;
+            const auto known = incarnations.find(id);
+            if (known != incarnations.end() && !mirror.lacks_by_loss(key))
+                known->second.ended = true;
             records.erase(id);
             return upstream_change{id, {}, true};
         }
         auto read = catalogue::upstream(key, value->payload);
         if (!read)
-            return refuse_upstream(key, *value, read.error().message);
-        auto& known = lives[id];
+            return reject_upstream(key, *value, read.error().message);
+        auto& known = incarnations[id];
         const auto& one = read.value();
-        if (one.life.empty() && !known.life.empty())
-            return refuse_upstream(key, *value, "its life is not told");
-        if (known.precludes(one))
+        if (one.life.empty() && !known.number.empty())
+            return reject_upstream(key, *value, "the incarnation is missing");
+        if (known.supersedes(one))
         {
             log::state("upstream_record_outdated",
                        {{"key", key},
                         {"revision", value->position().text()},
                         {"count", std::to_string(one.count)},
-                        {"known", std::to_string(known.count)}});
+                        {"known", std::to_string(known.sequence)}});
             return std::nullopt;
         }
-        known.take(one);
+        known.apply(one);
         records[id] = std::move(read.value());
-        return upstream_change{id, known.life};
+        return upstream_change{id, known.number};
     }
 
-    upstream_change refuse_upstream(const std::string& key,
+    upstream_change reject_upstream(const std::string& key,
                                     const mirrored_value& value,
-                                    const std::string& why)
+                                    const std::string& reason)
     {
-        unreadable(key, value, why);
-        ++refused;
+        log_unreadable(key, value, reason);
+        ++unreadable_count;
         const auto id = catalogue::upstream_id(key);
         records.erase(id);
         return {id, {}, true, true};
@@ -403,16 +427,16 @@
     {
         const auto read = catalogue::version(value.payload);
         if (!read)
-            return unreadable(key, value, read.error().message);
+            return log_unreadable(key, value, read.error().message);
         const auto& target = read.value();
         const auto known = newest(target.model);
-        const auto [before, first] =
-            named.try_emplace(target.model, target.version);
-        const bool rises = first || target.version > before->second;
-        repeated = repeated || !rises;
-        before->second = target.version;
-        vouch(target.model, target.version);
-        targets.try_emplace({target.model, target.version}, value.learnt);
+        const auto [previous, added] =
+            published.try_emplace(target.model, target.version);
+        const bool rises = added || target.version > previous->second;
+        nonincreasing_publish = nonincreasing_publish || !rises;
+        previous->second = target.version;
+        corroborate(target.model, target.version);
+        publish_times.try_emplace({target.model, target.version}, value.learnt);
         log::state("version_named",
                    {{"model", target.model},
                     {"version", std::to_string(target.version)},
@@ -434,78 +458,82 @@
     {
         const auto read = read_version_record(key, value.payload);
         if (!read)
-            return unreadable(key, value, read.error().message);
-        claims[read.value().model] = {read.value(), value.learnt, false};
+            return log_unreadable(key, value, read.error().message);
+        unconfirmed[read.value().model] = {read.value(), value.learnt, false};
     }
 
-    /*! @brief Believes the records that what else is known allows. A record
-     * may be read before the name that bears it out: the others wait. */
-    void judge_records()
+    /*! @brief Applies the records that are plausible given the versions from
+     * other sources. The rest stay unconfirmed: a record may be read before the
+     * version key that corroborates it. */
+    void apply_plausible_records()
     {
-        for (auto one = claims.begin(); one != claims.end();)
+        for (auto one = unconfirmed.begin(); one != unconfirmed.end();)
         {
-            auto& [model, claim] = *one;
-            if (plausible(claim.record, newest_corroborated(model)))
+            auto& [model, pending] = *one;
+            if (plausible(pending.record, newest_corroborated(model)))
             {
-                believe(claim);
-                one = claims.erase(one);
+                apply_record(pending);
+                one = unconfirmed.erase(one);
                 continue;
             }
-            if (!std::exchange(claim.refused, true))
+            if (!std::exchange(pending.logged, true))
                 log::warning(
                     "version_record_absurd",
                     {{"model", model},
-                     {"newest", std::to_string(claim.record.newest)},
+                     {"newest", std::to_string(pending.record.newest)},
                      {"known", std::to_string(newest_corroborated(model))}});
             ++one;
         }
     }
 
-    void believe(const record_claim& claim)
+    void apply_record(const unconfirmed_record& pending)
     {
-        const auto& record = claim.record;
+        const auto& record = pending.record;
         if (record.newest > 0)
-            targets.try_emplace({record.model, record.newest}, claim.learnt);
-        kept[record.model] = record.newest;
-        auto& least = bound[record.model];
-        least = std::max(least, record.minimum);
+            publish_times.try_emplace({record.model, record.newest},
+                                      pending.first_seen);
+        recorded[record.model] = record.newest;
+        auto& minimum = minimums[record.model];
+        minimum = std::max(minimum, record.minimum);
         log::state("version_record_read",
                    {{"model", record.model},
                     {"newest", std::to_string(record.newest)},
                     {"binding", std::to_string(record.minimum)}});
     }
 
-    void vouch(const std::string& model, std::uint64_t version)
+    void corroborate(const std::string& model, std::uint64_t version)
     {
-        auto& newest_vouched = vouched_for.try_emplace(model, 1).first->second;
-        newest_vouched = std::max(newest_vouched, version);
+        auto& newest_known = corroborated.try_emplace(model, 1).first->second;
+        newest_known = std::max(newest_known, version);
     }
 
-    static void unreadable(const std::string& key, const mirrored_value& value,
-                           const std::string& why)
+    static void log_unreadable(const std::string& key,
+                               const mirrored_value& value,
+                               const std::string& reason)
     {
         log::warning("item_unreadable", {{"key", key},
                                          {"revision", value.position().text()},
-                                         {"why", why}});
+                                         {"why", reason}});
     }
 
     std::shared_ptr<const installation> current;
     std::map<instance_id, upstream_record> records;
-    /*! @brief The latest life of each id; ids are kept as the mirror keeps the
-     * marks of removed keys. */
-    std::map<instance_id, known_life> lives;
-    std::size_t refused{0};
-    std::map<std::pair<std::string, std::uint64_t>, time_point> targets;
-    /*! @brief Those that no name or record of the store told first. */
-    std::set<std::pair<std::string, std::uint64_t>> only_told;
-    std::set<std::string> absurd; /*!< Models of which that was told. */
-    std::map<std::string, std::uint64_t> bound;
-    std::map<std::string, std::uint64_t> named; /*!< By the store's names. */
-    std::map<std::string, std::uint64_t> kept;  /*!< By its records. */
-    /*! @brief The newest that anything but a record told. */
-    std::map<std::string, std::uint64_t> vouched_for;
-    std::map<std::string, record_claim> claims; /*!< Not believed yet. */
-    bool repeated{false}; /*!< A name was written anew without rising. */
+    /*! @brief By upstream. Entries are never removed, like the mirror's
+     * tombstones of removed keys. */
+    std::map<instance_id, known_incarnation> incarnations;
+    std::size_t unreadable_count{0};
+    std::map<std::pair<std::string, std::uint64_t>, time_point> publish_times;
+    /*! @brief Versions that were not learnt from the store first. */
+    std::set<std::pair<std::string, std::uint64_t>> learnt_elsewhere;
+    /*! @brief Models for which an implausible version was logged. */
+    std::set<std::string> implausible_models;
+    std::map<std::string, std::uint64_t> minimums;  /*!< By model. */
+    std::map<std::string, std::uint64_t> published; /*!< In operators' keys. */
+    std::map<std::string, std::uint64_t> recorded;  /*!< In version records. */
+    /*! @brief The newest from any source other than version records. */
+    std::map<std::string, std::uint64_t> corroborated;
+    std::map<std::string, unconfirmed_record> unconfirmed; /*!< By model. */
+    bool nonincreasing_publish{false}; /*!< Since it was last consumed. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/key_writer.hpp
+++ b/src/coursejunction/fleet/key_writer.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief One write of the platform's store at a time, with pauses.
+ * @brief Serializes writes to the platform's store, with backoff in between.
  */
 #ifndef COURSEJUNCTION_FLEET_KEY_WRITER_HPP
 #define COURSEJUNCTION_FLEET_KEY_WRITER_HPP
@@ -17,14 +17,15 @@
 namespace coursejunction
 {
 
-/*! @brief What became of a write. */
+/*! @brief The outcome of a write. */
 enum class write_outcome : std::uint8_t
 {
     written,
-    conflict, /*!< The key is at another revision. */
+    conflict, /*!< The key was at another revision. */
     failed
 };
 
+/*! @brief Returns an outcome's name in logs and metrics. */
 [[nodiscard]] inline std::string write_outcome_name(write_outcome outcome)
 {
     switch (outcome)
@@ -39,58 +40,68 @@
     return "failed";
 }
 
-/*! @brief Lets one write run at a time and counts what became of each. */
+/*! @brief Allows one write at a time, counts the outcomes and delays further
+ * writes. The caller makes the write itself, while `busy()` is false, and
+ * passes the callback of `begin()` to the store. */
 class key_writer
 {
 public:
-    using answer_callback = std::function<void(result<bool>)>;
+    using store_callback = std::function<void(result<bool>)>;
 
-    /*! @brief Told what became of a write, and why it failed. */
-    using ended_callback =
+    /*! @brief Receives the outcome, and the error message of a failed write. */
+    using outcome_callback =
         std::function<void(write_outcome outcome, const std::string& why)>;
 
-    /*! @param counter Of writes, by their result.
-     * @param between Pauses. */
-    key_writer(event_loop& owner, metrics& counted, std::string counter,
-               backoff between)
-        : loop(owner), counters(counted), counter_name(std::move(counter)),
-          pauses(between)
+    /*! @param counter Name of the counter of writes, by `result`.
+     * @param policy Delays after writes, see `back_off()`. */
+    key_writer(event_loop& owner, metrics& registry, std::string counter,
+               backoff policy)
+        : loop(owner), counters(registry), counter_name(std::move(counter)),
+          delays(policy)
     {
     }
 
-    /*! @brief Tells whether a write or a pause runs. */
-    [[nodiscard]] bool busy() const noexcept { return under_way || resting; }
+    /*! @brief Returns whether a write is in flight or a delay is running. */
+    [[nodiscard]] bool busy() const noexcept
+    {
+        return in_flight || backing_off;
+    }
 
     /*! @brief Begins a write.
-     * @return What is to be called with the store's answer. */
-    [[nodiscard]] answer_callback begin(ended_callback done)
+     * @param done Called with its outcome.
+     * @return The callback for the store's answer. */
+    [[nodiscard]] store_callback begin(outcome_callback done)
     {
-        under_way = true;
-        return [this, call = std::move(done)](const result<bool>& answer)
-        { ended(call, answer); };
+        in_flight = true;
+        return [this, callback = std::move(done)](const result<bool>& answer)
+        { finish(callback, answer); };
     }
 
-    /*! @brief Writes nothing for a while, longer each time. */
-    void rest(std::function<void()> then = {})
+    /*! @brief Delays the next write, by longer each time until
+     * `reset_backoff()`.
+     * @param then Called at the end of the delay. */
+    void back_off(std::function<void()> then = {})
     {
-        resting = true;
-        again = loop.after(pauses.next(),
-                           [this, call = std::move(then)]
-                           {
-                               resting = false;
-                               // It may rest again, which ends this timer.
-                               if (const auto next = call)
-                                   next();
-                           });
+        backing_off = true;
+        delay_timer = loop.after(delays.next(),
+                                 [this, callback = std::move(then)]
+                                 {
+                                     backing_off = false;
+                                     // A copy: the callback may back off again,
+                                     // which destroys this timer and its
+                                     // closure.
+                                     if (const auto next = callback)
+                                         next();
+                                 });
     }
 
-    /*! @brief The next pause is a first one. */
-    void succeeded() noexcept { pauses.reset(); }
+    /*! @brief Restarts the delays from the shortest. */
+    void reset_backoff() noexcept { delays.reset(); }
 
 private:
-    void ended(const ended_callback& done, const result<bool>& answer)
+    void finish(const outcome_callback& done, const result<bool>& answer)
     {
-        under_way = false;
+        in_flight = false;
         const auto outcome = !answer          ? write_outcome::failed
                              : answer.value() ? write_outcome::written
                                               : write_outcome::conflict;
@@ -102,10 +113,10 @@
     event_loop& loop;
     metrics& counters;
     std::string counter_name;
-    backoff pauses;
-    bool under_way{false};
-    bool resting{false};
-    timer again;
+    backoff delays;
+    bool in_flight{false};
+    bool backing_off{false};
+    timer delay_timer;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/poll_schedule.hpp
+++ b/src/coursejunction/fleet/poll_schedule.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief When an entry asks another source which version was named last; pure.
+ * @brief When an entry polls the second source for the newest published
+ * version; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_POLL_SCHEDULE_HPP
 #define COURSEJUNCTION_FLEET_POLL_SCHEDULE_HPP
@@ -17,203 +18,218 @@
 namespace coursejunction
 {
 
-/*! @brief An entry among those that it hears. */
+/*! @brief The position of an entry among the entries that it hears, in the
+ * order of their addresses. */
 struct entry_ranking
 {
-    std::size_t rank{0};   /*!< How many come before it. */
-    std::size_t others{0}; /*!< How many it hears at all. */
+    std::size_t rank{0};   /*!< Live entries that come before it. */
+    std::size_t others{0}; /*!< Live entries other than itself. */
 };
 
-/*! @brief Spreads the questions of all entries over a source's link. Entries
- * need not hear of each other's answers: the one of rank r asks every
- * (r + 1) * (r + 1) intervals, so that all together, however many, ask less
- * than twice as often as the first alone, and the next rank goes on where the
- * first cannot reach the source.
+/*! @brief Spreads the polls of all entries, so that they share the source's
+ * link without coordination. Entries need not know each other's answers: the
+ * entry of rank r polls every (r + 1) * (r + 1) intervals. All entries
+ * together, however many, poll less than twice as often as the first alone, and
+ * the next rank takes over where the first cannot reach the source.
  *
- * An entry that has just started, or was frozen, has heard nobody and takes
- * itself for the first: a rank counts as lower once it has been for a while. */
+ * An entry that has just started, or whose process was suspended, has heard no
+ * other entry yet and would take itself for the first: a lower rank counts only
+ * once it has held for a while. */
 class poll_schedule
 {
 public:
-    /*! @brief Time between two questions of the first entry. */
-    static constexpr milliseconds least_interval{1000};
+    /*! @brief Shortest time between two polls of the first entry. */
+    static constexpr milliseconds min_interval{1000};
 
-    /*! @brief Part of the source's link that the first entry's answers may
-     * take. */
-    static constexpr double link_share = 0.005;
+    /*! @brief Fraction of the source's link that the answers to the first entry
+     * may take. */
+    static constexpr double max_link_fraction = 0.005;
 
-    /*! @brief After a doubt, an entry waits this part of an interval for each
-     * entry before it. */
-    static constexpr int turns_per_interval = 4;
+    /*! @brief A recheck is staggered by rank, in slots of this fraction of an
+     * interval: one for each entry before this one. */
+    static constexpr int slots_per_interval = 4;
 
-    /*! @brief An entry that hears none of those it knew cannot tell whether
-     * they hear each other: it leaves the link to so many as if they did not.
-     */
-    static constexpr double lone_entries = 5;
+    /*! @brief An entry that no longer hears any other cannot tell whether the
+     * others still hear each other. Its interval is lengthened so that, if
+     * every entry is isolated, all together poll as often as this many first
+     * ones. */
+    static constexpr double isolated_entries = 5;
 
-    /*! @brief A rank that fell counts after this time. */
+    /*! @brief A lower rank counts after it has held for this long. */
     static constexpr milliseconds settling_time{500};
 
-    /*! @brief An entry that did nothing for so long takes others for gone. */
-    static constexpr milliseconds frozen_time{1000};
+    /*! @brief An entry that was suspended for this long has missed heartbeats
+     * and takes live entries for gone: a lower rank has to hold anew. */
+    static constexpr milliseconds suspension_threshold{1000};
 
-    /*! @brief Entries that start hear of all others within this time; before
-     * that they hear of those that are named to them from the first. */
-    static constexpr milliseconds starting_time{1200};
+    /*! @brief An entry hears of all others within this time of its start;
+     * before that, only of the configured seeds. */
+    static constexpr milliseconds discovery_time{1200};
 
-    /*! @param seed Another one for each entry. */
+    /*! @param seed Must differ between entries. */
     explicit poll_schedule(std::uint32_t seed) : random(seed) {}
 
-    /*! @brief What is known may be incomplete: the source is asked as soon as
-     * it is this entry's turn. */
-    void doubt(time_point now)
+    /*! @brief Requests a poll in this entry's next slot, ahead of the regular
+     * interval: updates of the store may have been missed. */
+    void request_recheck(time_point now)
     {
-        if (doubted_at)
+        if (recheck_since)
             return;
-        doubted_at = now;
-        part = std::uniform_real_distribution<double>(0, 1)(random);
+        recheck_since = now;
+        jitter = std::uniform_real_distribution<double>(0, 1)(random);
     }
 
-    /*! @brief An answer has to be told a second time: this entry asks again
-     * soon, whatever its rank. */
-    void repeat() noexcept { repeats = true; }
+    /*! @brief Requests another poll soon, whatever the rank: an answer has to
+     * be confirmed by a second one. */
+    void request_confirmation() noexcept { confirmation_requested = true; }
 
-    /*! @brief Tells whether to ask now; called often. */
-    [[nodiscard]] bool due(const entry_ranking& at, time_point now)
+    /*! @brief Returns whether to poll now; to be called several times a second
+     * with the current ranking. */
+    [[nodiscard]] bool due(const entry_ranking& self, time_point now)
     {
-        note(at, now);
-        if (!settled)
+        update_rank(self, now);
+        if (!settled_rank)
             return false;
-        if (repeats && now - asked_at >= least_interval / turns_per_interval)
+        if (confirmation_requested &&
+            now - polled_at >= min_interval / slots_per_interval)
             return true;
-        const auto before = static_cast<double>(*settled);
-        const auto passed = now - asked_at;
-        const auto whole = times(interval, spread);
-        const auto turn = spread > 1 ? whole : whole / turns_per_interval;
-        const bool rested = passed >= least_interval / turns_per_interval;
-        if (doubted_at && rested &&
-            now - *doubted_at >= times(turn, turns_waited(before)))
+        const auto rank = static_cast<double>(*settled_rank);
+        const auto elapsed = now - polled_at;
+        const auto spread_interval = scaled(interval, isolation_factor);
+        const auto slot = isolation_factor > 1
+                              ? spread_interval
+                              : spread_interval / slots_per_interval;
+        const bool paused = elapsed >= min_interval / slots_per_interval;
+        if (recheck_since && paused &&
+            now - *recheck_since >= scaled(slot, slots_to_wait(rank)))
             return true;
-        return passed >= times(whole, (before + 1) * (before + 1));
+        return elapsed >= scaled(spread_interval, (rank + 1) * (rank + 1));
     }
 
-    /*! @brief Returns the time between two questions without a doubt. */
-    [[nodiscard]] std::chrono::microseconds regular_gap() const
+    /*! @brief Returns the time between two polls of this entry while no recheck
+     * is requested. */
+    [[nodiscard]] std::chrono::microseconds regular_interval() const
     {
-        const auto place = static_cast<double>(settled.value_or(0) + 1);
-        return times(interval, spread * place * place);
+        const auto position = static_cast<double>(settled_rank.value_or(0) + 1);
+        return scaled(interval, isolation_factor * position * position);
     }
 
-    /*! @brief A question is sent: whatever was doubted until now is asked. */
-    void asked(time_point now)
+    /*! @brief Records that a poll was sent, which serves the requests so far.
+     */
+    void record_poll(time_point now)
     {
-        asked_at = now;
-        asked_in_doubt = doubted_at.has_value();
-        repeats = false;
-        doubted_at.reset();
+        polled_at = now;
+        polled_for_recheck = recheck_since.has_value();
+        confirmation_requested = false;
+        recheck_since.reset();
     }
 
-    /*! @brief A question was not answered: what was doubted still is, after a
-     * pause that doubles. */
-    void failed(time_point now)
+    /*! @brief Records that a poll failed. A recheck is repeated after a delay
+     * that doubles with each failure in a row. */
+    void record_failure(time_point now)
     {
-        failures = std::min(failures + 1, most_doublings);
-        if (!asked_in_doubt || doubted_at)
+        failures = std::min(failures + 1, max_doublings);
+        if (!polled_for_recheck || recheck_since)
             return;
-        doubt(now);
-        doubted_at = now + interval * (1 << failures);
+        request_recheck(now);
+        recheck_since = now + interval * (1 << failures);
     }
 
-    /*! @brief Notes what an answer costs, or is expected to.
-     * @param rate Of the source's link; 0 when it is not known. */
-    void costs(std::size_t bytes, byte_rate rate)
+    /*! @brief Sets the interval by the size of an answer, measured or expected,
+     * and ends a run of failures.
+     * @param rate Of the source's link; 0 if unknown. */
+    void set_answer_size(std::size_t bytes, byte_rate rate)
     {
-        interval = least_interval;
+        interval = min_interval;
         failures = 0;
         if (rate <= 0)
             return;
-        const auto takes = static_cast<double>(bytes) / rate / link_share;
+        const auto needed =
+            static_cast<double>(bytes) / rate / max_link_fraction;
         interval =
-            std::max<std::chrono::microseconds>(interval, from_seconds(takes));
+            std::max<std::chrono::microseconds>(interval, from_seconds(needed));
     }
 
 private:
-    /*! @brief Of the pause after questions that failed in a row. */
-    static constexpr int most_doublings = 3;
+    /*! @brief Limit on the doublings of the delay after failures in a row. */
+    static constexpr int max_doublings = 3;
 
     [[nodiscard]] static std::chrono::microseconds
-    times(std::chrono::microseconds one, double count)
+    scaled(std::chrono::microseconds duration, double factor)
     {
-        return from_seconds(to_seconds(one) * count);
+        return from_seconds(to_seconds(duration) * factor);
     }
 
-    /*! @brief Returns how many turns pass after a doubt. The later the rank,
-     * the wider it is spread: entries that know few others have many of the
-     * same rank. */
-    [[nodiscard]] double turns_waited(double before) const
+    /*! @brief Returns the number of slots to wait before a recheck. The higher
+     * the rank, the wider the random spread: entries that know few others often
+     * have the same rank. */
+    [[nodiscard]] double slots_to_wait(double rank) const
     {
-        const auto width = 1 + before / 2;
-        return before + part * width * width;
+        const auto width = 1 + rank / 2;
+        return rank + jitter * width * width;
     }
 
-    void note(const entry_ranking& at, time_point now)
+    void update_rank(const entry_ranking& self, time_point now)
     {
-        const auto rank = at.rank;
-        note_others(at.others, now);
-        if (!noted_at)
-            asked_at = now;
-        const bool frozen = noted_at && now - *noted_at >= frozen_time;
-        noted_at = now;
-        if (settled && rank >= *settled)
+        const auto rank = self.rank;
+        update_isolation(self.others, now);
+        if (!updated_at)
+            polled_at = now;
+        const bool suspended =
+            updated_at && now - *updated_at >= suspension_threshold;
+        updated_at = now;
+        if (settled_rank && rank >= *settled_rank)
         {
-            settled = rank;
+            settled_rank = rank;
             lower_since.reset();
             return;
         }
-        if (!lower_since || frozen)
+        if (!lower_since || suspended)
         {
             lower_since = now;
-            lower = 0;
+            lower_rank = 0;
         }
-        lower = std::max(lower, rank);
-        const bool starting = !settled && at.others > 0;
-        if (now - *lower_since < (starting ? starting_time : settling_time))
+        lower_rank = std::max(lower_rank, rank);
+        const bool starting = !settled_rank && self.others > 0;
+        if (now - *lower_since < (starting ? discovery_time : settling_time))
             return;
-        settled = lower;
+        settled_rank = lower_rank;
         lower_since.reset();
     }
 
-    /*! @brief Questions of entries that lose each other at the same moment are
-     * spread from there on. */
-    void note_others(std::size_t others, time_point now)
+    /*! @brief Entries that stop hearing each other at the same moment restart
+     * their intervals, and spread their polls from there. */
+    void update_isolation(std::size_t others, time_point now)
     {
-        most_others = std::max(most_others, others);
-        const auto before = std::exchange(
-            spread, others > 0
-                        ? 1
-                        : std::max(1.0, static_cast<double>(most_others) /
-                                            lone_entries));
-        if (spread <= before)
+        max_others = std::max(max_others, others);
+        const auto previous = std::exchange(
+            isolation_factor,
+            others > 0 ? 1
+                       : std::max(1.0, static_cast<double>(max_others) /
+                                           isolated_entries));
+        if (isolation_factor <= previous)
             return;
-        asked_at = now;
-        doubted_at.reset();
-        doubt(now);
+        polled_at = now;
+        recheck_since.reset();
+        request_recheck(now);
     }
 
     std::minstd_rand random;
-    std::chrono::microseconds interval{least_interval};
-    time_point asked_at{};
-    std::optional<time_point> doubted_at;
-    bool asked_in_doubt{false};
-    bool repeats{false}; /*!< The last answer has to be told again. */
-    int failures{0};     /*!< Questions in a row without an answer. */
-    double part{0};      /*!< Drawn for the doubt, between 0 and 1. */
-    std::optional<std::size_t> settled; /*!< The rank that counts. */
-    std::optional<time_point> noted_at;
+    std::chrono::microseconds interval{min_interval};
+    time_point polled_at{};
+    /*! @brief From when on the slots of a requested recheck are counted. */
+    std::optional<time_point> recheck_since;
+    bool polled_for_recheck{false}; /*!< The last poll served a recheck. */
+    bool confirmation_requested{false};
+    int failures{0};  /*!< Failed polls in a row. */
+    double jitter{0}; /*!< Drawn for each recheck, between 0 and 1. */
+    std::optional<std::size_t> settled_rank; /*!< The rank that counts. */
+    std::optional<time_point> updated_at;    /*!< When the rank last was. */
+    /*! @brief Since when the reported rank is below the settled one. */
     std::optional<time_point> lower_since;
-    std::size_t most_others{0}; /*!< That were ever heard. */
-    double spread{1};           /*!< Of the questions of an entry alone. */
-    std::size_t lower{0};       /*!< The highest rank noted since then. */
+    std::size_t max_others{0};  /*!< Most entries that were ever heard. */
+    double isolation_factor{1}; /*!< Lengthens the interval when isolated. */
+    std::size_t lower_rank{0};  /*!< Highest rank reported since then. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/quarantine_item.cpp
+++ b/src/coursejunction/fleet/quarantine_item.cpp
@@ -8,33 +8,34 @@
 namespace coursejunction
 {
 
-std::string quarantine_key(const request_content& what)
+std::string quarantine_key(const request_content& content)
 {
-    return std::string(quarantine_prefix) + what.hex();
+    return std::string(quarantine_prefix) + content.hex();
 }
 
 std::string quarantine_payload(const message::crash_record& record,
-                               std::int64_t wall)
+                               std::int64_t wall_ms)
 {
-    message::kept_quarantine kept;
-    kept.record = record;
-    kept.last_end = wall - static_cast<std::int64_t>(record.age_ms);
-    return encode(kept);
+    message::kept_quarantine stored;
+    stored.record = record;
+    stored.last_end = wall_ms - static_cast<std::int64_t>(record.age_ms);
+    return encode(stored);
 }
 
 result<message::crash_record> read_quarantine(std::string_view key,
                                               std::string_view payload,
-                                              std::int64_t wall)
+                                              std::int64_t wall_ms)
 {
-    const auto what = request_content::parse(
+    const auto content = request_content::parse(
         key.substr(std::min(key.size(), quarantine_prefix.size())));
     const auto read = decode<message::kept_quarantine>(payload);
-    if (!what || !read || read.value().record.content != what.value())
-        return failure(error_kind::invalid, "a quarantine cannot be read");
-    constexpr std::int64_t oldest = std::numeric_limits<std::uint32_t>::max();
+    if (!content || !read || read.value().record.content != content.value())
+        return failure(error_kind::invalid, "malformed quarantine");
+    constexpr std::int64_t max_age_ms =
+        std::numeric_limits<std::uint32_t>::max();
     auto record = read.value().record;
-    record.age_ms = static_cast<std::uint32_t>(
-        std::clamp<std::int64_t>(wall - read.value().last_end, 0, oldest));
+    record.age_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(
+        wall_ms - read.value().last_end, 0, max_age_ms));
     return record;
 }
 
--- a/src/coursejunction/fleet/quarantine_item.hpp
+++ b/src/coursejunction/fleet/quarantine_item.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Items of the platform's store by which requests that crash upstreams
- * stay known when every entry starts again; pure.
+ * @brief Records in the platform's store from which quarantines of requests
+ * that crash upstreams are restored after every entry was restarted; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_QUARANTINE_ITEM_HPP
 #define COURSEJUNCTION_FLEET_QUARANTINE_ITEM_HPP
@@ -17,25 +17,27 @@
 namespace coursejunction
 {
 
-/*! @brief Keys of these items begin so; the content follows. */
+/*! @brief Prefix of the keys of quarantines; the request's content hash
+ * follows. */
 inline constexpr std::string_view quarantine_prefix = "quarantine/";
 
-/*! @brief Returns the key of a content's item. */
-[[nodiscard]] std::string quarantine_key(const request_content& what);
+/*! @brief Returns the key of a request's quarantine. */
+[[nodiscard]] std::string quarantine_key(const request_content& content);
 
-/*! @brief Makes an item's payload.
- * @param wall Unix time in milliseconds; other processes have no common clock
- * that outlasts a start. */
+/*! @brief Serializes a quarantine.
+ * @param wall_ms Unix time in milliseconds: processes share no monotonic clock
+ * that outlasts a restart. */
 [[nodiscard]] std::string
-quarantine_payload(const message::crash_record& record, std::int64_t wall);
+quarantine_payload(const message::crash_record& record, std::int64_t wall_ms);
 
-/*! @brief Reads an item.
- * @param wall Unix time in milliseconds. Clocks differ by seconds: an end that
- * seems to be still to come has just been.
+/*! @brief Parses a quarantine.
+ * @param wall_ms Unix time in milliseconds. Clocks of instances differ by
+ * seconds: a crash that appears to be in the future counts as having just
+ * happened.
  * @return The record with its age, or `invalid`. */
 [[nodiscard]] result<message::crash_record>
 read_quarantine(std::string_view key, std::string_view payload,
-                std::int64_t wall);
+                std::int64_t wall_ms);
 
 } // namespace coursejunction
 
--- a/src/coursejunction/fleet/quarantine_writer.hpp
+++ b/src/coursejunction/fleet/quarantine_writer.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Keeps quarantines in the platform's store, where they outlast the
- * processes that found them.
+ * @brief Persists quarantines in the platform's store, so that they outlast the
+ * processes that imposed them.
  */
 #ifndef COURSEJUNCTION_FLEET_QUARANTINE_WRITER_HPP
 #define COURSEJUNCTION_FLEET_QUARANTINE_WRITER_HPP
@@ -27,155 +27,156 @@
 namespace coursejunction
 {
 
-/*! @brief Writes single keys of a store while they are at a revision; 0 for a
- * key that is absent. Answers come on the loop's thread: whether it was written
- * (false: the key is at another revision), or `unavailable`. */
+/*! @brief A store in which a key can be written and removed conditionally, if
+ * it is at a given revision; 0 for an absent key. A written key expires after
+ * `ttl`. `done` is called on the loop's thread: true if the store was changed,
+ * false if the key is at another revision, or `unavailable`. */
 template <typename Store>
 concept Writable_store = requires(Store& store, const std::string& key,
                                   const std::string& payload,
-                                  std::uint64_t revision, milliseconds lasts,
+                                  std::uint64_t revision, milliseconds ttl,
                                   std::function<void(result<bool>)> done)
 {
-    store.put(key, payload, revision, lasts, done);
+    store.put(key, payload, revision, ttl, done);
     store.remove(key, revision, done);
 };
 
-/*! @brief One call at a time; what fails is tried again. Quarantines are rare:
- * each has cost three upstreams.
+/*! @brief Writes one quarantine at a time, and repeats failed writes.
+ * Quarantines are rare: each has cost three upstreams.
  * @tparam Store A `Writable_store`. */
 template <typename Store>
 class quarantine_writer
 {
 public:
-    /*! @brief An item goes by itself after so long, the longest that the
-     * platform's leases last; a quarantine whose trial fails is written anew.
-     */
-    static constexpr milliseconds lifetime{600'000};
+    /*! @brief A key expires after this time, the longest that the platform's
+     * leases allow. A quarantine whose trial request fails is written anew. */
+    static constexpr milliseconds key_ttl{600'000};
 
-    /*! @brief Pauses after writes that failed: the store was away, or another
+    /*! @brief Delays after failed writes: the store was unavailable, or another
      * entry wrote first and the mirror does not show it yet, which takes 0.1 to
      * 0.6 s. */
-    static constexpr milliseconds first_pause{500};
-    static constexpr milliseconds longest_pause{10'000};
+    static constexpr milliseconds initial_backoff{500};
+    static constexpr milliseconds max_backoff{10'000};
 
-    /*! @brief Writes that wait, at most; further ones are not kept, and said
-     * so. */
-    static constexpr std::size_t most_waiting = 64;
+    /*! @brief Limit on pending writes; further ones are dropped and logged. */
+    static constexpr std::size_t max_pending = 64;
 
-    /*! @param seed Another one for each entry. */
-    quarantine_writer(event_loop& owner, Store& service,
-                      const store_mirror& held, metrics& counted,
+    /*! @param seed Must differ between entries. */
+    quarantine_writer(event_loop& owner, Store& target,
+                      const store_mirror& mirrored, metrics& registry,
                       std::uint32_t seed)
-        : store(service), mirror(held), counters(counted),
-          writer(owner, counted, "quarantine_writes_total",
-                 backoff(first_pause, longest_pause, seed))
+        : store(target), mirror(mirrored), counters(registry),
+          writer(owner, registry, "quarantine_writes_total",
+                 backoff(initial_backoff, max_backoff, seed))
     {
     }
 
-    /*! @brief Keeps a quarantine, in place of an earlier record of it. */
-    void persist(const request_content& what, std::string payload)
+    /*! @brief Writes a quarantine, and replaces an earlier record of it. */
+    void persist(const request_content& content, std::string payload)
     {
-        want(what, {std::move(payload), false});
+        request(content, {std::move(payload), false});
     }
 
-    /*! @brief Keeps a quarantine that the store lost, unless another entry
+    /*! @brief Writes a quarantine that the store lost, unless another entry
      * writes it first. */
-    void restore(const request_content& what, std::string payload)
+    void restore(const request_content& content, std::string payload)
     {
-        if (!wanted.contains(what))
-            want(what, {std::move(payload), true});
+        if (!requested.contains(content))
+            request(content, {std::move(payload), true});
     }
 
-    /*! @brief A quarantine is over before its time. */
-    void remove(const request_content& what)
+    /*! @brief Removes a quarantine that was lifted before it expired. */
+    void remove(const request_content& content)
     {
-        const auto* kept = mirror.find(quarantine_key(what));
-        const bool coming = wanted.contains(what) || under_way == what;
-        if (kept != nullptr || coming)
-            want(what, {std::nullopt, false});
+        const auto* stored = mirror.find(quarantine_key(content));
+        const bool queued = requested.contains(content) || writing == content;
+        if (stored != nullptr || queued)
+            request(content, {std::nullopt, false});
     }
 
-    /*! @brief Returns how many writes are not done yet. */
-    [[nodiscard]] std::size_t pending() const { return wanted.size(); }
+    /*! @brief Returns the number of quarantines still to be written or removed.
+     */
+    [[nodiscard]] std::size_t pending() const { return requested.size(); }
 
 private:
-    /*! @brief What an item is to be. */
-    struct target
+    /*! @brief A requested change of a key. */
+    struct change
     {
-        std::optional<std::string> payload; /*!< Nothing: it is to go. */
-        bool only_absent{false}; /*!< Whatever the store holds is as good. */
+        std::optional<std::string> payload; /*!< Empty: remove it. */
+        bool only_if_absent{false};         /*!< Not over an existing value. */
 
-        friend bool operator==(const target&, const target&) = default;
+        friend bool operator==(const change&, const change&) = default;
     };
 
-    void want(const request_content& what, target next)
+    void request(const request_content& content, change next)
     {
-        if (wanted.size() >= most_waiting && !wanted.contains(what))
+        if (requested.size() >= max_pending && !requested.contains(content))
         {
             counters.count("quarantine_writes_dropped_total");
-            return log::warning(
-                "quarantine_not_kept",
-                {{"content", what.hex()}, {"why", "too many writes wait"}});
+            return log::warning("quarantine_not_kept",
+                                {{"content", content.hex()},
+                                 {"why", "too many pending writes"}});
         }
-        wanted[what] = std::move(next);
-        go_on();
+        requested[content] = std::move(next);
+        write_next();
     }
 
-    void go_on()
+    void write_next()
     {
-        if (writer.busy() || wanted.empty())
+        if (writer.busy() || requested.empty())
             return;
-        const auto [what, next] = *wanted.begin();
-        const auto key = quarantine_key(what);
-        const auto* kept = mirror.find(key);
-        const auto revision = kept == nullptr ? 0 : kept->revision;
-        const bool done_already =
-            next.payload ? next.only_absent && kept != nullptr : revision == 0;
+        const auto [content, next] = *requested.begin();
+        const auto key = quarantine_key(content);
+        const auto* stored = mirror.find(key);
+        const auto revision = stored == nullptr ? 0 : stored->revision;
+        const bool done_already = next.payload
+                                      ? next.only_if_absent && stored != nullptr
+                                      : revision == 0;
         if (done_already)
         {
-            wanted.erase(what);
-            return go_on();
+            requested.erase(content);
+            return write_next();
         }
-        under_way = what;
+        writing = content;
         const auto done =
             writer.begin([this, written = next](write_outcome outcome,
                                                 const std::string& why)
-                         { ended(written, outcome, why); });
+                         { finish(written, outcome, why); });
         if (next.payload)
-            store.put(key, *next.payload, revision, lifetime, done);
+            store.put(key, *next.payload, revision, key_ttl, done);
         else
             store.remove(key, revision, done);
     }
 
-    void ended(const target& written, write_outcome outcome,
-               const std::string& why)
+    void finish(const change& written, write_outcome outcome,
+                const std::string& why)
     {
-        const auto what = *std::exchange(under_way, std::nullopt);
-        const bool good = outcome == write_outcome::written;
-        const auto found = wanted.find(what);
-        if (good && found != wanted.end() && found->second == written)
-            wanted.erase(found);
-        if (good)
-            writer.succeeded();
+        const auto content = *std::exchange(writing, std::nullopt);
+        const bool succeeded = outcome == write_outcome::written;
+        const auto found = requested.find(content);
+        if (succeeded && found != requested.end() && found->second == written)
+            requested.erase(found);
+        if (succeeded)
+            writer.reset_backoff();
         else
-            rest(what, outcome == write_outcome::conflict
-                           ? "another entry wrote it"
-                           : why);
-        go_on();
+            retry_later(content, outcome == write_outcome::conflict
+                                     ? "another entry wrote the key"
+                                     : why);
+        write_next();
     }
 
-    void rest(const request_content& what, const std::string& why)
+    void retry_later(const request_content& content, const std::string& why)
     {
         log::state("quarantine_not_written",
-                   {{"content", what.hex()}, {"why", why}});
-        writer.rest([this] { go_on(); });
+                   {{"content", content.hex()}, {"why", why}});
+        writer.back_off([this] { write_next(); });
     }
 
     Store& store;
     const store_mirror& mirror;
     metrics& counters;
-    std::map<request_content, target> wanted;
-    std::optional<request_content> under_way;
+    std::map<request_content, change> requested;
+    std::optional<request_content> writing; /*!< The write in flight. */
     key_writer writer;
 };
 
--- a/src/coursejunction/fleet/version_alarm.hpp
+++ b/src/coursejunction/fleet/version_alarm.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief States of a model's versions that an operator has to see; pure.
+ * @brief Conditions of a model's versions that operators are alerted to; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_VERSION_ALARM_HPP
 #define COURSEJUNCTION_FLEET_VERSION_ALARM_HPP
@@ -13,7 +13,7 @@
 namespace coursejunction
 {
 
-/*! @brief A condition with the time since when it holds. */
+/*! @brief A condition and the time since which it has held. */
 class timed_condition
 {
 public:
@@ -24,8 +24,8 @@
         ended
     };
 
-    /*! @brief Notes whether it holds.
-     * @param since When it began, if it does now. */
+    /*! @brief Sets whether the condition holds.
+     * @param since When it began; used if it did not hold before. */
     change update(bool holds, time_point since)
     {
         if (holds == began_at.has_value())
@@ -37,7 +37,7 @@
         return holds ? change::began : change::ended;
     }
 
-    /*! @brief Returns for how long it has held; zero when it does not. */
+    /*! @brief Returns how long the condition has held; zero if it does not. */
     [[nodiscard]] std::chrono::microseconds duration(time_point now) const
     {
         if (!began_at)
@@ -50,11 +50,12 @@
     std::optional<time_point> began_at;
 };
 
-/*! @brief What is alarming of one model. */
+/*! @brief The alerts of one model. */
 struct version_alarms
 {
-    timed_condition outdated; /*!< The store names an older version. */
-    timed_condition unserved; /*!< The newest binds and nobody serves it. */
+    timed_condition outdated; /*!< The operator's key holds an older version. */
+    timed_condition unserved; /*!< The minimum version is served by no upstream.
+                               */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/version_gossip.hpp
+++ b/src/coursejunction/fleet/version_gossip.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Named versions that the platform's store does not show, as processes
- * tell them to each other.
+ * @brief Exchange of published versions that the platform's store does not
+ * show, carried between processes in heartbeats.
  */
 #ifndef COURSEJUNCTION_FLEET_VERSION_GOSSIP_HPP
 #define COURSEJUNCTION_FLEET_VERSION_GOSSIP_HPP
@@ -19,63 +19,68 @@
 namespace coursejunction
 {
 
-/*! @brief Returns the versions that neither a name nor a record of the store
- * tells: everybody else is read there.
+/*! @brief Returns the versions that the store shows neither in the operator's
+ * key nor in a version record; the others need no gossip, since every process
+ * reads them from the store.
  * @tparam View A `fleet_view`. */
 template <typename View>
 [[nodiscard]] std::vector<message::told_version>
 versions_to_gossip(const View& fleet, time_point now)
 {
     std::vector<message::told_version> made;
-    for (const auto& [named, known] : fleet.versions())
+    for (const auto& [key, published_at] : fleet.versions())
     {
-        const auto& [model, version] = named;
+        const auto& [model, version] = key;
         if (version <= fleet.newest_stored(model))
             continue;
         const auto age =
-            std::chrono::duration_cast<milliseconds>(now - known).count();
-        constexpr std::int64_t oldest{
+            std::chrono::duration_cast<milliseconds>(now - published_at)
+                .count();
+        constexpr std::int64_t max_age_ms{
             std::numeric_limits<std::uint32_t>::max()};
         made.push_back({model, version,
                         static_cast<std::uint32_t>(
-                            std::clamp<std::int64_t>(age, 0, oldest))});
+                            std::clamp<std::int64_t>(age, 0, max_age_ms))});
     }
     return made;
 }
 
-/*! @brief Believes a peer's word of when a version was named. */
+/*! @brief Takes a version's publication time as a peer reported it. */
 struct trust_reported_time
 {
     [[nodiscard]] time_point operator()(const std::string&,
-                                        time_point told) const noexcept
+                                        time_point reported) const noexcept
     {
-        return told;
+        return reported;
     }
 };
 
-/*! @brief Takes versions that a peer tells.
+/*! @brief Adds the versions that a peer reported, and logs implausible ones.
  * @tparam View A `fleet_view`.
- * @param naming Returns when a version that is new here was named, by the
- * peer's word and what is known here.
- * @return Whether anything changed. */
-template <typename View, typename Naming = trust_reported_time>
+ * @param estimate Returns when a version that is new here was published, from
+ * the model and the time that the peer reported.
+ * @return Whether the view changed. */
+template <typename View, typename Estimate = trust_reported_time>
 bool merge_gossiped_versions(View& fleet,
-                             const std::vector<message::told_version>& told,
-                             time_point now, Naming naming = {})
+                             const std::vector<message::told_version>& received,
+                             time_point now, Estimate estimate = {})
 {
     bool changed = false;
-    for (const auto& one : told)
+    for (const auto& one : received)
     {
         if (!plausible_successor(fleet.newest(one.model), one.version))
         {
             fleet.report_implausible_version(one.model, one.version);
             continue;
         }
-        // What is confirmed here later says nothing of a version known by then.
-        const bool news = one.version > fleet.newest(one.model);
-        const auto word = now - milliseconds(one.age_ms);
-        const auto known = news ? naming(one.model, word) : word;
-        changed = fleet.add_version(one.model, one.version, known) || changed;
+        // The estimate is for versions that are unknown here: what this process
+        // learns later does not move the publication time of a known version.
+        const bool is_new = one.version > fleet.newest(one.model);
+        const auto reported = now - milliseconds(one.age_ms);
+        const auto published_at =
+            is_new ? estimate(one.model, reported) : reported;
+        changed =
+            fleet.add_version(one.model, one.version, published_at) || changed;
     }
     return changed;
 }
--- a/src/coursejunction/fleet/version_poller.hpp
+++ b/src/coursejunction/fleet/version_poller.hpp
@@ -1,6 +1,7 @@
 /*! @file
- * @brief Asks a second source which version of a model was named last: what is
- * overwritten in the platform's store before anybody reads it is known there.
+ * @brief Polls a second source, the origin of the model weights, for the newest
+ * published version of each model: a version that is overwritten in the
+ * platform's store before any process reads it is still known there.
  */
 #ifndef COURSEJUNCTION_FLEET_VERSION_POLLER_HPP
 #define COURSEJUNCTION_FLEET_VERSION_POLLER_HPP
@@ -27,91 +28,97 @@
 namespace coursejunction
 {
 
-/*! @brief A model whose newest version is asked for, and what is known of it.
- */
+/*! @brief A model to poll for, and what is known of it. */
 struct versioned_model
 {
     std::string name;
-    std::uint64_t newest{1}; /*!< Named, as far as is known otherwise. */
+    std::uint64_t newest{1}; /*!< Newest version known otherwise. */
     std::size_t chunks{0};
     std::size_t chunk_bytes{0};
 };
 
-/*! @brief A version that only the second source told. */
+/*! @brief A version that only the second source reported. */
 struct missed_version
 {
     std::string model;
     std::uint64_t version{0};
-    time_point published_at{}; /*!< As far as is known. */
+    time_point published_at{}; /*!< Estimated. */
 };
 
-/*! @brief Keeps asking, one question at a time for each model. A newer version
- * counts once two answers tell it or a newer one: one may be spoilt.
+/*! @brief Polls continuously, with at most one poll per model in flight. A
+ * newer version is reported once the source gave it, or a version above it, in
+ * two answers: a single answer may be corrupt.
  * @tparam Source A `Version_source`.
- * @tparam Clock Tells the time at which an answer comes. */
+ * @tparam Clock Provides the time at which an answer arrives. */
 template <Version_source Source, typename Clock = event_loop>
 class version_poller
 {
 public:
-    /*! @brief A version that the source tells is usually on its way from the
-     * store as well; after this long it is not. */
-    static constexpr milliseconds hearing_time{1000};
+    /*! @brief Time for a version to arrive from the store after the source
+     * reported it first; after that it counts as missed. */
+    static constexpr milliseconds propagation_time{1000};
 
-    /*! @brief A version counts as named when it was told. Where the source did
-     * not answer when it should have, it counts from this long after that:
-     * most of the time until the version binds may be over. */
-    static constexpr milliseconds most_unsure{1000};
+    /*! @brief A version counts as published when the source first reported it,
+     * but at most this long, or a regular poll interval, after the source last
+     * confirmed that there was none. While the source did not answer, most of
+     * the time for which older versions may still be used may have passed. */
+    static constexpr milliseconds max_publish_uncertainty{1000};
 
-    /*! @param told Takes versions that nobody reads in the store.
-     * @param seed Another one for each entry. */
-    version_poller(Source& asked, metrics& counted, std::uint32_t seed,
-                   std::function<void(const missed_version&)> told)
-        : source(asked), counters(counted), number(seed), news(std::move(told))
+    /*! @param entry_seed Must differ between entries.
+     * @param report Called with each version that the store does not show. */
+    version_poller(Source& polled, metrics& registry, std::uint32_t entry_seed,
+                   std::function<void(const missed_version&)> report)
+        : source(polled), counters(registry), seed(entry_seed),
+          on_missed(std::move(report))
     {
     }
 
-    /*! @brief What was read of the store may be incomplete. */
+    /*! @brief Requests an early poll for every model: updates of the store may
+     * have been missed.
+     * @param why Logged. */
     void request_recheck(const std::string& why, time_point now)
     {
         log::state("version_doubted", {{"why", why}});
         for (auto& [model, one] : models)
-            one.schedule.doubt(now);
+            one.schedule.request_recheck(now);
     }
 
-    /*! @brief Asks when it is this entry's turn, and tells what nobody reads
-     * in the store.
-     * @param from The service that is the source.
-     * @param at This entry's place among those that it hears. */
+    /*! @brief Polls if it is due, and reports versions that did not arrive from
+     * the store in time; to be called several times a second.
+     * @param from The service whose origin is the source.
+     * @param self This entry's position among the entries that it hears. */
     void poll_if_due(const service_profile& from, const versioned_model& model,
-                     const entry_ranking& at, time_point now)
+                     const entry_ranking& self, time_point now)
     {
-        auto& one = known(from, model, now);
+        auto& one = state_of(from, model, now);
         one.model = model;
-        tell(one, now);
-        // The schedule is told the rank while a question is on its way, too.
-        const bool due = one.schedule.due(at, now);
-        if (one.asking || !due)
+        report_due(one, now);
+        // Called while a poll is in flight, too, to keep the rank up to date.
+        const bool due = one.schedule.due(self, now);
+        if (one.in_flight || !due)
             return;
-        one.schedule.asked(now);
-        one.asking = true;
+        one.schedule.record_poll(now);
+        one.in_flight = true;
         source.newest(from.origin, model.name,
                       [this, now, name = model.name, rate = from.origin_rate](
                           const result<offered_version>& answer)
-                      { answered(models.at(name), now, rate, answer); });
+                      { handle_answer(models.at(name), now, rate, answer); });
     }
 
-    /*! @brief Returns the latest moment at which a version that is newer than
-     * all that are known here can count as named. */
+    /*! @brief Returns the latest time at which a version that is unknown here
+     * can have been published. */
     [[nodiscard]] time_point latest_publish_time(const std::string& model,
                                                  time_point now) const
     {
         const auto found = models.find(model);
         return found == models.end()
                    ? time_point{}
-                   : std::min(now, found->second.confirmed_at + most_unsure);
+                   : std::min(now, found->second.confirmed_at +
+                                       max_publish_uncertainty);
     }
 
-    /*! @brief Returns how long ago the source last confirmed what is known. */
+    /*! @brief Returns the time since the source last confirmed that no newer
+     * version exists; zero if it was never polled for the model. */
     [[nodiscard]] std::chrono::microseconds
     unconfirmed_for(const std::string& model, time_point now) const
     {
@@ -123,13 +130,13 @@
     }
 
 private:
-    /*! @brief Answers that tell a version until it counts. */
-    static constexpr int least_answers = 2;
+    /*! @brief Answers with the same version until it is trusted. */
+    static constexpr int min_answers = 2;
 
     /*! @brief A newer version that the store does not show yet. */
-    struct told_newer
+    struct newer_report
     {
-        time_point first_at{}; /*!< When it was told first. */
+        time_point first_at{}; /*!< When it was reported first. */
         int answers{0};
     };
 
@@ -137,101 +144,105 @@
     {
         poll_schedule schedule;
         versioned_model model;
-        /*! @brief When the source told nothing newer than what was known; at
-         * first, when this process began to ask. */
+        /*! @brief When the last poll was sent that returned nothing newer; at
+         * first, when this process began to poll. */
         time_point confirmed_at{};
-        std::map<std::uint64_t, told_newer> told;
-        bool asking{false};
-        std::uint64_t offered{0}; /*!< By the last answer. */
-        std::string fault;        /*!< Of the last answer, logged once. */
+        std::map<std::uint64_t, newer_report> newer; /*!< By version. */
+        bool in_flight{false};
+        std::uint64_t last_offered{0}; /*!< In the last valid answer. */
+        std::string last_fault; /*!< Of the last answer, to log it once. */
     };
 
-    /*! @brief Bytes that an answer takes for each chunk: a hash as text. */
-    static constexpr std::size_t chunk_answer_bytes = 70;
+    /*! @brief Bytes of an answer per chunk, whose hash it lists as text. */
+    static constexpr std::size_t answer_bytes_per_chunk = 70;
 
-    model_state& known(const service_profile& from,
-                       const versioned_model& model, time_point now)
+    model_state& state_of(const service_profile& from,
+                          const versioned_model& model, time_point now)
     {
         const auto found = models.find(model.name);
         if (found != models.end())
             return found->second;
-        model_state made{poll_schedule(number), {}, now};
-        made.schedule.costs(model.chunks * chunk_answer_bytes,
-                            from.origin_rate);
-        made.schedule.doubt(now);
+        model_state made{poll_schedule(seed), {}, now};
+        made.schedule.set_answer_size(model.chunks * answer_bytes_per_chunk,
+                                      from.origin_rate);
+        made.schedule.request_recheck(now);
         return models.emplace(model.name, std::move(made)).first->second;
     }
 
-    /*! @brief Tells versions that did not come from the store either. */
-    void tell(model_state& one, time_point now)
+    /*! @brief Reports versions that did not arrive from the store in time. */
+    void report_due(model_state& one, time_point now)
     {
-        while (!one.told.empty() && agreed(one) &&
-               now - one.told.begin()->second.first_at >= hearing_time)
+        while (!one.newer.empty() && trusted(one) &&
+               now - one.newer.begin()->second.first_at >= propagation_time)
         {
-            const auto [version, first] = *one.told.begin();
-            one.told.erase(one.told.begin());
+            const auto [version, first] = *one.newer.begin();
+            one.newer.erase(one.newer.begin());
             if (version > one.model.newest)
-                tell(one, version, first.first_at, now);
+                report(one, version, first.first_at, now);
         }
     }
 
-    /*! @brief Tells whether the first of the told versions counts. */
-    [[nodiscard]] static bool agreed(const model_state& one)
+    /*! @brief Returns whether the lowest of the newer versions is trusted: it
+     * or a version above it came in enough answers. */
+    [[nodiscard]] static bool trusted(const model_state& one)
     {
-        return std::any_of(one.told.begin(), one.told.end(),
+        return std::any_of(one.newer.begin(), one.newer.end(),
                            [](const auto& each)
-                           { return each.second.answers >= least_answers; });
+                           { return each.second.answers >= min_answers; });
     }
 
-    void tell(const model_state& one, std::uint64_t version, time_point told_at,
-              time_point now)
+    void report(const model_state& one, std::uint64_t version,
+                time_point first_at, time_point now)
     {
-        const auto unsure = std::max<std::chrono::microseconds>(
-            most_unsure, one.schedule.regular_gap());
-        const auto named = std::min(told_at, one.confirmed_at + unsure);
-        const auto age = std::chrono::duration_cast<milliseconds>(now - named);
+        const auto uncertainty = std::max<std::chrono::microseconds>(
+            max_publish_uncertainty, one.schedule.regular_interval());
+        const auto published =
+            std::min(first_at, one.confirmed_at + uncertainty);
+        const auto age =
+            std::chrono::duration_cast<milliseconds>(now - published);
         counters.count("versions_unheard_total");
         log::warning("version_unheard",
                      {{"model", one.model.name},
                       {"version", std::to_string(version)},
                       {"known", std::to_string(one.model.newest)},
                       {"age_ms", std::to_string(age.count())}});
-        news({one.model.name, version, named});
+        on_missed({one.model.name, version, published});
     }
 
-    void answered(model_state& one, time_point asked_at, byte_rate rate,
-                  const result<offered_version>& answer)
+    void handle_answer(model_state& one, time_point polled_at, byte_rate rate,
+                       const result<offered_version>& answer)
     {
-        one.asking = false;
+        one.in_flight = false;
         const auto fault = fault_of(answer, one.model);
-        note(one, fault, answer);
+        record_result(one, fault, answer);
         if (!fault.empty())
-            return one.schedule.failed(Clock::now());
+            return one.schedule.record_failure(Clock::now());
         const auto& offer = answer.value();
-        one.schedule.costs(offer.answer_bytes, rate);
-        note_offer(one, offer.version);
+        one.schedule.set_answer_size(offer.answer_bytes, rate);
+        log_offer(one, offer.version);
         if (offer.version <= one.model.newest)
         {
-            one.confirmed_at = asked_at;
-            one.told.clear();
+            one.confirmed_at = polled_at;
+            one.newer.clear();
             return;
         }
-        note_newer(one, offer.version, Clock::now());
+        add_newer(one, offer.version, Clock::now());
     }
 
-    /*! @brief The source only rises: what it told beyond this was spoilt. */
-    static void note_newer(model_state& one, std::uint64_t version,
-                           time_point now)
+    /*! @brief Records a newer version. Versions of the source only increase, so
+     * that reports above this one were corrupt and are dropped. */
+    static void add_newer(model_state& one, std::uint64_t version,
+                          time_point now)
     {
-        one.told.erase(one.told.upper_bound(version), one.told.end());
-        auto& told =
-            one.told.try_emplace(version, told_newer{now, 0}).first->second;
-        if (++told.answers < least_answers)
-            one.schedule.repeat();
+        one.newer.erase(one.newer.upper_bound(version), one.newer.end());
+        auto& report =
+            one.newer.try_emplace(version, newer_report{now, 0}).first->second;
+        if (++report.answers < min_answers)
+            one.schedule.request_confirmation();
     }
 
-    /*! @brief Returns why an answer is not believed; empty when it is. A
-     * source that tells less than is known takes nothing back. */
+    /*! @brief Returns why an answer is rejected; empty if it is valid. A source
+     * that reports less than is known revokes nothing. */
     [[nodiscard]] static std::string
     fault_of(const result<offered_version>& answer,
              const versioned_model& model)
@@ -240,22 +251,23 @@
             return answer.error().message;
         const auto& offer = answer.value();
         if (offer.version < model.newest)
-            return "older than what was named";
+            return "older than the newest known version";
         if (!plausible_successor(model.newest, offer.version))
-            return "absurd version";
+            return "implausible version";
         if (offer.chunks != model.chunks ||
             offer.chunk_bytes != model.chunk_bytes)
-            return "its weights do not fit the model";
+            return "chunks do not fit the model";
         return {};
     }
 
-    /*! @brief Counts an answer, and logs a fault that begins. */
-    void note(model_state& one, const std::string& fault,
-              const result<offered_version>& answer)
+    /*! @brief Counts an answer, and logs a fault that differs from the last
+     * answer's. */
+    void record_result(model_state& one, const std::string& fault,
+                       const result<offered_version>& answer)
     {
         counters.count("version_inquiries_total", 1,
                        {{"result", fault.empty() ? "answered" : "refused"}});
-        if (fault != one.fault && !fault.empty())
+        if (fault != one.last_fault && !fault.empty())
             log::warning(
                 "version_source_refused",
                 {{"model", one.model.name},
@@ -263,12 +275,12 @@
                  {"told", answer ? std::to_string(answer.value().version)
                                  : std::string()},
                  {"why", fault}});
-        one.fault = fault;
+        one.last_fault = fault;
     }
 
-    static void note_offer(model_state& one, std::uint64_t version)
+    static void log_offer(model_state& one, std::uint64_t version)
     {
-        if (std::exchange(one.offered, version) == version)
+        if (std::exchange(one.last_offered, version) == version)
             return;
         log::state("version_offered",
                    {{"model", one.model.name},
@@ -278,8 +290,8 @@
 
     Source& source;
     metrics& counters;
-    std::uint32_t number;
-    std::function<void(const missed_version&)> news;
+    std::uint32_t seed;
+    std::function<void(const missed_version&)> on_missed;
     std::map<std::string, model_state> models;
 };
 
--- a/src/coursejunction/fleet/version_record.cpp
+++ b/src/coursejunction/fleet/version_record.cpp
@@ -13,11 +13,11 @@
 
 std::string version_record_payload(const version_record& record)
 {
-    message::kept_versions kept;
-    kept.model = record.model;
-    kept.newest = record.newest;
-    kept.binding = record.minimum;
-    return encode(kept);
+    message::kept_versions stored;
+    stored.model = record.model;
+    stored.newest = record.newest;
+    stored.binding = record.minimum;
+    return encode(stored);
 }
 
 result<version_record> read_version_record(std::string_view key,
@@ -26,9 +26,9 @@
     const auto read = decode<message::kept_versions>(payload);
     if (!read || version_record_key(read.value().model) != key ||
         read.value().binding > read.value().newest)
-        return failure(error_kind::invalid, "a version record cannot be read");
-    const auto& kept = read.value();
-    return version_record{kept.model, kept.newest, kept.binding};
+        return failure(error_kind::invalid, "malformed version record");
+    const auto& stored = read.value();
+    return version_record{stored.model, stored.newest, stored.binding};
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/version_record.hpp
+++ b/src/coursejunction/fleet/version_record.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Items of the platform's store by which named versions stay known when
- * every process starts again; pure.
+ * @brief Records in the platform's store from which published versions are
+ * restored after every process was restarted; pure.
  */
 #ifndef COURSEJUNCTION_FLEET_VERSION_RECORD_HPP
 #define COURSEJUNCTION_FLEET_VERSION_RECORD_HPP
@@ -15,35 +15,36 @@
 namespace coursejunction
 {
 
-/*! @brief Keys of these items begin so; the model follows. */
+/*! @brief Prefix of the keys of version records; the model follows. */
 inline constexpr std::string_view version_record_prefix = "version/";
 
-/*! @brief How far a version that somebody else than the operator's name tells
- * may be ahead of the newest that is known: a spoilt number would bind for
- * good. */
+/*! @brief How far a version from any source but the operator's key may be above
+ * the newest known one: versions are never lowered, so that a corrupted number
+ * would stay in force for good. */
 inline constexpr std::uint64_t max_version_step = 1000;
 
-/*! @brief Tells whether a version may be believed after a known one. */
+/*! @brief Returns whether a version is plausible, given the newest known one.
+ */
 [[nodiscard]] constexpr bool plausible_successor(std::uint64_t known,
                                                  std::uint64_t version) noexcept
 {
     return version <= known || version - known <= max_version_step;
 }
 
-/*! @brief What is known of a model's versions. Both only rise. */
+/*! @brief What is known of a model's versions. Both numbers only increase. */
 struct version_record
 {
     std::string model;
-    std::uint64_t newest{0};  /*!< That was ever named. */
-    std::uint64_t minimum{0}; /*!< Older ones begin no request any more. */
+    std::uint64_t newest{0};  /*!< Newest version ever published. */
+    std::uint64_t minimum{0}; /*!< Lowest that may begin requests. */
 
-    /*! @brief Tells whether this says all that another record does. */
+    /*! @brief Returns whether neither number is below another record's. */
     [[nodiscard]] bool covers(const version_record& other) const noexcept
     {
         return newest >= other.newest && minimum >= other.minimum;
     }
 
-    /*! @brief Takes over what another record knows beyond this one. */
+    /*! @brief Raises the numbers to those of another record of the model. */
     void merge(const version_record& other)
     {
         newest = std::max(newest, other.newest);
@@ -51,23 +52,25 @@
     }
 };
 
-/*! @brief Tells whether a record may be believed.
- * @param vouched The newest version that anything but a record tells. */
+/*! @brief Returns whether a record is plausible.
+ * @param corroborated The newest version that some source other than a version
+ * record reported. */
 [[nodiscard]] inline bool plausible(const version_record& record,
-                                    std::uint64_t vouched) noexcept
+                                    std::uint64_t corroborated) noexcept
 {
-    return plausible_successor(vouched,
+    return plausible_successor(corroborated,
                                std::max(record.newest, record.minimum));
 }
 
-/*! @brief Returns the key of a model's item. */
+/*! @brief Returns the key of a model's record. */
 [[nodiscard]] std::string version_record_key(const std::string& model);
 
-/*! @brief Makes an item's payload. */
+/*! @brief Serializes a record. */
 [[nodiscard]] std::string version_record_payload(const version_record& record);
 
-/*! @brief Reads an item.
- * @return The record, or `invalid`. */
+/*! @brief Parses a record.
+ * @return The record, or `invalid` if it is malformed, belongs to another key,
+ * or has a minimum above its newest version. */
 [[nodiscard]] result<version_record>
 read_version_record(std::string_view key, std::string_view payload);
 
--- a/src/coursejunction/fleet/version_record_writer.hpp
+++ b/src/coursejunction/fleet/version_record_writer.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Keeps in the platform's store which versions were named and which of
- * them bind, where it outlasts all processes.
+ * @brief Persists the newest published and the minimum versions in the
+ * platform's store, where they outlast all processes.
  */
 #ifndef COURSEJUNCTION_FLEET_VERSION_RECORD_WRITER_HPP
 #define COURSEJUNCTION_FLEET_VERSION_RECORD_WRITER_HPP
@@ -27,9 +27,10 @@
 namespace coursejunction
 {
 
-/*! @brief Writes single keys that stay, while they are at a revision; 0 for a
- * key that is absent. Answers come on the loop's thread: whether it was written
- * (false: the key is at another revision), or `unavailable`. */
+/*! @brief A store in which a key can be written conditionally, if it is at a
+ * given revision; 0 for an absent key. The key does not expire. `done` is
+ * called on the loop's thread: true if it was written, false if the key is at
+ * another revision, or `unavailable`. */
 template <typename Store>
 concept Permanent_store = requires(Store& store, const std::string& key,
                                    const std::string& payload,
@@ -39,65 +40,68 @@
     store.put_permanent(key, payload, revision, done);
 };
 
-/*! @brief Writes what the store's records lack. All entries know the same, so
- * that they write one after the other, and only what is still missing.
+/*! @brief Writes version records that lack something. All entries know the
+ * same, so that they are staggered by rank, and each writes only what is still
+ * missing.
  *
- * The name of a version in the store may go back: a write without an answer can
- * be done seconds later, over a newer one.
+ * A record is needed because the operator's version key may go back: a write
+ * that got no response may take effect seconds later and overwrite a newer one.
  * @tparam Store A `Permanent_store`. */
 template <typename Store>
 class version_record_writer
 {
 public:
-    /*! @brief An entry waits this long for each entry before it. */
+    /*! @brief An entry delays its write by this for each entry before it. */
     static constexpr milliseconds rank_delay{500};
 
-    /*! @brief A record that cannot be believed is left for so long: the name
-     * that bears it out may be on its way. */
-    static constexpr milliseconds doubt_time{1000};
+    /*! @brief An implausible record is left alone for this long: the version
+     * key that corroborates it may not have arrived yet. */
+    static constexpr milliseconds implausible_grace{1000};
 
-    /*! @brief Pauses after writes, until the mirror shows what became of
-     * them. */
-    static constexpr milliseconds first_pause{500};
-    static constexpr milliseconds longest_pause{4000};
+    /*! @brief Delays after writes, until the mirror shows their effect. */
+    static constexpr milliseconds initial_backoff{500};
+    static constexpr milliseconds max_backoff{4000};
 
-    /*! @param seed Another one for each entry. */
-    version_record_writer(event_loop& owner, Store& service,
-                          const store_mirror& held, metrics& counted,
+    /*! @param seed Must differ between entries. */
+    version_record_writer(event_loop& owner, Store& target,
+                          const store_mirror& mirrored, metrics& registry,
                           std::uint32_t seed)
-        : store(service), mirror(held),
-          writer(owner, counted, "version_record_writes_total",
-                 backoff(first_pause, longest_pause, seed))
+        : store(target), mirror(mirrored),
+          writer(owner, registry, "version_record_writes_total",
+                 backoff(initial_backoff, max_backoff, seed))
     {
     }
 
-    /*! @brief Notes what is known of a model's versions.
-     * @param vouched The newest version that anything but a record tells. */
-    void add_known(const version_record& record, std::uint64_t vouched)
+    /*! @brief Adds what this process knows of a model's versions.
+     * @param corroborated The newest version that some source other than a
+     * version record reported. */
+    void add_known(const version_record& record, std::uint64_t corroborated)
     {
         auto& one = known[record.model];
         one.record.model = record.model;
         one.record.merge(record);
-        one.vouched = std::max(one.vouched, vouched);
+        one.corroborated = std::max(one.corroborated, corroborated);
     }
 
-    /*! @brief Writes what is missing when it is this entry's turn.
-     * @param rank How many entries come before this one. */
+    /*! @brief Writes what is missing if it is due; to be called several times a
+     * second.
+     * @param rank The number of entries before this one. */
     void write_if_due(std::size_t rank, time_point now)
     {
         for (const auto& [model, one] : known)
         {
-            const auto held = stored(one);
-            if (held.believed && held.record.covers(one.record))
+            const auto current = read_stored(one);
+            if (current.is_plausible && current.record.covers(one.record))
             {
                 missing_since.erase(model);
                 continue;
             }
             const auto since = missing_since.try_emplace(model, now);
-            const auto waits = rank_delay * static_cast<std::int64_t>(rank) +
-                               (held.believed ? milliseconds{0} : doubt_time);
-            if (!writer.busy() && now - since.first->second >= waits)
-                write(one.record, held);
+            const auto delay =
+                rank_delay * static_cast<std::int64_t>(rank) +
+                (current.is_plausible ? milliseconds{0} : implausible_grace);
+            if (!writer.busy() && now - since.first->second >= delay)
+                write(one.record, current);
         }
     }
 
@@ -105,18 +109,18 @@
     struct known_versions
     {
         version_record record;
-        std::uint64_t vouched{1};
+        std::uint64_t corroborated{1};
     };
 
-    /*! @brief What the store holds as far as is known. */
+    /*! @brief The record that the mirror shows. */
     struct stored_record
     {
-        version_record record; /*!< Empty when there is none to read. */
+        version_record record; /*!< Empty if absent or malformed. */
         std::uint64_t revision{0};
-        bool believed{true};
+        bool is_plausible{true};
     };
 
-    [[nodiscard]] stored_record stored(const known_versions& one) const
+    [[nodiscard]] stored_record read_stored(const known_versions& one) const
     {
         stored_record made;
         const auto key = version_record_key(one.record.model);
@@ -126,33 +130,34 @@
         made.revision = value->revision;
         if (const auto read = read_version_record(key, value->payload))
             made.record = read.value();
-        made.believed = plausible(made.record, one.vouched);
+        made.is_plausible = plausible(made.record, one.corroborated);
         return made;
     }
 
-    /*! @brief Replaces a record that cannot be believed, and adds to another
-     * one. */
-    void write(version_record record, const stored_record& held)
+    /*! @brief Merges into a plausible record, and replaces an implausible one.
+     */
+    void write(version_record record, const stored_record& current)
     {
-        if (held.believed)
-            record.merge(held.record);
+        if (current.is_plausible)
+            record.merge(current.record);
         else
             log::warning("version_record_replaced",
                          {{"model", record.model},
-                          {"held", std::to_string(held.record.newest)},
+                          {"held", std::to_string(current.record.newest)},
                           {"newest", std::to_string(record.newest)}});
         store.put_permanent(
             version_record_key(record.model), version_record_payload(record),
-            held.revision,
-            writer.begin([this, record, added = held.believed](
+            current.revision,
+            writer.begin([this, record, merged = current.is_plausible](
                              write_outcome outcome, const std::string& why)
-                         { ended(record, added, outcome, why); }));
+                         { finish(record, merged, outcome, why); }));
     }
 
-    /*! @param added Nothing was replaced. Entries that know different things
-     * would replace each other's records: those pauses grow. */
-    void ended(const version_record& record, bool added, write_outcome outcome,
-               const std::string& why)
+    /*! @param merged False if a record was replaced: the delays keep growing
+     * then, since entries that know different versions would replace each
+     * other's records. */
+    void finish(const version_record& record, bool merged,
+                write_outcome outcome, const std::string& why)
     {
         log::state("version_record_write",
                    {{"model", record.model},
@@ -160,9 +165,9 @@
                     {"binding", std::to_string(record.minimum)},
                     {"result", write_outcome_name(outcome)},
                     {"why", why}});
-        if (outcome == write_outcome::written && added)
-            writer.succeeded();
-        writer.rest();
+        if (outcome == write_outcome::written && merged)
+            writer.reset_backoff();
+        writer.back_off();
     }
 
     Store& store;
--- a/src/coursejunction/fleet/version_source.hpp
+++ b/src/coursejunction/fleet/version_source.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief A source that tells which version of a model was named last, beside
- * the platform's store.
+ * @brief A source of the newest published version of a model beside the
+ * platform's store: the origin of the model weights.
  */
 #ifndef COURSEJUNCTION_FLEET_VERSION_SOURCE_HPP
 #define COURSEJUNCTION_FLEET_VERSION_SOURCE_HPP
@@ -15,18 +15,18 @@
 namespace coursejunction
 {
 
-/*! @brief The newest version that a source can give. */
+/*! @brief The newest version of a model that a source offers. */
 struct offered_version
 {
     std::uint64_t version{0};
     std::size_t chunks{0};
     std::size_t chunk_bytes{0};
-    std::size_t answer_bytes{0}; /*!< What it cost to learn this. */
+    std::size_t answer_bytes{0}; /*!< Size of the answer itself. */
 };
 
-/*! @brief Asks the source at an address; answers come on the loop's thread,
- * once: the version, `refused` for an answer that cannot be read, or
- * `unavailable`. */
+/*! @brief Queries the source at an address. `done` is called once, on the
+ * loop's thread, with the newest version, `refused` for an answer that cannot
+ * be parsed, or `unavailable`. */
 template <typename Source>
 concept Version_source = requires(
     Source& source, const std::string& address, const std::string& model,
--- a/tests/fleet/key_writer.cpp
+++ b/tests/fleet/key_writer.cpp
@@ -47,12 +47,12 @@
         std::function<void()> again = [&]
         {
             if (++pauses < 3)
-                writer.rest(again);
+                writer.back_off(again);
         };
         running.on_loop(
             [&]
             {
-                writer.rest(again);
+                writer.back_off(again);
                 CHECK(writer.busy());
             });
         std::this_thread::sleep_for(600ms);
--- a/tests/fleet/poll_schedule.cpp
+++ b/tests/fleet/poll_schedule.cpp
@@ -33,7 +33,7 @@
 cj::milliseconds interval_of(schedule& one, std::size_t rank)
 {
     const auto first = start + due_after(one, rank, start, 600'000ms);
-    one.asked(first);
+    one.record_poll(first);
     return due_after(one, rank, first, 600'000ms);
 }
 
@@ -57,7 +57,7 @@
     }
     GIVEN("answers that are long for the source's link")
     {
-        one.costs(650'000, 1'250'000);
+        one.set_answer_size(650'000, 1'250'000);
         THEN("the first takes half a percent of it")
         {
             CHECK(interval_of(one, 0) == 104'000ms);
@@ -65,16 +65,16 @@
     }
     GIVEN("a link whose rate is not told")
     {
-        one.costs(650'000, 0);
+        one.set_answer_size(650'000, 0);
         CHECK(interval_of(one, 0) == 1000ms);
     }
     GIVEN("a first entry that has just asked")
     {
         const auto asked = start + due_after(one, 0, start, 2000ms);
-        one.asked(asked);
+        one.record_poll(asked);
         WHEN("it doubts what it knows")
         {
-            one.doubt(asked + 20ms);
+            one.request_recheck(asked + 20ms);
             THEN("it asks again soon, but not at once")
             {
                 const auto after = due_after(one, 0, asked + 20ms, 2000ms);
@@ -88,10 +88,10 @@
             for (cj::milliseconds passed{0}; passed < 10'000ms; passed += 20ms)
             {
                 const auto now = asked + passed;
-                one.doubt(now);
+                one.request_recheck(now);
                 if (!one.due({0, others}, now))
                     continue;
-                one.asked(now);
+                one.record_poll(now);
                 ++questions;
             }
             THEN("it asks at most four times a second")
@@ -110,7 +110,7 @@
     {
         THEN("it asks nothing before all had time to tell")
         {
-            CHECK(due_after(one, 0, start, 3000ms) >= schedule::starting_time);
+            CHECK(due_after(one, 0, start, 3000ms) >= schedule::discovery_time);
         }
         WHEN("it hears of more in that time")
         {
@@ -125,7 +125,7 @@
     {
         THEN("it asks as soon as those it knows would have told")
         {
-            one.doubt(start);
+            one.request_recheck(start);
             cj::milliseconds passed{0};
             while (!one.due({0, 0}, start + passed))
                 passed += 20ms;
@@ -135,7 +135,7 @@
     GIVEN("an entry that knows its place and has asked")
     {
         const auto asked = start + due_after(one, 9, start, 200'000ms);
-        one.asked(asked);
+        one.record_poll(asked);
         CHECK(due_after(one, 9, asked, 20'000ms) == 20'000ms);
         WHEN("it wakes after it was frozen, and hears nobody yet")
         {
@@ -168,7 +168,7 @@
             const bool alone = passed >= 20'000ms;
             if (!one.due({0, alone ? 0 : known}, start + passed))
                 continue;
-            one.asked(start + passed);
+            one.record_poll(start + passed);
             count += alone ? 1 : 0;
         }
         return count;
@@ -187,7 +187,7 @@
     {
         schedule one(7);
         CHECK(due_after(one, 0, start, 3000ms) < 3000ms);
-        one.asked(start + 2s);
+        one.record_poll(start + 2s);
         CHECK_FALSE(one.due({0, 0}, start + 2100ms));
         CHECK(due_after(one, 0, start + 2200ms, 2000ms) <= 1000ms);
     }
@@ -201,7 +201,7 @@
     {
         if (!one.due({0, others}, start + passed))
             continue;
-        one.asked(start + passed);
+        one.record_poll(start + passed);
         ++questions;
     }
     CHECK(questions >= 10);
--- a/tests/fleet/poll_simulation.hpp
+++ b/tests/fleet/poll_simulation.hpp
@@ -187,7 +187,7 @@
             if (!one.begun)
                 begin(one, now);
             if (doubts)
-                one.schedule.doubt(moment(now));
+                one.schedule.request_recheck(moment(now));
             const bool thaws = one.life.frozen && now >= one.life.frozen->to &&
                                now < one.life.frozen->to + played.tick;
             if (thaws || (now % beat < played.tick && changes(now)))
@@ -218,13 +218,13 @@
     void begin(entry& one, ms now)
     {
         one.begun = true;
-        one.schedule.costs(played.answer_bytes, played.link_rate);
-        one.schedule.doubt(moment(now));
+        one.schedule.set_answer_size(played.answer_bytes, played.link_rate);
+        one.schedule.request_recheck(moment(now));
     }
 
     void ask(entry& one, ms now)
     {
-        one.schedule.asked(moment(now));
+        one.schedule.record_poll(moment(now));
         if (one.life.sourceless && one.life.sourceless->covers(now))
         {
             one.asking_until = now + patience;
@@ -236,7 +236,7 @@
                     bytes / played.link_rate * 1000;
         const auto answered = static_cast<ms>(link_free) + round_trip;
         one.asking_until = answered;
-        one.schedule.costs(played.answer_bytes, played.link_rate);
+        one.schedule.set_answer_size(played.answer_bytes, played.link_rate);
         if (played.named_at >= 0 && now >= played.named_at &&
             made.told_after < 0)
             made.told_after = answered + telling - played.named_at;
--- a/tests/fleet/quarantine_writer.cpp
+++ b/tests/fleet/quarantine_writer.cpp
@@ -203,7 +203,7 @@
                         request_content::of("school", "/", std::to_string(at)),
                         "x");
                 CHECK(keeper.pending() ==
-                      quarantine_writer<noted_store>::most_waiting);
+                      quarantine_writer<noted_store>::max_pending);
                 CHECK(store.calls.size() == 1);
             });
     }
--- a/tests/fleet/version_record_writer.cpp
+++ b/tests/fleet/version_record_writer.cpp
@@ -112,7 +112,7 @@
                 keeper.add_known({"m", 3, 2}, 3);
                 keeper.write_if_due(0, start);
                 CHECK(store.calls.empty());
-                keeper.write_if_due(0, start + keeper_type::doubt_time);
+                keeper.write_if_due(0, start + keeper_type::implausible_grace);
                 REQUIRE(store.calls.size() == 1);
                 CHECK(store.calls[0].written.newest == 3);
                 CHECK(store.calls[0].written.minimum == 2);
