--- a/src/coursejunction/fleet/version_alarm.hpp
+++ b/src/coursejunction/fleet/version_alarm.hpp
@@ -54,8 +54,8 @@
 struct version_alarms
 {
     timed_condition outdated; /*!< The operator's key holds an older version. */
-    timed_condition unserved; /*!< The minimum version is served by no upstream.
-                               */
+    /*! @brief The newest version is enforced, and no upstream serves it. */
+    timed_condition unserved;
 };
 
 } // namespace coursejunction
--- a/tests/fleet/poll_schedule.cpp
+++ b/tests/fleet/poll_schedule.cpp
@@ -16,10 +16,10 @@
 using schedule = cj::poll_schedule;
 
 constexpr cj::time_point start{100s};
-constexpr std::size_t others = 9; /*!< Entries that are heard. */
+constexpr std::size_t others = 9; /*!< Live entries beside the one tested. */
 
-/*! @brief Returns how long after a moment a schedule is due, looked at every
- * 20 ms; the longest time when it is not. */
+/*! @brief Returns the time from `from` until a poll is due, checked every 20
+ * ms; `longest` if none is due by then. */
 cj::milliseconds due_after(schedule& one, std::size_t rank, cj::time_point from,
                            cj::milliseconds longest)
 {
@@ -29,7 +29,9 @@
     return longest;
 }
 
-/*! @brief Returns the time between two questions of a rank that is settled. */
+/*! @brief Returns the time between two polls of an entry whose rank has
+ * settled.
+ */
 cj::milliseconds interval_of(schedule& one, std::size_t rank)
 {
     const auto first = start + due_after(one, rank, start, 600'000ms);
@@ -39,91 +41,93 @@
 
 } // namespace
 
-SCENARIO("an entry asks in its turn", "[fleet]")
+SCENARIO("the poll interval grows with the rank and with the size of answers",
+         "[fleet]")
 {
     schedule one(7);
 
-    SECTION("the first every second, the next ones less and less often")
+    SECTION("the first entry polls every second")
     {
         CHECK(interval_of(one, 0) == 1000ms);
     }
-    SECTION("the second every four seconds")
+    SECTION("the second entry polls every four seconds")
     {
         CHECK(interval_of(one, 1) == 4000ms);
     }
-    SECTION("the sixth every 36 seconds")
+    SECTION("the sixth entry polls every 36 seconds")
     {
         CHECK(interval_of(one, 5) == 36'000ms);
     }
-    GIVEN("answers that are long for the source's link")
+    GIVEN("answers that are large for the source's link")
     {
         one.set_answer_size(650'000, 1'250'000);
-        THEN("the first takes half a percent of it")
+        THEN("the first entry uses half a percent of the link")
         {
             CHECK(interval_of(one, 0) == 104'000ms);
         }
     }
-    GIVEN("a link whose rate is not told")
+    GIVEN("a link of unknown rate")
     {
         one.set_answer_size(650'000, 0);
         CHECK(interval_of(one, 0) == 1000ms);
     }
-    GIVEN("a first entry that has just asked")
+    GIVEN("a first entry that has just polled")
     {
-        const auto asked = start + due_after(one, 0, start, 2000ms);
-        one.record_poll(asked);
-        WHEN("it doubts what it knows")
+        const auto polled_at = start + due_after(one, 0, start, 2000ms);
+        one.record_poll(polled_at);
+        WHEN("a recheck is requested")
         {
-            one.request_recheck(asked + 20ms);
-            THEN("it asks again soon, but not at once")
+            one.request_recheck(polled_at + 20ms);
+            THEN("it polls again soon, but not immediately")
             {
-                const auto after = due_after(one, 0, asked + 20ms, 2000ms);
+                const auto after = due_after(one, 0, polled_at + 20ms, 2000ms);
                 CHECK(after >= 220ms);
                 CHECK(after < 500ms);
             }
         }
-        WHEN("it doubts over and over")
+        WHEN("rechecks are requested continuously")
         {
-            std::size_t questions = 0;
+            std::size_t polls = 0;
             for (cj::milliseconds passed{0}; passed < 10'000ms; passed += 20ms)
             {
-                const auto now = asked + passed;
+                const auto now = polled_at + passed;
                 one.request_recheck(now);
                 if (!one.due({0, others}, now))
                     continue;
                 one.record_poll(now);
-                ++questions;
+                ++polls;
             }
-            THEN("it asks at most four times a second")
+            THEN("it polls at most four times a second")
             {
-                CHECK(questions <= 40);
-                CHECK(questions >= 20);
+                CHECK(polls <= 40);
+                CHECK(polls >= 20);
             }
         }
     }
 }
 
-SCENARIO("a rank that falls counts once it lasts", "[fleet]")
+SCENARIO("an entry that misses heartbeats does not take itself for the first",
+         "[fleet]")
 {
     schedule one(7);
-    GIVEN("an entry that has just started and has heard some")
+    GIVEN("an entry that has just started and hears some others")
     {
-        THEN("it asks nothing before all had time to tell")
+        THEN("it does not poll before all others had time to be heard")
         {
             CHECK(due_after(one, 0, start, 3000ms) >= schedule::discovery_time);
         }
-        WHEN("it hears of more in that time")
+        WHEN("it hears more others in that time")
         {
             CHECK(due_after(one, 0, start, 300ms) == 300ms);
-            THEN("it waits for its turn")
+            THEN("it polls by its new rank")
             {
                 CHECK(due_after(one, 30, start + 300ms, 60'000ms) == 60'000ms);
             }
         }
     }
-    GIVEN("an entry that has just started and hears nobody")
+    GIVEN("an entry that has just started and hears no other")
     {
-        THEN("it asks as soon as those it knows would have told")
+        THEN("it polls once the seeds had time to be heard")
         {
             one.request_recheck(start);
             cj::milliseconds passed{0};
@@ -132,58 +136,59 @@
             CHECK(passed == schedule::settling_time);
         }
     }
-    GIVEN("an entry that knows its place and has asked")
+    GIVEN("an entry with a settled rank that has polled")
     {
-        const auto asked = start + due_after(one, 9, start, 200'000ms);
-        one.record_poll(asked);
-        CHECK(due_after(one, 9, asked, 20'000ms) == 20'000ms);
-        WHEN("it wakes after it was frozen, and hears nobody yet")
+        const auto polled_at = start + due_after(one, 9, start, 200'000ms);
+        one.record_poll(polled_at);
+        CHECK(due_after(one, 9, polled_at, 20'000ms) == 20'000ms);
+        WHEN("it resumes after a suspension and hears no other yet")
         {
-            const auto woken = asked + 80s;
-            THEN("it does not take itself for the first")
+            const auto resumed_at = polled_at + 80s;
+            THEN("it keeps its rank")
             {
-                CHECK(due_after(one, 0, woken, 400ms) == 400ms);
-                CHECK(due_after(one, 9, woken + 400ms, 10'000ms) == 10'000ms);
+                CHECK(due_after(one, 0, resumed_at, 400ms) == 400ms);
+                CHECK(due_after(one, 9, resumed_at + 400ms, 10'000ms) ==
+                      10'000ms);
             }
         }
-        WHEN("those before it are gone")
+        WHEN("the entries before it are gone")
         {
-            THEN("it goes on in their place")
+            THEN("it polls in their place after the settling time")
             {
-                const auto after = due_after(one, 0, asked + 20s, 5000ms);
+                const auto after = due_after(one, 0, polled_at + 20s, 5000ms);
                 CHECK(after == schedule::settling_time);
             }
         }
     }
 }
 
-SCENARIO("an entry that loses all others leaves the link to them", "[fleet]")
+SCENARIO("isolated entries do not overload the source's link", "[fleet]")
 {
-    const auto questions = [](std::size_t known)
+    const auto polls_when_isolated = [](std::size_t known)
     {
         schedule one(7);
         std::size_t count = 0;
         for (cj::milliseconds passed{0}; passed < 120'000ms; passed += 100ms)
         {
-            const bool alone = passed >= 20'000ms;
-            if (!one.due({0, alone ? 0 : known}, start + passed))
+            const bool isolated = passed >= 20'000ms;
+            if (!one.due({0, isolated ? 0 : known}, start + passed))
                 continue;
             one.record_poll(start + passed);
-            count += alone ? 1 : 0;
+            count += isolated ? 1 : 0;
         }
         return count;
     };
-    SECTION("it knew few: it asks as the first")
+    SECTION("an entry that knew few others polls like the first one")
     {
-        CHECK(questions(4) >= 99);
-        CHECK(questions(0) >= 99);
+        CHECK(polls_when_isolated(4) >= 99);
+        CHECK(polls_when_isolated(0) >= 99);
     }
-    SECTION("it knew fifty: a tenth as often")
+    SECTION("an entry that knew fifty others polls a tenth as often")
     {
-        CHECK(questions(50) >= 9);
-        CHECK(questions(50) <= 11);
+        CHECK(polls_when_isolated(50) >= 9);
+        CHECK(polls_when_isolated(50) <= 11);
     }
-    SECTION("and as before when it hears one of them again")
+    SECTION("an entry that hears others again polls as before")
     {
         schedule one(7);
         CHECK(due_after(one, 0, start, 3000ms) < 3000ms);
@@ -193,195 +198,201 @@
     }
 }
 
-SCENARIO("an entry that is busy asks all the same", "[fleet]")
+SCENARIO("an entry still polls if it is checked only every 700 ms", "[fleet]")
 {
     schedule one(7);
-    std::size_t questions = 0;
+    std::size_t polls = 0;
     for (cj::milliseconds passed{0}; passed < 20'000ms; passed += 700ms)
     {
         if (!one.due({0, others}, start + passed))
             continue;
         one.record_poll(start + passed);
-        ++questions;
+        ++polls;
     }
-    CHECK(questions >= 10);
+    CHECK(polls >= 10);
 }
 
 namespace
 {
 
-namespace replay = poll_simulation;
+namespace simulation = poll_simulation;
 
-/*! @brief Of the source's link, in any window. */
-constexpr double most_share = 0.05;
+/*! @brief Limit on the fraction of the source's link that polls use in any
+ * window. */
+constexpr double max_fraction = 0.05;
 
 constexpr std::size_t small_answer = 4'500;
 constexpr std::size_t large_answer = 650'000;
 
-/*! @brief Text of an outcome, for failures. */
-std::string text_of(const replay::outcome& seen)
+/*! @brief Formats measurements for messages of failed checks. */
+std::string describe(const simulation::measurements& seen)
 {
     std::string made =
-        "most share in a window " + std::to_string(seen.most_share) +
-        ", of the whole " + std::to_string(seen.whole_share) +
-        ", most answers in a window " + std::to_string(seen.most_answers) +
-        ", questions " + std::to_string(seen.questions) + ", told after " +
-        std::to_string(seen.told_after) + " ms, after doubts";
+        "max fraction of the link in a window " +
+        std::to_string(seen.max_fraction) + ", overall " +
+        std::to_string(seen.total_fraction) + ", max answers in a window " +
+        std::to_string(seen.max_answers) + ", polls " +
+        std::to_string(seen.polls) + ", reported after " +
+        std::to_string(seen.reported_after) + " ms, after rechecks";
     for (const auto one : seen.first_after)
         made += " " + std::to_string(one);
     return made;
 }
 
-replay::pattern small_pattern(std::size_t entries, std::uint32_t seed)
+simulation::parameters small_answers(std::size_t entries, std::uint32_t seed)
 {
-    replay::pattern made;
+    simulation::parameters made;
     made.entries = entries;
     made.answer_bytes = small_answer;
-    made.doubts = {30'000, 30'200, 61'500};
-    made.named_at = 90'010;
+    made.rechecks = {30'000, 30'200, 61'500};
+    made.published_at = 90'010;
     made.seed = seed;
     return made;
 }
 
-void check_aims(const replay::outcome& seen)
+void check_bounds(const simulation::measurements& seen)
 {
-    INFO(text_of(seen));
-    CHECK(seen.most_share < most_share);
+    INFO(describe(seen));
+    CHECK(seen.max_fraction < max_fraction);
     for (const auto after : seen.first_after)
         CHECK(after <= 1000);
-    CHECK(seen.told_after >= 0);
-    CHECK(seen.told_after <= 3000);
+    CHECK(seen.reported_after >= 0);
+    CHECK(seen.reported_after <= 3000);
 }
 
 } // namespace
 
-// Measured at the size that users name; each entry knows only what it hears.
-SCENARIO("questions of all entries leave the source's link to others",
-         "[fleet][size]")
+// Up to the number of entries that users state; each entry knows only the
+// others that it hears.
+SCENARIO("polls of all entries do not load the source's link", "[fleet][size]")
 {
     const auto entries =
         GENERATE(std::size_t{5}, std::size_t{53}, std::size_t{340});
     const auto seed = GENERATE(1U, 2U, 3U);
     CAPTURE(entries, seed);
-    auto set = small_pattern(entries, seed);
+    auto settings = small_answers(entries, seed);
 
-    SECTION("all start within a second, and doubt together")
+    SECTION("all start within a second, and recheck together")
     {
-        check_aims(replay::player(set).play());
+        check_bounds(simulation::simulator(settings).run());
     }
-    SECTION("entries beyond the first know only those")
+    SECTION("entries beyond the first 64 hear only those and the seeds")
     {
-        set.most_named = 64;
-        check_aims(replay::player(set).play());
+        settings.max_announced = 64;
+        check_bounds(simulation::simulator(settings).run());
     }
-    SECTION("the first stops as the version is named")
+    SECTION("the first entry stops as the version is published")
     {
-        replay::player player(set);
-        player.of(0).stops = set.named_at;
-        check_aims(player.play());
+        simulation::simulator simulator(settings);
+        simulator.faults_of(0).stops = settings.published_at;
+        check_bounds(simulator.run());
     }
-    SECTION("the first freezes as the version is named")
+    SECTION("the first entry is suspended as the version is published")
     {
-        replay::player player(set);
-        player.of(0).frozen = {set.named_at, set.named_at + 20'000};
-        check_aims(player.play());
+        simulation::simulator simulator(settings);
+        simulator.faults_of(0).suspended = {settings.published_at,
+                                            settings.published_at + 20'000};
+        check_bounds(simulator.run());
     }
-    SECTION("all freeze at once, and go on")
+    SECTION("all are suspended at once, and resume")
     {
-        replay::player player(set);
+        simulation::simulator simulator(settings);
         for (std::size_t at = 0; at < entries; ++at)
-            player.of(at).frozen = {40'000, 60'000};
-        check_aims(player.play());
+            simulator.faults_of(at).suspended = {40'000, 60'000};
+        check_bounds(simulator.run());
     }
-    SECTION("some hear no other for a minute")
+    SECTION("some entries hear no other for a minute")
     {
-        replay::player player(set);
+        simulation::simulator simulator(settings);
         const auto some = std::min(
             entries, GENERATE(std::size_t{1}, std::size_t{8}, std::size_t{40}));
         for (std::size_t at = 0; at < some; ++at)
-            player.of(entries / some * at).cut = {20'000, 80'000};
-        check_aims(player.play());
+            simulator.faults_of(entries / some * at).cut = {20'000, 80'000};
+        check_bounds(simulator.run());
     }
-    SECTION("nobody hears any other for a while")
+    SECTION("no entry hears any other for a while")
     {
-        const auto cut = GENERATE(replay::ms{20'000}, replay::ms{60'000});
-        replay::player player(set);
+        const auto cut =
+            GENERATE(simulation::ms{20'000}, simulation::ms{60'000});
+        simulation::simulator simulator(settings);
         for (std::size_t at = 0; at < entries; ++at)
-            player.of(at).cut = {cut, 80'000};
-        check_aims(player.play());
+            simulator.faults_of(at).cut = {cut, 80'000};
+        check_bounds(simulator.run());
     }
-    SECTION("the first cannot reach the source")
+    SECTION("the first entry cannot reach the source")
     {
-        replay::player player(set);
-        player.of(0).sourceless = {20'000, 120'000};
-        const auto seen = player.play();
-        INFO(text_of(seen));
-        CHECK(seen.most_share < most_share);
-        THEN("the next ones go on")
+        simulation::simulator simulator(settings);
+        simulator.faults_of(0).source_unreachable = {20'000, 120'000};
+        const auto seen = simulator.run();
+        INFO(describe(seen));
+        CHECK(seen.max_fraction < max_fraction);
+        THEN("the next entries take over")
         {
             CHECK(*std::max_element(seen.first_after.begin(),
                                     seen.first_after.end()) <= 1000);
-            CHECK(seen.told_after >= 0);
-            CHECK(seen.told_after <= 4000 + 1000 + 500);
+            CHECK(seen.reported_after >= 0);
+            CHECK(seen.reported_after <= 4000 + 1000 + 500);
         }
     }
 }
 
-SCENARIO("a version that only the source knows is told soon, whenever it is "
-         "named",
+SCENARIO("a version that only the source has is reported within 3 s, whenever "
+         "it is published",
          "[fleet]")
 {
     const auto entries =
         GENERATE(std::size_t{1}, std::size_t{2}, std::size_t{5});
     const auto after = GENERATE(range(0, 16'000, 370));
     CAPTURE(entries, after);
-    auto set = small_pattern(entries, 1);
-    set.doubts.clear();
-    set.lasts = 70'000;
-    set.named_at = 40'010 + after;
-    replay::player player(set);
+    auto settings = small_answers(entries, 1);
+    settings.rechecks.clear();
+    settings.duration = 70'000;
+    settings.published_at = 40'010 + after;
+    simulation::simulator simulator(settings);
 
-    SECTION("while nobody fails")
+    SECTION("without a fault")
     {
-        check_aims(player.play());
+        check_bounds(simulator.run());
     }
-    SECTION("as the first stops")
+    SECTION("as the first entry stops")
     {
-        player.of(0).stops = entries > 1 ? set.named_at : set.lasts;
-        check_aims(player.play());
+        simulator.faults_of(0).stops =
+            entries > 1 ? settings.published_at : settings.duration;
+        check_bounds(simulator.run());
     }
-    SECTION("as the first freezes")
+    SECTION("as the first entry is suspended")
     {
         if (entries > 1)
-            player.of(0).frozen = {set.named_at, set.named_at + 20'000};
-        check_aims(player.play());
+            simulator.faults_of(0).suspended = {settings.published_at,
+                                                settings.published_at + 20'000};
+        check_bounds(simulator.run());
     }
-    SECTION("just before all start")
+    SECTION("just before all entries start")
     {
-        set.named_at = 0;
-        check_aims(replay::player(set).play());
+        settings.published_at = 0;
+        check_bounds(simulation::simulator(settings).run());
     }
 }
 
 // One answer alone is more than 5 % of what the link carries in 10 s, and 0.5 %
 // of what it carries in 100 s.
-SCENARIO("long answers are asked for so seldom that the link stays free",
+SCENARIO("large answers are polled for so seldom that the link stays free",
          "[fleet][size]")
 {
     const auto entries =
         GENERATE(std::size_t{5}, std::size_t{53}, std::size_t{340});
     CAPTURE(entries);
-    replay::pattern set;
-    set.entries = entries;
-    set.answer_bytes = large_answer;
-    set.lasts = 3'600'000;
-    set.tick = 500;
-    set.doubts = {600'000, 1'800'000};
-    set.named_at = 2'400'000;
-    set.window = 100'000;
-    const auto seen = replay::player(set).play();
-    INFO(text_of(seen));
-    CHECK(seen.most_share < most_share);
-    CHECK(seen.told_after >= 0);
-    CHECK(seen.told_after <= 104'000 + 2000);
+    simulation::parameters settings;
+    settings.entries = entries;
+    settings.answer_bytes = large_answer;
+    settings.duration = 3'600'000;
+    settings.tick = 500;
+    settings.rechecks = {600'000, 1'800'000};
+    settings.published_at = 2'400'000;
+    settings.window = 100'000;
+    const auto seen = simulation::simulator(settings).run();
+    INFO(describe(seen));
+    CHECK(seen.max_fraction < max_fraction);
+    CHECK(seen.reported_after >= 0);
+    CHECK(seen.reported_after <= 104'000 + 2000);
 }
--- a/tests/fleet/poll_simulation.hpp
+++ b/tests/fleet/poll_simulation.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Replays in virtual time how many entries ask one source which version
- * was named last. Without input or output.
+ * @brief Simulates in virtual time how many entries poll one source for the
+ * newest published version; no input or output.
  */
 #ifndef COURSEJUNCTION_TESTS_FLEET_POLL_SIMULATION_HPP
 #define COURSEJUNCTION_TESTS_FLEET_POLL_SIMULATION_HPP
@@ -22,8 +22,8 @@
 
 using ms = std::int64_t;
 
-/*! @brief Time in which something holds of an entry. */
-struct span
+/*! @brief A half-open interval of time. */
+struct interval
 {
     ms from{0};
     ms to{0};
@@ -31,99 +31,106 @@
     [[nodiscard]] bool covers(ms now) const { return now >= from && now < to; }
 };
 
-/*! @brief What happens to one entry. */
-struct fate
+/*! @brief The faults of one entry. */
+struct entry_faults
 {
     ms starts{0};
-    std::optional<ms> stops;        /*!< For good; others are told. */
-    std::optional<span> frozen;     /*!< Does nothing, then goes on. */
-    std::optional<span> cut;        /*!< No entry hears another across it. */
-    std::optional<span> sourceless; /*!< Its questions are not answered. */
+    std::optional<ms> stops; /*!< For good, announced to the others. */
+    std::optional<interval> suspended; /*!< Does nothing, then resumes. */
+    std::optional<interval> cut; /*!< Neither hears others nor is heard. */
+    std::optional<interval> source_unreachable; /*!< Its polls get no answer. */
 };
 
-/*! @brief What is played. */
-struct pattern
+/*! @brief The parameters of a simulation; times are in milliseconds. */
+struct parameters
 {
     std::size_t entries{5};
-    ms lasts{120'000};
+    ms duration{120'000};
     ms tick{100};
     std::size_t answer_bytes{4'500};
-    double link_rate{1'250'000}; /*!< Bytes a second. */
-    /*! @brief Entries that an entry hears of from others: those after them
-     * never hear of each other. */
-    std::size_t most_named{1'000};
-    std::size_t seeds{3};   /*!< Entries that all know from the first. */
-    std::vector<ms> doubts; /*!< Moments at which all doubt. */
-    ms named_at{-1};        /*!< The source alone is told a version. */
-    ms window{10'000};      /*!< In which the link's share is looked at. */
+    double link_rate{1'250'000}; /*!< Bytes per second. */
+    /*! @brief The first this many entries are announced to all others by their
+     * peers. Two entries beyond them never hear of each other, unless one is a
+     * seed. */
+    std::size_t max_announced{1'000};
+    std::size_t seeds{3}; /*!< Entries that all others know from the start. */
+    std::vector<ms> rechecks; /*!< Times at which all request a recheck. */
+    /*! @brief When a version is published that only the source has; -1 for
+     * never. */
+    ms published_at{-1};
+    ms window{10'000}; /*!< For which the use of the link is measured. */
     std::uint32_t seed{1};
 };
 
-/*! @brief What came of it. */
-struct outcome
+/*! @brief The measurements of a simulation. */
+struct measurements
 {
-    std::size_t questions{0};
-    double most_share{0};        /*!< Of the link, asked for in any window. */
-    double whole_share{0};       /*!< The same in the whole time. */
-    std::size_t most_answers{0}; /*!< In any window. */
-    std::vector<ms> first_after; /*!< Until a question after each doubt. */
-    ms told_after{-1};
+    std::size_t polls{0};
+    double max_fraction{0};     /*!< Of the link, used in any window. */
+    double total_fraction{0};   /*!< Of the link, used over all. */
+    std::size_t max_answers{0}; /*!< In any window. */
+    /*! @brief Time from each recheck request to the next poll. */
+    std::vector<ms> first_after;
+    /*! @brief Time from the publication until an entry reports the version; -1
+     * for never. */
+    ms reported_after{-1};
 };
 
-/*! @brief Plays one pattern. */
-class player
+/*! @brief Runs one simulation. */
+class simulator
 {
 public:
-    explicit player(pattern set) : played(std::move(set))
+    explicit simulator(parameters given) : settings(std::move(given))
     {
-        std::minstd_rand random(played.seed);
+        std::minstd_rand random(settings.seed);
         std::uniform_int_distribution<ms> start(0, 999);
-        for (std::size_t at = 0; at < played.entries; ++at)
+        for (std::size_t at = 0; at < settings.entries; ++at)
             entries.emplace_back(static_cast<std::uint32_t>(random()),
                                  start(random));
-        std::uniform_int_distribution<std::size_t> any(0, played.entries - 1);
-        for (std::size_t at = 0; at < played.seeds; ++at)
+        std::uniform_int_distribution<std::size_t> any(0, settings.entries - 1);
+        for (std::size_t at = 0; at < settings.seeds; ++at)
             entries[any(random)].seed = true;
     }
 
-    /*! @brief Changes what happens to an entry. */
-    fate& of(std::size_t at) { return entries[at].life; }
+    /*! @brief Returns the faults of an entry, to be changed before `run()`. */
+    entry_faults& faults_of(std::size_t at) { return entries[at].faults; }
 
-    outcome play()
+    measurements run()
     {
-        for (ms now = 0; now < played.lasts; now += played.tick)
+        for (ms now = 0; now < settings.duration; now += settings.tick)
             step(now);
-        sum_up();
+        summarize();
         return made;
     }
 
 private:
-    /*! @brief From a start until all others are heard, which are named by
-     * those that are known. */
-    static constexpr ms meeting{800};
-    /*! @brief From the end of a silence until others are heard, and from a
-     * start until those that are known from the first are. */
-    static constexpr ms hearing{200};
-    /*! @brief After this silence an entry counts as gone. */
-    static constexpr ms silence{1'000};
-    static constexpr ms beat{200};
-    static constexpr ms patience{3'000};
+    /*! @brief From a start until all others are heard, once peers have
+     * announced them. */
+    static constexpr ms discovery_delay{800};
+    /*! @brief From the end of a fault until others are heard, and from a start
+     * until the seeds are. */
+    static constexpr ms heartbeat_delay{200};
+    /*! @brief An entry that was not heard for this long counts as gone. */
+    static constexpr ms peer_timeout{1'000};
+    static constexpr ms heartbeat_interval{200};
+    static constexpr ms poll_timeout{3'000};
     static constexpr ms round_trip{20};
-    static constexpr ms telling{1'000};
+    /*! @brief From an answer until the version is reported. */
+    static constexpr ms report_delay{1'000};
 
     struct entry
     {
         entry(std::uint32_t seed, ms start) : schedule(seed)
         {
-            life.starts = start;
+            faults.starts = start;
         }
 
         cj::poll_schedule schedule;
-        fate life;
-        bool begun{false};
+        entry_faults faults;
+        bool started{false};
         bool seed{false};
-        cj::entry_ranking at;
-        ms asking_until{0};
+        cj::entry_ranking ranking;
+        ms in_flight_until{0};
     };
 
     static cj::time_point moment(ms now)
@@ -131,148 +138,157 @@
         return cj::time_point{std::chrono::hours(1)} + cj::milliseconds(now);
     }
 
-    [[nodiscard]] static bool runs(const fate& one, ms now)
+    [[nodiscard]] static bool runs(const entry_faults& one, ms now)
     {
         return now >= one.starts && !(one.stops && now >= *one.stops) &&
-               !(one.frozen && one.frozen->covers(now));
+               !(one.suspended && one.suspended->covers(now));
     }
 
-    /*! @brief Tells whether an entry's news have come through lately. */
-    [[nodiscard]] static bool clear(const std::optional<span>& fault, ms now)
+    /*! @brief Returns whether an entry's heartbeats arrived recently in spite
+     * of a fault. */
+    [[nodiscard]] static bool
+    heard_despite(const std::optional<interval>& fault, ms now)
     {
-        return !fault || now < fault->from + silence ||
-               now >= fault->to + hearing;
+        return !fault || now < fault->from + peer_timeout ||
+               now >= fault->to + heartbeat_delay;
     }
 
     [[nodiscard]] bool hears(std::size_t by, std::size_t other, ms now) const
     {
-        const auto& own = entries[by].life;
+        const auto& own = entries[by].faults;
         const bool known = entries[by].seed || entries[other].seed;
-        const auto& one = entries[other].life;
-        if (by >= played.most_named && other >= played.most_named && !known)
+        const auto& one = entries[other].faults;
+        if (by >= settings.max_announced && other >= settings.max_announced &&
+            !known)
             return false;
-        if (own.frozen && now >= own.frozen->to &&
-            now < own.frozen->to + hearing &&
-            own.frozen->to - own.frozen->from >= silence)
+        if (own.suspended && now >= own.suspended->to &&
+            now < own.suspended->to + heartbeat_delay &&
+            own.suspended->to - own.suspended->from >= peer_timeout)
             return false;
         return now >= std::max(own.starts, one.starts) +
-                          (known ? hearing : meeting) &&
-               !(one.stops && now >= *one.stops) && clear(one.frozen, now) &&
-               clear(own.cut, now) && clear(one.cut, now);
+                          (known ? heartbeat_delay : discovery_delay) &&
+               !(one.stops && now >= *one.stops) &&
+               heard_despite(one.suspended, now) &&
+               heard_despite(own.cut, now) && heard_despite(one.cut, now);
     }
 
-    [[nodiscard]] cj::entry_ranking standing_of(std::size_t at, ms now) const
+    [[nodiscard]] cj::entry_ranking ranking_of(std::size_t at, ms now) const
     {
-        cj::entry_ranking seen;
+        cj::entry_ranking found;
         for (std::size_t other = 0; other < entries.size(); ++other)
         {
             if (other == at || !hears(at, other, now))
                 continue;
-            ++seen.others;
-            seen.rank += other < at ? 1 : 0;
+            ++found.others;
+            found.rank += other < at ? 1 : 0;
         }
-        return seen;
+        return found;
     }
 
     void step(ms now)
     {
-        const bool doubts = std::any_of(
-            played.doubts.begin(), played.doubts.end(),
-            [&](ms one) { return now <= one && one < now + played.tick; });
+        const bool recheck = std::any_of(
+            settings.rechecks.begin(), settings.rechecks.end(),
+            [&](ms one) { return now <= one && one < now + settings.tick; });
         for (std::size_t at = 0; at < entries.size(); ++at)
         {
             auto& one = entries[at];
-            if (!runs(one.life, now))
+            if (!runs(one.faults, now))
                 continue;
-            if (!one.begun)
-                begin(one, now);
-            if (doubts)
+            if (!one.started)
+                start(one, now);
+            if (recheck)
                 one.schedule.request_recheck(moment(now));
-            const bool thaws = one.life.frozen && now >= one.life.frozen->to &&
-                               now < one.life.frozen->to + played.tick;
-            if (thaws || (now % beat < played.tick && changes(now)))
-                one.at = standing_of(at, now);
-            if (now >= one.asking_until &&
-                one.schedule.due(one.at, moment(now)))
-                ask(one, now);
+            const bool resumes = one.faults.suspended &&
+                                 now >= one.faults.suspended->to &&
+                                 now < one.faults.suspended->to + settings.tick;
+            if (resumes || (now % heartbeat_interval < settings.tick &&
+                            rankings_change(now)))
+                one.ranking = ranking_of(at, now);
+            if (now >= one.in_flight_until &&
+                one.schedule.due(one.ranking, moment(now)))
+                poll(one, now);
         }
     }
 
-    /*! @brief Tells whether ranks may change about now. */
-    [[nodiscard]] bool changes(ms now) const
+    /*! @brief Returns whether rankings may change about now, to save time. */
+    [[nodiscard]] bool rankings_change(ms now) const
     {
-        constexpr ms after{3'000};
-        const auto near = [&](const std::optional<span>& fault)
-        { return fault && now >= fault->from && now < fault->to + after; };
-        return now < after ||
+        constexpr ms margin{3'000};
+        const auto near = [&](const std::optional<interval>& fault)
+        { return fault && now >= fault->from && now < fault->to + margin; };
+        return now < margin ||
                std::any_of(entries.begin(), entries.end(),
                            [&](const entry& one)
                            {
-                               const auto& life = one.life;
-                               return near(life.frozen) || near(life.cut) ||
-                                      (life.stops && now >= *life.stops &&
-                                       now < *life.stops + after);
+                               const auto& faults = one.faults;
+                               return near(faults.suspended) ||
+                                      near(faults.cut) ||
+                                      (faults.stops && now >= *faults.stops &&
+                                       now < *faults.stops + margin);
                            });
     }
 
-    void begin(entry& one, ms now)
+    void start(entry& one, ms now)
     {
-        one.begun = true;
-        one.schedule.set_answer_size(played.answer_bytes, played.link_rate);
+        one.started = true;
+        one.schedule.set_answer_size(settings.answer_bytes, settings.link_rate);
         one.schedule.request_recheck(moment(now));
     }
 
-    void ask(entry& one, ms now)
+    void poll(entry& one, ms now)
     {
         one.schedule.record_poll(moment(now));
-        if (one.life.sourceless && one.life.sourceless->covers(now))
+        if (one.faults.source_unreachable &&
+            one.faults.source_unreachable->covers(now))
         {
-            one.asking_until = now + patience;
+            one.in_flight_until = now + poll_timeout;
             return;
         }
-        asked_at.push_back(now);
-        const auto bytes = static_cast<double>(played.answer_bytes);
+        polled_at.push_back(now);
+        const auto bytes = static_cast<double>(settings.answer_bytes);
         link_free = std::max(link_free, static_cast<double>(now)) +
-                    bytes / played.link_rate * 1000;
+                    bytes / settings.link_rate * 1000;
         const auto answered = static_cast<ms>(link_free) + round_trip;
-        one.asking_until = answered;
-        one.schedule.set_answer_size(played.answer_bytes, played.link_rate);
-        if (played.named_at >= 0 && now >= played.named_at &&
-            made.told_after < 0)
-            made.told_after = answered + telling - played.named_at;
+        one.in_flight_until = answered;
+        one.schedule.set_answer_size(settings.answer_bytes, settings.link_rate);
+        if (settings.published_at >= 0 && now >= settings.published_at &&
+            made.reported_after < 0)
+            made.reported_after =
+                answered + report_delay - settings.published_at;
     }
 
-    void sum_up()
+    void summarize()
     {
-        made.questions = asked_at.size();
-        const auto bytes = static_cast<double>(played.answer_bytes);
-        const auto share = [&](std::size_t count, ms time)
+        made.polls = polled_at.size();
+        const auto bytes = static_cast<double>(settings.answer_bytes);
+        const auto fraction = [&](std::size_t count, ms time)
         {
             return static_cast<double>(count) * bytes * 1000 /
-                   static_cast<double>(time) / played.link_rate;
+                   static_cast<double>(time) / settings.link_rate;
         };
-        for (std::size_t last = 0, first = 0; last < asked_at.size(); ++last)
+        for (std::size_t last = 0, first = 0; last < polled_at.size(); ++last)
         {
-            while (asked_at[last] - asked_at[first] >= played.window)
+            while (polled_at[last] - polled_at[first] >= settings.window)
                 ++first;
-            made.most_answers = std::max(made.most_answers, last - first + 1);
+            made.max_answers = std::max(made.max_answers, last - first + 1);
         }
-        made.most_share = share(made.most_answers, played.window);
-        made.whole_share = share(asked_at.size(), played.lasts);
-        for (const auto doubt : played.doubts)
+        made.max_fraction = fraction(made.max_answers, settings.window);
+        made.total_fraction = fraction(polled_at.size(), settings.duration);
+        for (const auto recheck : settings.rechecks)
         {
             const auto next =
-                std::lower_bound(asked_at.begin(), asked_at.end(), doubt);
-            made.first_after.push_back(next == asked_at.end() ? played.lasts
-                                                              : *next - doubt);
+                std::lower_bound(polled_at.begin(), polled_at.end(), recheck);
+            made.first_after.push_back(
+                next == polled_at.end() ? settings.duration : *next - recheck);
         }
     }
 
-    pattern played;
+    parameters settings;
     std::vector<entry> entries;
-    std::vector<ms> asked_at;
-    double link_free{0}; /*!< When the link has sent all answers. */
-    outcome made;
+    std::vector<ms> polled_at;
+    double link_free{0}; /*!< Time at which the link is idle again. */
+    measurements made;
 };
 
 } // namespace poll_simulation
--- a/tests/fleet/version_convergence.cpp
+++ b/tests/fleet/version_convergence.cpp
@@ -40,38 +40,41 @@
     }
 };
 
-/*! @brief Time in which something does not work. */
+/*! @brief A period in which something does not work. */
 struct fault
 {
     ms from{0};
-    ms lasts{0};
+    ms duration{0};
 
     [[nodiscard]] bool covers(ms now) const
     {
-        return now >= from && now < from + lasts;
+        return now >= from && now < from + duration;
     }
 };
 
-/*! @brief A version that the operator writes; it is acknowledged at once. */
-struct named_version
+/*! @brief A version that the operator publishes; the write is acknowledged at
+ * once. */
+struct published_version
 {
-    ms after{0};  /*!< The one before it. */
-    ms again{-1}; /*!< A first try without answer is done this much later. */
+    ms after{0}; /*!< Time after the previous one. */
+    /*! @brief An earlier attempt, which got no response, takes effect this much
+     * later and overwrites newer versions; -1 for none. */
+    ms late_write{-1};
 };
 
-/*! @brief What happens; times in ms. */
-struct history
+/*! @brief The events of a simulation; times are in milliseconds. */
+struct scenario
 {
     std::size_t entries{3};
-    std::vector<named_version> versions;
-    std::vector<fault> gaps; /*!< Nobody reads the store. */
-    fault writes;            /*!< Processes cannot write to it. */
-    fault source;            /*!< It answers nothing. */
-    std::vector<ms> ends;    /*!< All processes end, and start anew. */
+    std::vector<published_version> versions;
+    std::vector<fault> gaps;  /*!< No process can read the store. */
+    fault writes;             /*!< No process can write to the store. */
+    fault source;             /*!< The second source does not answer. */
+    std::vector<ms> restarts; /*!< All processes end, and new ones start. */
 };
 
-/*! @brief The platform's store: the last write of a key is all it shows. */
-class kept_items
+/*! @brief The platform's store, which shows only the last write of a key. */
+class simulated_store
 {
 public:
     void write(const std::string& key, const std::string& payload)
@@ -101,8 +104,8 @@
     std::map<std::string, cj::message::mirror_item> items;
 };
 
-/*! @brief Tells the newest acknowledged version unless it is away. */
-struct naming_source
+/*! @brief Reports the newest acknowledged version while it is available. */
+struct simulated_source
 {
     void newest(
         const std::string&, const std::string&,
@@ -117,32 +120,33 @@
     bool away{false};
 };
 
-/*! @brief One life of an entry. */
+/*! @brief One process of an entry, from its start to its end. */
 class process
 {
 public:
-    process(naming_source& asked, std::uint32_t seed)
-        : inquiry(
-              asked, counters, seed,
-              [this](const cj::missed_version& one)
-              { view.add_version(one.model, one.version, one.published_at); })
+    process(simulated_source& polled, std::uint32_t seed)
+        : poller(polled, counters, seed,
+                 [this](const cj::missed_version& one) {
+                     view.add_version(one.model, one.version, one.published_at);
+                 })
     {
         from.origin = "source";
         from.origin_rate = 1'250'000;
     }
 
-    void read(const kept_items& store)
+    void read(const simulated_store& store)
     {
         const auto now = virtual_clock::now();
         const auto changed = mirror.apply(
             store.after(mirror.position().revision), store.revision, now);
         view.update(mirror, changed);
         if (view.consume_nonincreasing_publish())
-            inquiry.request_recheck("named again without rising", now);
+            poller.request_recheck("published again without a higher version",
+                                   now);
     }
 
-    /*! @brief Writes the record when it lacks something. */
-    void keep(kept_items& store)
+    /*! @brief Writes the version record if it lacks something. */
+    void write_record(simulated_store& store)
     {
         const auto key = cj::version_record_key("m");
         const auto* value = mirror.find(key);
@@ -154,10 +158,10 @@
             store.write(key, cj::version_record_payload(known));
     }
 
-    void ask(const cj::entry_ranking& standing)
+    void poll(const cj::entry_ranking& ranking)
     {
-        inquiry.poll_if_due(from, {"m", newest(), chunks, chunk_bytes},
-                            standing, virtual_clock::now());
+        poller.poll_if_due(from, {"m", newest(), chunks, chunk_bytes}, ranking,
+                           virtual_clock::now());
     }
 
     [[nodiscard]] std::uint64_t newest() const { return view.newest("m"); }
@@ -166,75 +170,81 @@
     named_platform::view view;
     cj::metrics counters;
     cj::service_profile from;
-    cj::version_poller<naming_source, virtual_clock> inquiry;
+    cj::version_poller<simulated_source, virtual_clock> poller;
 };
 
-/*! @brief Plays a history. */
-class player
+/*! @brief Runs a scenario. */
+class simulator
 {
 public:
-    /*! @brief After the last fault, until everybody knows: the start of an
-     * entry, its question, a second for the store, and a heartbeat. */
-    static constexpr ms bound = 4'000;
+    /*! @brief Time from the last fault until every process knows the newest
+     * version: the start of an entry, its poll, a second for the store, and a
+     * heartbeat. */
+    static constexpr ms convergence_time = 4'000;
 
-    explicit player(history set) : played(std::move(set))
+    explicit simulator(scenario given) : events(std::move(given))
     {
         virtual_clock::passed() = 0;
         ms at = 1'000;
-        for (std::size_t index = 0; index < played.versions.size(); ++index)
+        for (std::size_t index = 0; index < events.versions.size(); ++index)
         {
-            const auto& one = played.versions[index];
+            const auto& one = events.versions[index];
             const auto version = index + 2;
             at += one.after;
             writes.push_back({at, version, true});
-            if (one.again >= 0)
-                writes.push_back({at + one.again, version, false});
+            if (one.late_write >= 0)
+                writes.push_back({at + one.late_write, version, false});
         }
-        std::stable_sort(writes.begin(), writes.end(),
-                         [](const name_write& left, const name_write& right)
-                         { return left.at < right.at; });
+        std::stable_sort(
+            writes.begin(), writes.end(),
+            [](const version_write& left, const version_write& right)
+            { return left.at < right.at; });
         for (const auto& one : writes)
-            quiet = std::max(quiet, one.at);
-        for (const auto& one : played.gaps)
-            quiet = std::max(quiet, one.from + one.lasts);
-        quiet = std::max(quiet, played.source.from + played.source.lasts);
-        for (const auto one : played.ends)
-            quiet = std::max(quiet, one + down);
+            last_fault_end = std::max(last_fault_end, one.at);
+        for (const auto& one : events.gaps)
+            last_fault_end = std::max(last_fault_end, one.from + one.duration);
+        last_fault_end = std::max(last_fault_end,
+                                  events.source.from + events.source.duration);
+        for (const auto one : events.restarts)
+            last_fault_end = std::max(last_fault_end, one + restart_time);
     }
 
-    /*! @brief Returns what went wrong; empty for nothing. */
-    std::string play()
+    /*! @brief Returns the first violation; empty for none. */
+    std::string run()
     {
         start();
-        std::string wrong;
-        for (ms now = 0; now <= quiet + bound && wrong.empty(); now += tick)
-            wrong = step(now);
-        for (const auto& one : all)
-            if (wrong.empty() && one->newest() != source.acknowledged)
-                wrong = "a process knows " + std::to_string(one->newest()) +
-                        " in place of " + std::to_string(source.acknowledged);
-        return wrong;
+        std::string violation;
+        for (ms now = 0;
+             now <= last_fault_end + convergence_time && violation.empty();
+             now += tick)
+            violation = step(now);
+        for (const auto& one : processes)
+            if (violation.empty() && one->newest() != source.acknowledged)
+                violation = "a process knows " + std::to_string(one->newest()) +
+                            " instead of " +
+                            std::to_string(source.acknowledged);
+        return violation;
     }
 
 private:
-    static constexpr ms down = 500;
-    static constexpr ms meeting = 800;
-    static constexpr ms beat = 200;
+    static constexpr ms restart_time = 500;
+    static constexpr ms discovery_time = 800;
+    static constexpr ms heartbeat_interval = 200;
 
-    struct name_write
+    struct version_write
     {
         ms at{0};
         std::uint64_t version{0};
-        bool answered{false};
+        bool acknowledged{false};
     };
 
     void start()
     {
-        all.clear();
-        for (std::size_t at = 0; at < played.entries; ++at)
-            all.push_back(std::make_unique<process>(source, ++seed));
+        processes.clear();
+        for (std::size_t at = 0; at < events.entries; ++at)
+            processes.push_back(std::make_unique<process>(source, ++seed));
         started_at = virtual_clock::passed();
-        known.assign(played.entries, 0);
+        last_known.assign(events.entries, 0);
     }
 
     std::string step(ms now)
@@ -242,147 +252,155 @@
         virtual_clock::passed() = now;
         for (; written < writes.size() && writes[written].at <= now; ++written)
             write(writes[written]);
-        source.away = played.source.covers(now);
-        for (const auto end : played.ends)
+        source.away = events.source.covers(now);
+        for (const auto at : events.restarts)
         {
-            if (now >= end && now < end + tick)
-                all.clear();
-            if (now >= end + down && now < end + down + tick)
+            if (now >= at && now < at + tick)
+                processes.clear();
+            if (now >= at + restart_time && now < at + restart_time + tick)
                 start();
         }
         read(now);
-        talk(now);
-        return went_back();
+        exchange(now);
+        return check();
     }
 
-    void write(const name_write& one)
+    void write(const version_write& one)
     {
         store.write(named_platform::name_key("m"), std::to_string(one.version));
-        if (one.answered)
+        if (one.acknowledged)
             source.acknowledged = std::max(source.acknowledged, one.version);
     }
 
     void read(ms now)
     {
-        const bool unread =
-            std::any_of(played.gaps.begin(), played.gaps.end(),
+        const bool unreadable =
+            std::any_of(events.gaps.begin(), events.gaps.end(),
                         [&](const fault& one) { return one.covers(now); });
-        for (const auto& one : all)
+        for (const auto& one : processes)
         {
-            if (unread)
+            if (unreadable)
                 continue;
-            if (missed)
-                one->inquiry.request_recheck("a gap", virtual_clock::now());
+            if (was_unreadable)
+                one->poller.request_recheck("a gap", virtual_clock::now());
             one->read(store);
         }
-        missed = unread;
+        was_unreadable = unreadable;
     }
 
-    void talk(ms now)
+    void exchange(ms now)
     {
-        const bool met = now - started_at >= meeting;
-        if (!all.empty() && now % 500 == 0 && !played.writes.covers(now))
-            all.front()->keep(store);
-        for (std::size_t at = 0; at < all.size(); ++at)
-            all[at]->ask(met ? cj::entry_ranking{at, all.size() - 1}
-                             : cj::entry_ranking{});
-        if (now % beat != 0 || !met)
+        const bool discovered = now - started_at >= discovery_time;
+        if (!processes.empty() && now % 500 == 0 && !events.writes.covers(now))
+            processes.front()->write_record(store);
+        for (std::size_t at = 0; at < processes.size(); ++at)
+            processes[at]->poll(
+                discovered ? cj::entry_ranking{at, processes.size() - 1}
+                           : cj::entry_ranking{});
+        if (now % heartbeat_interval != 0 || !discovered)
             return;
         const auto moment = virtual_clock::now();
-        for (const auto& by : all)
-            for (const auto& to : all)
+        for (const auto& by : processes)
+            for (const auto& to : processes)
                 cj::merge_gossiped_versions(
                     to->view, cj::versions_to_gossip(by->view, moment), moment);
     }
 
-    std::string went_back()
+    /*! @brief Returns a violation by what the processes know now; empty for
+     * none. */
+    std::string check()
     {
-        for (std::size_t at = 0; at < all.size(); ++at)
+        for (std::size_t at = 0; at < processes.size(); ++at)
         {
-            const auto newest = all[at]->newest();
-            if (newest < known[at])
+            const auto newest = processes[at]->newest();
+            if (newest < last_known[at])
                 return "a process went back to " + std::to_string(newest);
-            if (newest > played.versions.size() + 1)
-                return "a process knows what nobody named";
-            known[at] = newest;
+            if (newest > events.versions.size() + 1)
+                return "a process knows a version that was never published";
+            last_known[at] = newest;
         }
         return {};
     }
 
-    history played;
-    std::vector<name_write> writes;
+    scenario events;
+    std::vector<version_write> writes;
     std::size_t written{0};
-    kept_items store;
-    naming_source source;
-    std::vector<std::unique_ptr<process>> all;
-    std::vector<std::uint64_t> known;
+    simulated_store store;
+    simulated_source source;
+    std::vector<std::unique_ptr<process>> processes;
+    std::vector<std::uint64_t> last_known;
     std::uint32_t seed{0};
     ms started_at{0};
-    /*! @brief When the last fault is over but for that of writes, which nobody
-     * needs to know a version. */
-    ms quiet{0};
-    bool missed{false};
+    /*! @brief When the last fault is over, except that of writes: no process
+     * needs them to know a version. */
+    ms last_fault_end{0};
+    bool was_unreadable{false};
 };
 
-ms drawn(ms least, ms most)
+/*! @brief Draws from the half-open range [lowest, above). */
+ms random_between(ms lowest, ms above)
 {
-    return *rc::gen::inRange<ms>(least, most);
+    return *rc::gen::inRange<ms>(lowest, above);
 }
 
-history drawn_history()
+scenario random_scenario()
 {
-    history made;
-    made.entries = static_cast<std::size_t>(drawn(1, 16));
-    const auto versions = drawn(1, 6);
+    scenario made;
+    made.entries = static_cast<std::size_t>(random_between(1, 16));
+    const auto versions = random_between(1, 6);
     for (ms at = 0; at < versions; ++at)
         made.versions.push_back(
-            {drawn(100, 4'000), drawn(0, 2) == 0 ? -1 : drawn(100, 6'000)});
-    const auto gaps = drawn(0, 4);
+            {random_between(100, 4'000),
+             random_between(0, 2) == 0 ? -1 : random_between(100, 6'000)});
+    const auto gaps = random_between(0, 4);
     for (ms at = 0; at < gaps; ++at)
-        made.gaps.push_back({drawn(0, 20'000), drawn(100, 8'000)});
-    made.writes = {drawn(0, 15'000), drawn(0, 15'000)};
-    made.source = {drawn(0, 15'000), drawn(0, 20'000)};
-    const auto ends = drawn(0, 3);
-    for (ms at = 0; at < ends; ++at)
-        made.ends.push_back(drawn(10, 250) * tick);
+        made.gaps.push_back(
+            {random_between(0, 20'000), random_between(100, 8'000)});
+    made.writes = {random_between(0, 15'000), random_between(0, 15'000)};
+    made.source = {random_between(0, 15'000), random_between(0, 20'000)};
+    const auto restarts = random_between(0, 3);
+    for (ms at = 0; at < restarts; ++at)
+        made.restarts.push_back(random_between(10, 250) * tick);
     return made;
 }
 
 } // namespace
 
 TEST_CASE(
-    "every process knows the newest acknowledged version after any faults",
+    "every process learns the newest acknowledged version after any faults",
     "[fleet]")
 {
-    rc::prop("soon after the last of them, and none goes back",
+    rc::prop("within 4 s after the last fault, and none goes back",
              []
              {
-                 const auto wrong = player(drawn_history()).play();
-                 RC_ASSERT(wrong == std::string());
+                 const auto violation = simulator(random_scenario()).run();
+                 RC_ASSERT(violation == std::string());
              });
 
-    SECTION("version 3 is overwritten before anybody reads it")
+    SECTION("version 3 is overwritten before any process reads it")
     {
-        history one;
+        scenario one;
         one.versions = {{1'000, 4'000}, {2'000, -1}};
         one.gaps = {{3'500, 4'000}};
-        CHECK(player(one).play().empty());
+        CHECK(simulator(one).run().empty());
     }
-    SECTION("and all processes end before the record holds it")
+    SECTION("version 3 is overwritten, and all processes restart before the "
+            "record holds it")
     {
-        history one;
+        scenario one;
         one.versions = {{1'000, 4'000}, {2'000, -1}};
         one.gaps = {{3'500, 4'000}};
         one.writes = {0, 20'000};
-        one.ends = {9'000};
-        CHECK(player(one).play().empty());
+        one.restarts = {9'000};
+        CHECK(simulator(one).run().empty());
     }
-    SECTION("and only the first entries had their turn to ask")
+    SECTION("version 3 is overwritten, and only the first of 40 entries polled "
+            "for it")
     {
-        history one;
+        scenario one;
         one.entries = 40;
         one.versions = {{1'000, 3'090}, {3'050, -1}};
         one.writes = {0, 60'000};
-        CHECK(player(one).play().empty());
+        CHECK(simulator(one).run().empty());
     }
 }
