--- a/src/coursejunction/fleet/fleet_view.hpp
+++ b/src/coursejunction/fleet/fleet_view.hpp
@@ -79,10 +79,11 @@
 /*! @brief The configuration, the upstreams and the published versions, updated
  * as keys of the mirror change.
  *
- * Versions come from four sources: the operator's version key, the version
- * records that entries write to the store, gossip from peers, and the second
- * source that entries poll. The set of known versions only grows, since the
- * store may lose or revert a key.
+ * An operator publishes a version of a model by writing it to the model's
+ * version key. Versions are learnt from four sources: the operator's version
+ * key, the version records that entries write to the store, gossip from peers,
+ * and the second source that entries poll. The set of known versions only
+ * grows, since the store may lose or revert a key.
  * @tparam Platform Provides `catalogue`, an `Item_catalogue`. */
 template <typename Platform>
 class fleet_view
@@ -232,12 +233,12 @@
 
     /*! @brief Adds the version in a value that was overwritten before this view
      * read it: the mirror keeps only the last value of a key. */
-    void add_overwritten_version(const message::mirror_item& one,
+    void add_overwritten_version(const message::mirror_item& item,
                                  time_point now)
     {
-        if (catalogue::kind(one.key) != item_kind::version)
+        if (catalogue::kind(item.key) != item_kind::version)
             return;
-        const auto read = catalogue::version(one.payload);
+        const auto read = catalogue::version(item.payload);
         if (!read)
             return;
         const auto& [model, version] = read.value();
@@ -245,7 +246,7 @@
         publish_times.try_emplace({model, version}, now);
         log::state("version_passed", {{"model", model},
                                       {"version", std::to_string(version)},
-                                      {"revision", one.position().text()}});
+                                      {"revision", item.position().text()}});
     }
 
     /*! @brief Returns the newest version of a model that some source other than
@@ -315,18 +316,19 @@
         /*! @brief Returns whether a record was written before the latest known
          * one: by an earlier incarnation, or by this one before it announced
          * its end. */
-        [[nodiscard]] bool supersedes(const upstream_record& one) const
+        [[nodiscard]] bool supersedes(const upstream_record& record) const
         {
-            return one.life < number || (one.life == number && ended &&
-                                         !one.leaving && one.count < sequence);
+            return record.life < number ||
+                   (record.life == number && ended && !record.leaving &&
+                    record.count < sequence);
         }
 
-        void apply(const upstream_record& one)
+        void apply(const upstream_record& record)
         {
-            sequence =
-                one.life == number ? std::max(sequence, one.count) : one.count;
-            number = one.life;
-            ended = one.leaving;
+            sequence = record.life == number ? std::max(sequence, record.count)
+                                             : record.count;
+            number = record.life;
+            ended = record.leaving;
         }
 
         incarnation number;
@@ -395,19 +397,19 @@
         if (!read)
             return reject_upstream(key, *value, read.error().message);
         auto& known = incarnations[id];
-        const auto& one = read.value();
-        if (one.life.empty() && !known.number.empty())
+        const auto& record = read.value();
+        if (record.life.empty() && !known.number.empty())
             return reject_upstream(key, *value, "the incarnation is missing");
-        if (known.supersedes(one))
+        if (known.supersedes(record))
         {
             log::state("upstream_record_outdated",
                        {{"key", key},
                         {"revision", value->position().text()},
-                        {"count", std::to_string(one.count)},
+                        {"count", std::to_string(record.count)},
                         {"known", std::to_string(known.sequence)}});
             return std::nullopt;
         }
-        known.apply(one);
+        known.apply(record);
         records[id] = std::move(read.value());
         return upstream_change{id, known.number};
     }
@@ -467,13 +469,14 @@
      * version key that corroborates it. */
     void apply_plausible_records()
     {
-        for (auto one = unconfirmed.begin(); one != unconfirmed.end();)
+        for (auto position = unconfirmed.begin();
+             position != unconfirmed.end();)
         {
-            auto& [model, pending] = *one;
+            auto& [model, pending] = *position;
             if (plausible(pending.record, newest_corroborated(model)))
             {
                 apply_record(pending);
-                one = unconfirmed.erase(one);
+                position = unconfirmed.erase(position);
                 continue;
             }
             if (!std::exchange(pending.logged, true))
@@ -482,7 +485,7 @@
                     {{"model", model},
                      {"newest", std::to_string(pending.record.newest)},
                      {"known", std::to_string(newest_corroborated(model))}});
-            ++one;
+            ++position;
         }
     }
 
--- a/src/coursejunction/fleet/poll_schedule.hpp
+++ b/src/coursejunction/fleet/poll_schedule.hpp
@@ -18,8 +18,8 @@
 namespace coursejunction
 {
 
-/*! @brief The position of an entry among the entries that it hears, in the
- * order of their addresses. */
+/*! @brief The position of an entry among the live entries, those whose
+ * heartbeats it receives, in the order of their addresses. */
 struct entry_ranking
 {
     std::size_t rank{0};   /*!< Live entries that come before it. */
@@ -32,9 +32,9 @@
  * together, however many, poll less than twice as often as the first alone, and
  * the next rank takes over where the first cannot reach the source.
  *
- * An entry that has just started, or whose process was suspended, has heard no
- * other entry yet and would take itself for the first: a lower rank counts only
- * once it has held for a while. */
+ * An entry that has just started, or whose process was suspended, has received
+ * no heartbeats yet and would take itself for the first: a lower rank counts
+ * only once it has held for a while. */
 class poll_schedule
 {
 public:
@@ -49,10 +49,10 @@
      * interval: one for each entry before this one. */
     static constexpr int slots_per_interval = 4;
 
-    /*! @brief An entry that no longer hears any other cannot tell whether the
-     * others still hear each other. Its interval is lengthened so that, if
-     * every entry is isolated, all together poll as often as this many first
-     * ones. */
+    /*! @brief An entry that no longer receives heartbeats from any other is
+     * isolated, and cannot tell whether the others are, too. Its interval is
+     * lengthened so that, if every entry is isolated, all together poll as
+     * often as this many first ones. */
     static constexpr double isolated_entries = 5;
 
     /*! @brief A lower rank counts after it has held for this long. */
@@ -62,8 +62,8 @@
      * and takes live entries for gone: a lower rank has to hold anew. */
     static constexpr milliseconds suspension_threshold{1000};
 
-    /*! @brief An entry hears of all others within this time of its start;
-     * before that, only of the configured seeds. */
+    /*! @brief An entry discovers all others within this time of its start;
+     * before that, only the configured seeds. */
     static constexpr milliseconds discovery_time{1200};
 
     /*! @param seed Must differ between entries. */
@@ -137,7 +137,7 @@
 
     /*! @brief Sets the interval by the size of an answer, measured or expected,
      * and ends a run of failures.
-     * @param rate Of the source's link; 0 if unknown. */
+     * @param rate Of the source's link, in bytes per second; 0 if unknown. */
     void set_answer_size(std::size_t bytes, byte_rate rate)
     {
         interval = min_interval;
@@ -197,8 +197,8 @@
         lower_since.reset();
     }
 
-    /*! @brief Entries that stop hearing each other at the same moment restart
-     * their intervals, and spread their polls from there. */
+    /*! @brief Restarts the interval when the entry becomes isolated: entries
+     * that lose each other at the same moment spread their polls from there. */
     void update_isolation(std::size_t others, time_point now)
     {
         max_others = std::max(max_others, others);
@@ -227,7 +227,7 @@
     std::optional<time_point> updated_at;    /*!< When the rank last was. */
     /*! @brief Since when the reported rank is below the settled one. */
     std::optional<time_point> lower_since;
-    std::size_t max_others{0};  /*!< Most entries that were ever heard. */
+    std::size_t max_others{0};  /*!< Most others that were ever live. */
     double isolation_factor{1}; /*!< Lengthens the interval when isolated. */
     std::size_t lower_rank{0};  /*!< Highest rank reported since then. */
 };
--- a/src/coursejunction/fleet/version_gossip.hpp
+++ b/src/coursejunction/fleet/version_gossip.hpp
@@ -66,21 +66,22 @@
                              time_point now, Estimate estimate = {})
 {
     bool changed = false;
-    for (const auto& one : received)
+    for (const auto& report : received)
     {
-        if (!plausible_successor(fleet.newest(one.model), one.version))
+        if (!plausible_successor(fleet.newest(report.model), report.version))
         {
-            fleet.report_implausible_version(one.model, one.version);
+            fleet.report_implausible_version(report.model, report.version);
             continue;
         }
         // The estimate is for versions that are unknown here: what this process
         // learns later does not move the publication time of a known version.
-        const bool is_new = one.version > fleet.newest(one.model);
-        const auto reported = now - milliseconds(one.age_ms);
+        const bool is_new = report.version > fleet.newest(report.model);
+        const auto reported = now - milliseconds(report.age_ms);
         const auto published_at =
-            is_new ? estimate(one.model, reported) : reported;
+            is_new ? estimate(report.model, reported) : reported;
         changed =
-            fleet.add_version(one.model, one.version, published_at) || changed;
+            fleet.add_version(report.model, report.version, published_at) ||
+            changed;
     }
     return changed;
 }
--- a/src/coursejunction/fleet/version_poller.hpp
+++ b/src/coursejunction/fleet/version_poller.hpp
@@ -79,26 +79,26 @@
     void request_recheck(const std::string& why, time_point now)
     {
         log::state("version_doubted", {{"why", why}});
-        for (auto& [model, one] : models)
-            one.schedule.request_recheck(now);
+        for (auto& [model, state] : models)
+            state.schedule.request_recheck(now);
     }
 
     /*! @brief Polls if it is due, and reports versions that did not arrive from
      * the store in time; to be called several times a second.
      * @param from The service whose origin is the source.
-     * @param self This entry's position among the entries that it hears. */
+     * @param self This entry's position among the live entries. */
     void poll_if_due(const service_profile& from, const versioned_model& model,
                      const entry_ranking& self, time_point now)
     {
-        auto& one = state_of(from, model, now);
-        one.model = model;
-        report_due(one, now);
+        auto& state = state_of(from, model, now);
+        state.model = model;
+        report_due(state, now);
         // Called while a poll is in flight, too, to keep the rank up to date.
-        const bool due = one.schedule.due(self, now);
-        if (one.in_flight || !due)
+        const bool due = state.schedule.due(self, now);
+        if (state.in_flight || !due)
             return;
-        one.schedule.record_poll(now);
-        one.in_flight = true;
+        state.schedule.record_poll(now);
+        state.in_flight = true;
         source.newest(from.origin, model.name,
                       [this, now, name = model.name, rate = from.origin_rate](
                           const result<offered_version>& answer)
@@ -170,75 +170,75 @@
     }
 
     /*! @brief Reports versions that did not arrive from the store in time. */
-    void report_due(model_state& one, time_point now)
+    void report_due(model_state& state, time_point now)
     {
-        while (!one.newer.empty() && trusted(one) &&
-               now - one.newer.begin()->second.first_at >= propagation_time)
+        while (!state.newer.empty() && trusted(state) &&
+               now - state.newer.begin()->second.first_at >= propagation_time)
         {
-            const auto [version, first] = *one.newer.begin();
-            one.newer.erase(one.newer.begin());
-            if (version > one.model.newest)
-                report(one, version, first.first_at, now);
+            const auto [version, first] = *state.newer.begin();
+            state.newer.erase(state.newer.begin());
+            if (version > state.model.newest)
+                report(state, version, first.first_at, now);
         }
     }
 
     /*! @brief Returns whether the lowest of the newer versions is trusted: it
      * or a version above it came in enough answers. */
-    [[nodiscard]] static bool trusted(const model_state& one)
+    [[nodiscard]] static bool trusted(const model_state& state)
     {
-        return std::any_of(one.newer.begin(), one.newer.end(),
+        return std::any_of(state.newer.begin(), state.newer.end(),
                            [](const auto& each)
                            { return each.second.answers >= min_answers; });
     }
 
-    void report(const model_state& one, std::uint64_t version,
+    void report(const model_state& state, std::uint64_t version,
                 time_point first_at, time_point now)
     {
         const auto uncertainty = std::max<std::chrono::microseconds>(
-            max_publish_uncertainty, one.schedule.regular_interval());
+            max_publish_uncertainty, state.schedule.regular_interval());
         const auto published =
-            std::min(first_at, one.confirmed_at + uncertainty);
+            std::min(first_at, state.confirmed_at + uncertainty);
         const auto age =
             std::chrono::duration_cast<milliseconds>(now - published);
         counters.count("versions_unheard_total");
         log::warning("version_unheard",
-                     {{"model", one.model.name},
+                     {{"model", state.model.name},
                       {"version", std::to_string(version)},
-                      {"known", std::to_string(one.model.newest)},
+                      {"known", std::to_string(state.model.newest)},
                       {"age_ms", std::to_string(age.count())}});
-        on_missed({one.model.name, version, published});
+        on_missed({state.model.name, version, published});
     }
 
-    void handle_answer(model_state& one, time_point polled_at, byte_rate rate,
+    void handle_answer(model_state& state, time_point polled_at, byte_rate rate,
                        const result<offered_version>& answer)
     {
-        one.in_flight = false;
-        const auto fault = fault_of(answer, one.model);
-        record_result(one, fault, answer);
+        state.in_flight = false;
+        const auto fault = fault_of(answer, state.model);
+        record_result(state, fault, answer);
         if (!fault.empty())
-            return one.schedule.record_failure(Clock::now());
+            return state.schedule.record_failure(Clock::now());
         const auto& offer = answer.value();
-        one.schedule.set_answer_size(offer.answer_bytes, rate);
-        log_offer(one, offer.version);
-        if (offer.version <= one.model.newest)
+        state.schedule.set_answer_size(offer.answer_bytes, rate);
+        log_offer(state, offer.version);
+        if (offer.version <= state.model.newest)
         {
-            one.confirmed_at = polled_at;
-            one.newer.clear();
+            state.confirmed_at = polled_at;
+            state.newer.clear();
             return;
         }
-        add_newer(one, offer.version, Clock::now());
+        add_newer(state, offer.version, Clock::now());
     }
 
     /*! @brief Records a newer version. Versions of the source only increase, so
      * that reports above this one were corrupt and are dropped. */
-    static void add_newer(model_state& one, std::uint64_t version,
+    static void add_newer(model_state& state, std::uint64_t version,
                           time_point now)
     {
-        one.newer.erase(one.newer.upper_bound(version), one.newer.end());
-        auto& report =
-            one.newer.try_emplace(version, newer_report{now, 0}).first->second;
+        state.newer.erase(state.newer.upper_bound(version), state.newer.end());
+        auto& report = state.newer.try_emplace(version, newer_report{now, 0})
+                           .first->second;
         if (++report.answers < min_answers)
-            one.schedule.request_confirmation();
+            state.schedule.request_confirmation();
     }
 
     /*! @brief Returns why an answer is rejected; empty if it is valid. A source
@@ -262,30 +262,30 @@
 
     /*! @brief Counts an answer, and logs a fault that differs from the last
      * answer's. */
-    void record_result(model_state& one, const std::string& fault,
+    void record_result(model_state& state, const std::string& fault,
                        const result<offered_version>& answer)
     {
         counters.count("version_inquiries_total", 1,
                        {{"result", fault.empty() ? "answered" : "refused"}});
-        if (fault != one.last_fault && !fault.empty())
+        if (fault != state.last_fault && !fault.empty())
             log::warning(
                 "version_source_refused",
-                {{"model", one.model.name},
-                 {"known", std::to_string(one.model.newest)},
+                {{"model", state.model.name},
+                 {"known", std::to_string(state.model.newest)},
                  {"told", answer ? std::to_string(answer.value().version)
                                  : std::string()},
                  {"why", fault}});
-        one.last_fault = fault;
+        state.last_fault = fault;
     }
 
-    static void log_offer(model_state& one, std::uint64_t version)
+    static void log_offer(model_state& state, std::uint64_t version)
     {
-        if (std::exchange(one.last_offered, version) == version)
+        if (std::exchange(state.last_offered, version) == version)
             return;
         log::state("version_offered",
-                   {{"model", one.model.name},
+                   {{"model", state.model.name},
                     {"version", std::to_string(version)},
-                    {"known", std::to_string(one.model.newest)}});
+                    {"known", std::to_string(state.model.newest)}});
     }
 
     Source& source;
--- a/src/coursejunction/fleet/version_record.hpp
+++ b/src/coursejunction/fleet/version_record.hpp
@@ -31,12 +31,14 @@
     return version <= known || version - known <= max_version_step;
 }
 
-/*! @brief What is known of a model's versions. Both numbers only increase. */
+/*! @brief What is known of a model's versions: the newest that an operator
+ * published, and the minimum version, the lowest that may begin new requests.
+ * Both only increase. */
 struct version_record
 {
     std::string model;
-    std::uint64_t newest{0};  /*!< Newest version ever published. */
-    std::uint64_t minimum{0}; /*!< Lowest that may begin requests. */
+    std::uint64_t newest{0};
+    std::uint64_t minimum{0};
 
     /*! @brief Returns whether neither number is below another record's. */
     [[nodiscard]] bool covers(const version_record& other) const noexcept
--- a/src/coursejunction/fleet/version_record_writer.hpp
+++ b/src/coursejunction/fleet/version_record_writer.hpp
@@ -77,10 +77,10 @@
      * version record reported. */
     void add_known(const version_record& record, std::uint64_t corroborated)
     {
-        auto& one = known[record.model];
-        one.record.model = record.model;
-        one.record.merge(record);
-        one.corroborated = std::max(one.corroborated, corroborated);
+        auto& versions = known[record.model];
+        versions.record.model = record.model;
+        versions.record.merge(record);
+        versions.corroborated = std::max(versions.corroborated, corroborated);
     }
 
     /*! @brief Writes what is missing if it is due; to be called several times a
@@ -88,10 +88,10 @@
      * @param rank The number of entries before this one. */
     void write_if_due(std::size_t rank, time_point now)
     {
-        for (const auto& [model, one] : known)
+        for (const auto& [model, versions] : known)
         {
-            const auto current = read_stored(one);
-            if (current.is_plausible && current.record.covers(one.record))
+            const auto current = read_stored(versions);
+            if (current.is_plausible && current.record.covers(versions.record))
             {
                 missing_since.erase(model);
                 continue;
@@ -101,7 +101,7 @@
                 rank_delay * static_cast<std::int64_t>(rank) +
                 (current.is_plausible ? milliseconds{0} : implausible_grace);
             if (!writer.busy() && now - since.first->second >= delay)
-                write(one.record, current);
+                write(versions.record, current);
         }
     }
 
@@ -120,17 +120,18 @@
         bool is_plausible{true};
     };
 
-    [[nodiscard]] stored_record read_stored(const known_versions& one) const
+    [[nodiscard]] stored_record
+    read_stored(const known_versions& versions) const
     {
         stored_record made;
-        const auto key = version_record_key(one.record.model);
+        const auto key = version_record_key(versions.record.model);
         const auto* value = mirror.find(key);
         if (value == nullptr)
             return made;
         made.revision = value->revision;
         if (const auto read = read_version_record(key, value->payload))
             made.record = read.value();
-        made.is_plausible = plausible(made.record, one.corroborated);
+        made.is_plausible = plausible(made.record, versions.corroborated);
         return made;
     }
 
