--- a/src/coursejunction/fleet/configuration_copy_writer.hpp
+++ b/src/coursejunction/fleet/configuration_copy_writer.hpp
@@ -41,13 +41,13 @@
     static constexpr milliseconds initial_backoff{500};
     static constexpr milliseconds max_backoff{4000};
 
-    /*! @param seed Must differ between entries. */
+    /*! @param random_seed Must differ between entries. */
     configuration_copy_writer(event_loop& owner, Store& target,
                               const store_mirror& mirrored, metrics& registry,
-                              std::uint32_t seed)
+                              std::uint32_t random_seed)
         : store(target), mirror(mirrored),
           writer(owner, registry, "configuration_copy_writes_total",
-                 backoff(initial_backoff, max_backoff, seed))
+                 backoff(initial_backoff, max_backoff, random_seed))
     {
     }
 
@@ -128,9 +128,9 @@
         return version;
     }
 
-    /*! @brief Returns whether the store itself lacks the operator's value: it
-     * was restored from an older snapshot, and only the mirrors still have it.
-     */
+    /*! @brief Returns whether the operator's key is absent, or the mirror's
+     * value is from an earlier era: the store was restored from an older
+     * snapshot without it. */
     [[nodiscard]] bool lost_by_store() const
     {
         const auto* value = mirror.find(operator_value.key);
--- a/src/coursejunction/fleet/fleet_view.hpp
+++ b/src/coursejunction/fleet/fleet_view.hpp
@@ -77,7 +77,8 @@
 };
 
 /*! @brief The configuration, the upstreams and the published versions, updated
- * as keys of the mirror change.
+ * as keys of the mirror change. A value that cannot be parsed is logged and
+ * ignored, but an upstream whose record cannot be parsed is removed.
  *
  * An operator publishes a version of a model by writing it to the model's
  * version key. Versions are learnt from four sources: the operator's version
@@ -121,7 +122,7 @@
                 break;
             case item_kind::version_record:
                 if (value != nullptr)
-                    read_record(key, *value);
+                    read_model_record(key, *value);
                 else
                     recorded.erase(key.substr(version_record_prefix.size()));
                 break;
@@ -130,7 +131,7 @@
                 break;
             }
         }
-        apply_plausible_records();
+        apply_plausible_version_records();
         if (configuration_changed)
             read_configuration_copy(mirror);
         return changes;
@@ -153,7 +154,7 @@
     [[nodiscard]] const std::map<instance_id, upstream_record>&
     upstreams() const
     {
-        return records;
+        return upstream_records;
     }
 
     /*! @brief Returns the publication times by model and version. */
@@ -193,14 +194,16 @@
 
     /*! @brief Adds a version that was learnt from a peer or from the second
      * source.
-     * @param time The earliest time at which it can have been published, as far
-     * as the reporter knows; the latest of several such bounds is kept.
+     * @param time Estimated publication time. Reporters estimate as early as
+     * they can justify, so that the latest of several estimates is kept; it is
+     * moved only by `min_correction` or more, and not for versions that were
+     * learnt from the store first.
      * @return True if the version is new or its publication time moved. */
     bool add_version(const std::string& model, std::uint64_t version,
                      time_point time)
     {
         corroborate(model, version);
-        apply_plausible_records();
+        apply_plausible_version_records();
         if (version < newest(model) &&
             !publish_times.contains({model, version}))
             return false;
@@ -300,12 +303,12 @@
      * differ by the time they took to arrive. */
     static constexpr milliseconds min_correction{1000};
 
-    /*! @brief A version record that is not plausible yet. */
-    struct unconfirmed_record
+    /*! @brief A version record that is not plausible, or not yet. */
+    struct implausible_record
     {
         version_record record;
         time_point first_seen{};
-        bool logged{false}; /*!< That it is implausible. */
+        bool logged{false}; /*!< Whether it was logged as implausible. */
     };
 
     /*! @brief The latest known incarnation of an upstream, to detect outdated
@@ -315,12 +318,12 @@
     {
         /*! @brief Returns whether a record was written before the latest known
          * one: by an earlier incarnation, or by this one before it announced
-         * its end. */
+         * that it leaves or its record was removed. */
         [[nodiscard]] bool supersedes(const upstream_record& record) const
         {
             return record.life < number ||
-                   (record.life == number && ended && !record.leaving &&
-                    record.count < sequence);
+                   (record.life == number && leaving_or_removed &&
+                    !record.leaving && record.count < sequence);
         }
 
         void apply(const upstream_record& record)
@@ -328,12 +331,12 @@
             sequence = record.life == number ? std::max(sequence, record.count)
                                              : record.count;
             number = record.life;
-            ended = record.leaving;
+            leaving_or_removed = record.leaving;
         }
 
-        incarnation number;
-        std::uint64_t sequence{0}; /*!< The highest of its records. */
-        bool ended{false};         /*!< It is leaving, or was removed. */
+        incarnation number;        /*!< `life` in its records. */
+        std::uint64_t sequence{0}; /*!< Highest `count` in its records. */
+        bool leaving_or_removed{false};
     };
 
     void read_configuration(const std::string& key, const mirrored_value& value)
@@ -389,8 +392,8 @@
         {
             const auto known = incarnations.find(id);
             if (known != incarnations.end() && !mirror.lacks_by_loss(key))
-                known->second.ended = true;
-            records.erase(id);
+                known->second.leaving_or_removed = true;
+            upstream_records.erase(id);
             return upstream_change{id, {}, true};
         }
         auto read = catalogue::upstream(key, value->payload);
@@ -410,7 +413,7 @@
             return std::nullopt;
         }
         known.apply(record);
-        records[id] = std::move(read.value());
+        upstream_records[id] = std::move(read.value());
         return upstream_change{id, known.number};
     }
 
@@ -421,7 +424,7 @@
         log_unreadable(key, value, reason);
         ++unreadable_count;
         const auto id = catalogue::upstream_id(key);
-        records.erase(id);
+        upstream_records.erase(id);
         return {id, {}, true, true};
     }
 
@@ -456,27 +459,28 @@
                           {"revision", value.position().text()}});
     }
 
-    void read_record(const std::string& key, const mirrored_value& value)
+    void read_model_record(const std::string& key, const mirrored_value& value)
     {
         const auto read = read_version_record(key, value.payload);
         if (!read)
             return log_unreadable(key, value, read.error().message);
-        unconfirmed[read.value().model] = {read.value(), value.learnt, false};
+        implausible_records[read.value().model] = {read.value(), value.learnt,
+                                                   false};
     }
 
     /*! @brief Applies the records that are plausible given the versions from
-     * other sources. The rest stay unconfirmed: a record may be read before the
+     * other sources. The rest wait: a record may be read before the
      * version key that corroborates it. */
-    void apply_plausible_records()
+    void apply_plausible_version_records()
     {
-        for (auto position = unconfirmed.begin();
-             position != unconfirmed.end();)
+        for (auto position = implausible_records.begin();
+             position != implausible_records.end();)
         {
             auto& [model, pending] = *position;
             if (plausible(pending.record, newest_corroborated(model)))
             {
-                apply_record(pending);
-                position = unconfirmed.erase(position);
+                apply_version_record(pending);
+                position = implausible_records.erase(position);
                 continue;
             }
             if (!std::exchange(pending.logged, true))
@@ -489,7 +493,7 @@
         }
     }
 
-    void apply_record(const unconfirmed_record& pending)
+    void apply_version_record(const implausible_record& pending)
     {
         const auto& record = pending.record;
         if (record.newest > 0)
@@ -520,8 +524,8 @@
     }
 
     std::shared_ptr<const installation> current;
-    std::map<instance_id, upstream_record> records;
-    /*! @brief By upstream. Entries are never removed, like the mirror's
+    std::map<instance_id, upstream_record> upstream_records;
+    /*! @brief By upstream. Elements are never removed, like the mirror's
      * tombstones of removed keys. */
     std::map<instance_id, known_incarnation> incarnations;
     std::size_t unreadable_count{0};
@@ -535,7 +539,8 @@
     std::map<std::string, std::uint64_t> recorded;  /*!< In version records. */
     /*! @brief The newest from any source other than version records. */
     std::map<std::string, std::uint64_t> corroborated;
-    std::map<std::string, unconfirmed_record> unconfirmed; /*!< By model. */
+    /*! @brief By model. */
+    std::map<std::string, implausible_record> implausible_records;
     bool nonincreasing_publish{false}; /*!< Since it was last consumed. */
 };
 
--- a/src/coursejunction/fleet/poll_schedule.hpp
+++ b/src/coursejunction/fleet/poll_schedule.hpp
@@ -38,15 +38,17 @@
 class poll_schedule
 {
 public:
-    /*! @brief Shortest time between two polls of the first entry. */
+    /*! @brief Shortest regular interval of the first entry. Rechecks and
+     * confirmations may follow after 1 / `slots_per_interval` of it. */
     static constexpr milliseconds min_interval{1000};
 
     /*! @brief Fraction of the source's link that the answers to the first entry
      * may take. */
     static constexpr double max_link_fraction = 0.005;
 
-    /*! @brief A recheck is staggered by rank, in slots of this fraction of an
-     * interval: one for each entry before this one. */
+    /*! @brief A recheck is staggered by rank: an interval has this many slots,
+     * and an entry waits one for each entry before it. An isolated entry, whose
+     * rank says nothing, spreads its recheck over a whole interval. */
     static constexpr int slots_per_interval = 4;
 
     /*! @brief An entry that no longer receives heartbeats from any other is
@@ -66,8 +68,8 @@
      * before that, only the configured seeds. */
     static constexpr milliseconds discovery_time{1200};
 
-    /*! @param seed Must differ between entries. */
-    explicit poll_schedule(std::uint32_t seed) : random(seed) {}
+    /*! @param random_seed Must differ between entries. */
+    explicit poll_schedule(std::uint32_t random_seed) : random(random_seed) {}
 
     /*! @brief Requests a poll in this entry's next slot, ahead of the regular
      * interval: updates of the store may have been missed. */
@@ -91,16 +93,17 @@
         if (!settled_rank)
             return false;
         if (confirmation_requested &&
-            now - polled_at >= min_interval / slots_per_interval)
+            now - interval_start >= min_interval / slots_per_interval)
             return true;
         const auto rank = static_cast<double>(*settled_rank);
-        const auto elapsed = now - polled_at;
+        const auto elapsed = now - interval_start;
         const auto spread_interval = scaled(interval, isolation_factor);
         const auto slot = isolation_factor > 1
                               ? spread_interval
                               : spread_interval / slots_per_interval;
-        const bool paused = elapsed >= min_interval / slots_per_interval;
-        if (recheck_since && paused &&
+        const bool min_pause_over =
+            elapsed >= min_interval / slots_per_interval;
+        if (recheck_since && min_pause_over &&
             now - *recheck_since >= scaled(slot, slots_to_wait(rank)))
             return true;
         return elapsed >= scaled(spread_interval, (rank + 1) * (rank + 1));
@@ -118,7 +121,7 @@
      */
     void record_poll(time_point now)
     {
-        polled_at = now;
+        interval_start = now;
         polled_for_recheck = recheck_since.has_value();
         confirmation_requested = false;
         recheck_since.reset();
@@ -174,7 +177,7 @@
         const auto rank = self.rank;
         update_isolation(self.others, now);
         if (!updated_at)
-            polled_at = now;
+            interval_start = now;
         const bool suspended =
             updated_at && now - *updated_at >= suspension_threshold;
         updated_at = now;
@@ -209,27 +212,31 @@
                                            isolated_entries));
         if (isolation_factor <= previous)
             return;
-        polled_at = now;
+        interval_start = now;
         recheck_since.reset();
         request_recheck(now);
     }
 
     std::minstd_rand random;
     std::chrono::microseconds interval{min_interval};
-    time_point polled_at{};
+    /*! @brief The last poll; at first the first call of `due()`, and restarted
+     * when the entry becomes isolated. */
+    time_point interval_start{};
     /*! @brief From when on the slots of a requested recheck are counted. */
     std::optional<time_point> recheck_since;
     bool polled_for_recheck{false}; /*!< The last poll served a recheck. */
     bool confirmation_requested{false};
     int failures{0};  /*!< Failed polls in a row. */
     double jitter{0}; /*!< Drawn for each recheck, between 0 and 1. */
-    std::optional<std::size_t> settled_rank; /*!< The rank that counts. */
-    std::optional<time_point> updated_at;    /*!< When the rank last was. */
-    /*! @brief Since when the reported rank is below the settled one. */
+    /*! @brief The rank in use; none at first. */
+    std::optional<std::size_t> settled_rank;
+    std::optional<time_point> updated_at; /*!< The last call of `due()`. */
+    /*! @brief Since when the reported rank is below the settled one, or no rank
+     * is settled. */
     std::optional<time_point> lower_since;
     std::size_t max_others{0};  /*!< Most others that were ever live. */
     double isolation_factor{1}; /*!< Lengthens the interval when isolated. */
-    std::size_t lower_rank{0};  /*!< Highest rank reported since then. */
+    std::size_t lower_rank{0};  /*!< Highest rank since `lower_since`. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/fleet/quarantine_item.hpp
+++ b/src/coursejunction/fleet/quarantine_item.hpp
@@ -25,15 +25,15 @@
 [[nodiscard]] std::string quarantine_key(const request_content& content);
 
 /*! @brief Serializes a quarantine.
- * @param wall_ms Unix time in milliseconds: processes share no monotonic clock
- * that outlasts a restart. */
+ * @param wall_ms The current Unix time in milliseconds; used because processes
+ * share no monotonic clock that outlasts a restart. */
 [[nodiscard]] std::string
 quarantine_payload(const message::crash_record& record, std::int64_t wall_ms);
 
 /*! @brief Parses a quarantine.
- * @param wall_ms Unix time in milliseconds. Clocks of instances differ by
- * seconds: a crash that appears to be in the future counts as having just
- * happened.
+ * @param wall_ms The current Unix time in milliseconds. Clocks of instances
+ * differ by seconds: a crash that appears to be in the future counts as having
+ * just happened.
  * @return The record with its age, or `invalid`. */
 [[nodiscard]] result<message::crash_record>
 read_quarantine(std::string_view key, std::string_view payload,
--- a/src/coursejunction/fleet/quarantine_writer.hpp
+++ b/src/coursejunction/fleet/quarantine_writer.hpp
@@ -41,8 +41,9 @@
     store.remove(key, revision, done);
 };
 
-/*! @brief Writes one quarantine at a time, and repeats failed writes.
- * Quarantines are rare: each has cost three upstreams.
+/*! @brief Writes one quarantine at a time, and repeats failed writes. One write
+ * at a time suffices, since quarantines are rare: each is imposed only after
+ * three upstreams crashed.
  * @tparam Store A `Writable_store`. */
 template <typename Store>
 class quarantine_writer
@@ -61,13 +62,13 @@
     /*! @brief Limit on pending writes; further ones are dropped and logged. */
     static constexpr std::size_t max_pending = 64;
 
-    /*! @param seed Must differ between entries. */
+    /*! @param random_seed Must differ between entries. */
     quarantine_writer(event_loop& owner, Store& target,
                       const store_mirror& mirrored, metrics& registry,
-                      std::uint32_t seed)
+                      std::uint32_t random_seed)
         : store(target), mirror(mirrored), counters(registry),
           writer(owner, registry, "quarantine_writes_total",
-                 backoff(initial_backoff, max_backoff, seed))
+                 backoff(initial_backoff, max_backoff, random_seed))
     {
     }
 
--- a/src/coursejunction/fleet/version_alarm.hpp
+++ b/src/coursejunction/fleet/version_alarm.hpp
@@ -50,11 +50,13 @@
     std::optional<time_point> began_at;
 };
 
-/*! @brief The alerts of one model. */
+/*! @brief The alarm conditions of one model. */
 struct version_alarms
 {
-    timed_condition outdated; /*!< The operator's key holds an older version. */
-    /*! @brief The newest version is enforced, and no upstream serves it. */
+    /*! @brief The operator's key holds a version below the newest known one. */
+    timed_condition outdated;
+    /*! @brief The newest version is the minimum version, and no upstream serves
+     * it. */
     timed_condition unserved;
 };
 
--- a/src/coursejunction/fleet/version_gossip.hpp
+++ b/src/coursejunction/fleet/version_gossip.hpp
@@ -73,8 +73,9 @@
             fleet.report_implausible_version(report.model, report.version);
             continue;
         }
-        // The estimate is for versions that are unknown here: what this process
-        // learns later does not move the publication time of a known version.
+        // Only for versions that are unknown here: once a version is known, a
+        // later confirmation by the second source says nothing about when it
+        // was published.
         const bool is_new = report.version > fleet.newest(report.model);
         const auto reported = now - milliseconds(report.age_ms);
         const auto published_at =
--- a/src/coursejunction/fleet/version_poller.hpp
+++ b/src/coursejunction/fleet/version_poller.hpp
@@ -32,7 +32,7 @@
 struct versioned_model
 {
     std::string name;
-    std::uint64_t newest{1}; /*!< Newest version known otherwise. */
+    std::uint64_t newest{1}; /*!< Newest version known from any source. */
     std::size_t chunks{0};
     std::size_t chunk_bytes{0};
 };
@@ -46,8 +46,9 @@
 };
 
 /*! @brief Polls continuously, with at most one poll per model in flight. A
- * newer version is reported once the source gave it, or a version above it, in
- * two answers: a single answer may be corrupt.
+ * newer version is reported `propagation_time` after the source first gave it,
+ * and only once two answers gave the same version, this one or a higher one: a
+ * single answer may be corrupt.
  * @tparam Source A `Version_source`.
  * @tparam Clock Provides the time at which an answer arrives. */
 template <Version_source Source, typename Clock = event_loop>
@@ -59,16 +60,18 @@
     static constexpr milliseconds propagation_time{1000};
 
     /*! @brief A version counts as published when the source first reported it,
-     * but at most this long, or a regular poll interval, after the source last
-     * confirmed that there was none. While the source did not answer, most of
-     * the time for which older versions may still be used may have passed. */
+     * but at most this long (or one regular interval, if that is longer) after
+     * the source last confirmed that no newer version existed. Otherwise a
+     * version found after an outage of the source would count as just
+     * published, although most of the time for which older versions may still
+     * be used may have passed. */
     static constexpr milliseconds max_publish_uncertainty{1000};
 
-    /*! @param entry_seed Must differ between entries.
+    /*! @param random_seed Must differ between entries.
      * @param report Called with each version that the store does not show. */
-    version_poller(Source& polled, metrics& registry, std::uint32_t entry_seed,
+    version_poller(Source& polled, metrics& registry, std::uint32_t random_seed,
                    std::function<void(const missed_version&)> report)
-        : source(polled), counters(registry), seed(entry_seed),
+        : source(polled), counters(registry), seed(random_seed),
           on_missed(std::move(report))
     {
     }
@@ -105,8 +108,10 @@
                       { handle_answer(models.at(name), now, rate, answer); });
     }
 
-    /*! @brief Returns the latest time at which a version that is unknown here
-     * can have been published. */
+    /*! @brief Returns the latest time that is assumed for the publication of a
+     * version that is unknown here: `max_publish_uncertainty` after the last
+     * confirmation, but at most `now`; the epoch if the model was never polled.
+     */
     [[nodiscard]] time_point latest_publish_time(const std::string& model,
                                                  time_point now) const
     {
@@ -118,7 +123,8 @@
     }
 
     /*! @brief Returns the time since the source last confirmed that no newer
-     * version exists; zero if it was never polled for the model. */
+     * version exists, or since polling of the model began if it never did; zero
+     * if the model was never polled. */
     [[nodiscard]] std::chrono::microseconds
     unconfirmed_for(const std::string& model, time_point now) const
     {
@@ -130,7 +136,7 @@
     }
 
 private:
-    /*! @brief Answers with the same version until it is trusted. */
+    /*! @brief Number of answers with the same version that make it trusted. */
     static constexpr int min_answers = 2;
 
     /*! @brief A newer version that the store does not show yet. */
@@ -229,8 +235,8 @@
         add_newer(state, offer.version, Clock::now());
     }
 
-    /*! @brief Records a newer version. Versions of the source only increase, so
-     * that reports above this one were corrupt and are dropped. */
+    /*! @brief Records a newer version. Versions of the source only increase:
+     * reports above this one were corrupt, and are dropped. */
     static void add_newer(model_state& state, std::uint64_t version,
                           time_point now)
     {
--- a/src/coursejunction/fleet/version_record.hpp
+++ b/src/coursejunction/fleet/version_record.hpp
@@ -19,7 +19,7 @@
 inline constexpr std::string_view version_record_prefix = "version/";
 
 /*! @brief How far a version from any source but the operator's key may be above
- * the newest known one: versions are never lowered, so that a corrupted number
+ * the newest known one: versions are never lowered, and a corrupted number
  * would stay in force for good. */
 inline constexpr std::uint64_t max_version_step = 1000;
 
@@ -33,7 +33,7 @@
 
 /*! @brief What is known of a model's versions: the newest that an operator
  * published, and the minimum version, the lowest that may begin new requests.
- * Both only increase. */
+ * Both only increase; 0 if none is known. */
 struct version_record
 {
     std::string model;
--- a/src/coursejunction/fleet/version_record_writer.hpp
+++ b/src/coursejunction/fleet/version_record_writer.hpp
@@ -40,9 +40,9 @@
     store.put_permanent(key, payload, revision, done);
 };
 
-/*! @brief Writes version records that lack something. All entries know the
- * same, so that they are staggered by rank, and each writes only what is still
- * missing.
+/*! @brief Writes version records that lack something. All entries usually know
+ * the same. Their writes are therefore staggered by rank, and each writes only
+ * what is still missing.
  *
  * A record is needed because the operator's version key may go back: a write
  * that got no response may take effect seconds later and overwrite a newer one.
@@ -62,13 +62,13 @@
     static constexpr milliseconds initial_backoff{500};
     static constexpr milliseconds max_backoff{4000};
 
-    /*! @param seed Must differ between entries. */
+    /*! @param random_seed Must differ between entries. */
     version_record_writer(event_loop& owner, Store& target,
                           const store_mirror& mirrored, metrics& registry,
-                          std::uint32_t seed)
+                          std::uint32_t random_seed)
         : store(target), mirror(mirrored),
           writer(owner, registry, "version_record_writes_total",
-                 backoff(initial_backoff, max_backoff, seed))
+                 backoff(initial_backoff, max_backoff, random_seed))
     {
     }
 
--- a/tests/fleet/configuration_copy_writer.cpp
+++ b/tests/fleet/configuration_copy_writer.cpp
@@ -125,7 +125,8 @@
                 CHECK(store.calls.empty());
             });
     }
-    SECTION("an entry that started after the key went back leaves the copy")
+    SECTION("an entry that started after the key went back does not rewrite "
+            "the copy")
     {
         on_loop(
             [&]
--- a/tests/fleet/fleet_view.cpp
+++ b/tests/fleet/fleet_view.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-/*! @brief Parses upstream records of the form `INCARNATION ADDRESS`. */
+/*! @brief Parses upstream records of the form `INCARNATION ADDRESS`;
+ * incarnation 0 stands for none. */
 struct text_catalogue
 {
     static cj::item_kind kind(const std::string& key)
@@ -113,7 +114,7 @@
             CHECK(store.address("a").empty());
         }
     }
-    WHEN("no record ever had an incarnation")
+    WHEN("records that never had an incarnation replace each other")
     {
         store.put("up/c", "0 old");
         store.put("up/c", "0 moved");
--- a/tests/fleet/poll_schedule.cpp
+++ b/tests/fleet/poll_schedule.cpp
@@ -202,6 +202,7 @@
 {
     schedule one(7);
     std::size_t polls = 0;
+    // Longer than `settling_time`, shorter than `suspension_threshold`.
     for (cj::milliseconds passed{0}; passed < 20'000ms; passed += 700ms)
     {
         if (!one.due({0, others}, start + passed))
@@ -234,7 +235,7 @@
         std::to_string(seen.max_answers) + ", polls " +
         std::to_string(seen.polls) + ", reported after " +
         std::to_string(seen.reported_after) + " ms, after rechecks";
-    for (const auto one : seen.first_after)
+    for (const auto one : seen.recheck_delays)
         made += " " + std::to_string(one);
     return made;
 }
@@ -246,7 +247,7 @@
     made.answer_bytes = small_answer;
     made.rechecks = {30'000, 30'200, 61'500};
     made.published_at = 90'010;
-    made.seed = seed;
+    made.random_seed = seed;
     return made;
 }
 
@@ -254,7 +255,7 @@
 {
     INFO(describe(seen));
     CHECK(seen.max_fraction < max_fraction);
-    for (const auto after : seen.first_after)
+    for (const auto after : seen.recheck_delays)
         CHECK(after <= 1000);
     CHECK(seen.reported_after >= 0);
     CHECK(seen.reported_after <= 3000);
@@ -262,7 +263,7 @@
 
 } // namespace
 
-// Up to the number of entries that users state; each entry knows only the
+// Up to the size that users require, 340 entries; each entry knows only the
 // others that it hears.
 SCENARIO("polls of all entries do not load the source's link", "[fleet][size]")
 {
@@ -328,9 +329,10 @@
         CHECK(seen.max_fraction < max_fraction);
         THEN("the next entries take over")
         {
-            CHECK(*std::max_element(seen.first_after.begin(),
-                                    seen.first_after.end()) <= 1000);
+            CHECK(*std::max_element(seen.recheck_delays.begin(),
+                                    seen.recheck_delays.end()) <= 1000);
             CHECK(seen.reported_after >= 0);
+            // The interval of the second entry, the report delay, and slack.
             CHECK(seen.reported_after <= 4000 + 1000 + 500);
         }
     }
@@ -394,5 +396,7 @@
     INFO(describe(seen));
     CHECK(seen.max_fraction < max_fraction);
     CHECK(seen.reported_after >= 0);
+    // The interval of the first entry for such answers, the report delay, and
+    // slack.
     CHECK(seen.reported_after <= 104'000 + 2000);
 }
--- a/tests/fleet/poll_simulation.hpp
+++ b/tests/fleet/poll_simulation.hpp
@@ -53,13 +53,14 @@
      * peers. Two entries beyond them never hear of each other, unless one is a
      * seed. */
     std::size_t max_announced{1'000};
-    std::size_t seeds{3}; /*!< Entries that all others know from the start. */
+    /*! @brief Entries that all others know from the start. */
+    std::size_t seed_entries{3};
     std::vector<ms> rechecks; /*!< Times at which all request a recheck. */
     /*! @brief When a version is published that only the source has; -1 for
      * never. */
     ms published_at{-1};
     ms window{10'000}; /*!< For which the use of the link is measured. */
-    std::uint32_t seed{1};
+    std::uint32_t random_seed{1};
 };
 
 /*! @brief The measurements of a simulation. */
@@ -70,7 +71,7 @@
     double total_fraction{0};   /*!< Of the link, used over all. */
     std::size_t max_answers{0}; /*!< In any window. */
     /*! @brief Time from each recheck request to the next poll. */
-    std::vector<ms> first_after;
+    std::vector<ms> recheck_delays;
     /*! @brief Time from the publication until an entry reports the version; -1
      * for never. */
     ms reported_after{-1};
@@ -82,14 +83,14 @@
 public:
     explicit simulator(parameters given) : settings(std::move(given))
     {
-        std::minstd_rand random(settings.seed);
+        std::minstd_rand random(settings.random_seed);
         std::uniform_int_distribution<ms> start(0, 999);
         for (std::size_t at = 0; at < settings.entries; ++at)
             entries.emplace_back(static_cast<std::uint32_t>(random()),
                                  start(random));
         std::uniform_int_distribution<std::size_t> any(0, settings.entries - 1);
-        for (std::size_t at = 0; at < settings.seeds; ++at)
-            entries[any(random)].seed = true;
+        for (std::size_t at = 0; at < settings.seed_entries; ++at)
+            entries[any(random)].is_seed = true;
     }
 
     /*! @brief Returns the faults of an entry, to be changed before `run()`. */
@@ -120,7 +121,7 @@
 
     struct entry
     {
-        entry(std::uint32_t seed, ms start) : schedule(seed)
+        entry(std::uint32_t random_seed, ms start) : schedule(random_seed)
         {
             faults.starts = start;
         }
@@ -128,7 +129,7 @@
         cj::poll_schedule schedule;
         entry_faults faults;
         bool started{false};
-        bool seed{false};
+        bool is_seed{false};
         cj::entry_ranking ranking;
         ms in_flight_until{0};
     };
@@ -156,7 +157,7 @@
     [[nodiscard]] bool hears(std::size_t by, std::size_t other, ms now) const
     {
         const auto& own = entries[by].faults;
-        const bool known = entries[by].seed || entries[other].seed;
+        const bool known = entries[by].is_seed || entries[other].is_seed;
         const auto& one = entries[other].faults;
         if (by >= settings.max_announced && other >= settings.max_announced &&
             !known)
@@ -247,9 +248,9 @@
         }
         polled_at.push_back(now);
         const auto bytes = static_cast<double>(settings.answer_bytes);
-        link_free = std::max(link_free, static_cast<double>(now)) +
-                    bytes / settings.link_rate * 1000;
-        const auto answered = static_cast<ms>(link_free) + round_trip;
+        link_idle_at_ms = std::max(link_idle_at_ms, static_cast<double>(now)) +
+                          bytes / settings.link_rate * 1000;
+        const auto answered = static_cast<ms>(link_idle_at_ms) + round_trip;
         one.in_flight_until = answered;
         one.schedule.set_answer_size(settings.answer_bytes, settings.link_rate);
         if (settings.published_at >= 0 && now >= settings.published_at &&
@@ -279,7 +280,7 @@
         {
             const auto next =
                 std::lower_bound(polled_at.begin(), polled_at.end(), recheck);
-            made.first_after.push_back(
+            made.recheck_delays.push_back(
                 next == polled_at.end() ? settings.duration : *next - recheck);
         }
     }
@@ -287,7 +288,7 @@
     parameters settings;
     std::vector<entry> entries;
     std::vector<ms> polled_at;
-    double link_free{0}; /*!< Time at which the link is idle again. */
+    double link_idle_at_ms{0}; /*!< Time at which the link is idle again. */
     measurements made;
 };
 
--- a/tests/fleet/version_alarm.cpp
+++ b/tests/fleet/version_alarm.cpp
@@ -36,7 +36,7 @@
             }
         }
     }
-    WHEN("it began before it was detected")
+    WHEN("it is detected late: its duration counts from its beginning")
     {
         CHECK(condition.update(true, now - 8s) == change::began);
         CHECK(condition.duration(now) == 8s);
--- a/tests/fleet/version_convergence.cpp
+++ b/tests/fleet/version_convergence.cpp
@@ -67,9 +67,9 @@
 {
     std::size_t entries{3};
     std::vector<published_version> versions;
-    std::vector<fault> gaps;  /*!< No process can read the store. */
-    fault writes;             /*!< No process can write to the store. */
-    fault source;             /*!< The second source does not answer. */
+    std::vector<fault> store_unreadable; /*!< No process can read the store. */
+    fault store_unwritable;   /*!< No process can write to the store. */
+    fault source_unavailable; /*!< The second source does not answer. */
     std::vector<ms> restarts; /*!< All processes end, and new ones start. */
 };
 
@@ -185,15 +185,16 @@
     explicit simulator(scenario given) : events(std::move(given))
     {
         virtual_clock::passed() = 0;
-        ms at = 1'000;
+        ms publish_time = 1'000;
         for (std::size_t index = 0; index < events.versions.size(); ++index)
         {
             const auto& one = events.versions[index];
             const auto version = index + 2;
-            at += one.after;
-            writes.push_back({at, version, true});
+            publish_time += one.after;
+            writes.push_back({publish_time, version, true});
             if (one.late_write >= 0)
-                writes.push_back({at + one.late_write, version, false});
+                writes.push_back(
+                    {publish_time + one.late_write, version, false});
         }
         std::stable_sort(
             writes.begin(), writes.end(),
@@ -201,12 +202,13 @@
             { return left.at < right.at; });
         for (const auto& one : writes)
             last_fault_end = std::max(last_fault_end, one.at);
-        for (const auto& one : events.gaps)
+        for (const auto& one : events.store_unreadable)
             last_fault_end = std::max(last_fault_end, one.from + one.duration);
-        last_fault_end = std::max(last_fault_end,
-                                  events.source.from + events.source.duration);
+        last_fault_end =
+            std::max(last_fault_end, events.source_unavailable.from +
+                                         events.source_unavailable.duration);
         for (const auto one : events.restarts)
-            last_fault_end = std::max(last_fault_end, one + restart_time);
+            last_fault_end = std::max(last_fault_end, one + downtime);
     }
 
     /*! @brief Returns the first violation; empty for none. */
@@ -227,7 +229,7 @@
     }
 
 private:
-    static constexpr ms restart_time = 500;
+    static constexpr ms downtime = 500;
     static constexpr ms discovery_time = 800;
     static constexpr ms heartbeat_interval = 200;
 
@@ -241,7 +243,7 @@
     void start()
     {
         processes.clear();
-        for (std::size_t at = 0; at < events.entries; ++at)
+        for (std::size_t index = 0; index < events.entries; ++index)
             processes.push_back(std::make_unique<process>(source, ++seed));
         started_at = virtual_clock::passed();
         last_known.assign(events.entries, 0);
@@ -252,12 +254,12 @@
         virtual_clock::passed() = now;
         for (; written < writes.size() && writes[written].at <= now; ++written)
             write(writes[written]);
-        source.away = events.source.covers(now);
+        source.away = events.source_unavailable.covers(now);
         for (const auto at : events.restarts)
         {
             if (now >= at && now < at + tick)
                 processes.clear();
-            if (now >= at + restart_time && now < at + restart_time + tick)
+            if (now >= at + downtime && now < at + downtime + tick)
                 start();
         }
         read(now);
@@ -274,9 +276,9 @@
 
     void read(ms now)
     {
-        const bool unreadable =
-            std::any_of(events.gaps.begin(), events.gaps.end(),
-                        [&](const fault& one) { return one.covers(now); });
+        const bool unreadable = std::any_of(
+            events.store_unreadable.begin(), events.store_unreadable.end(),
+            [&](const fault& one) { return one.covers(now); });
         for (const auto& one : processes)
         {
             if (unreadable)
@@ -291,11 +293,12 @@
     void exchange(ms now)
     {
         const bool discovered = now - started_at >= discovery_time;
-        if (!processes.empty() && now % 500 == 0 && !events.writes.covers(now))
+        if (!processes.empty() && now % 500 == 0 &&
+            !events.store_unwritable.covers(now))
             processes.front()->write_record(store);
-        for (std::size_t at = 0; at < processes.size(); ++at)
-            processes[at]->poll(
-                discovered ? cj::entry_ranking{at, processes.size() - 1}
+        for (std::size_t index = 0; index < processes.size(); ++index)
+            processes[index]->poll(
+                discovered ? cj::entry_ranking{index, processes.size() - 1}
                            : cj::entry_ranking{});
         if (now % heartbeat_interval != 0 || !discovered)
             return;
@@ -310,14 +313,14 @@
      * none. */
     std::string check()
     {
-        for (std::size_t at = 0; at < processes.size(); ++at)
+        for (std::size_t index = 0; index < processes.size(); ++index)
         {
-            const auto newest = processes[at]->newest();
-            if (newest < last_known[at])
+            const auto newest = processes[index]->newest();
+            if (newest < last_known[index])
                 return "a process went back to " + std::to_string(newest);
             if (newest > events.versions.size() + 1)
                 return "a process knows a version that was never published";
-            last_known[at] = newest;
+            last_known[index] = newest;
         }
         return {};
     }
@@ -348,18 +351,20 @@
     scenario made;
     made.entries = static_cast<std::size_t>(random_between(1, 16));
     const auto versions = random_between(1, 6);
-    for (ms at = 0; at < versions; ++at)
+    for (ms index = 0; index < versions; ++index)
         made.versions.push_back(
             {random_between(100, 4'000),
              random_between(0, 2) == 0 ? -1 : random_between(100, 6'000)});
     const auto gaps = random_between(0, 4);
-    for (ms at = 0; at < gaps; ++at)
-        made.gaps.push_back(
+    for (ms index = 0; index < gaps; ++index)
+        made.store_unreadable.push_back(
             {random_between(0, 20'000), random_between(100, 8'000)});
-    made.writes = {random_between(0, 15'000), random_between(0, 15'000)};
-    made.source = {random_between(0, 15'000), random_between(0, 20'000)};
+    made.store_unwritable = {random_between(0, 15'000),
+                             random_between(0, 15'000)};
+    made.source_unavailable = {random_between(0, 15'000),
+                               random_between(0, 20'000)};
     const auto restarts = random_between(0, 3);
-    for (ms at = 0; at < restarts; ++at)
+    for (ms index = 0; index < restarts; ++index)
         made.restarts.push_back(random_between(10, 250) * tick);
     return made;
 }
@@ -381,7 +386,7 @@
     {
         scenario one;
         one.versions = {{1'000, 4'000}, {2'000, -1}};
-        one.gaps = {{3'500, 4'000}};
+        one.store_unreadable = {{3'500, 4'000}};
         CHECK(simulator(one).run().empty());
     }
     SECTION("version 3 is overwritten, and all processes restart before the "
@@ -389,18 +394,18 @@
     {
         scenario one;
         one.versions = {{1'000, 4'000}, {2'000, -1}};
-        one.gaps = {{3'500, 4'000}};
-        one.writes = {0, 20'000};
+        one.store_unreadable = {{3'500, 4'000}};
+        one.store_unwritable = {0, 20'000};
         one.restarts = {9'000};
         CHECK(simulator(one).run().empty());
     }
-    SECTION("version 3 is overwritten, and only the first of 40 entries polled "
-            "for it")
+    SECTION("version 3 is overwritten, and only the first of 40 entries had "
+            "their slot to poll")
     {
         scenario one;
         one.entries = 40;
         one.versions = {{1'000, 3'090}, {3'050, -1}};
-        one.writes = {0, 60'000};
+        one.store_unwritable = {0, 60'000};
         CHECK(simulator(one).run().empty());
     }
 }
--- a/tests/fleet/version_gossip.cpp
+++ b/tests/fleet/version_gossip.cpp
@@ -97,7 +97,7 @@
     {
         first.publish(3);
         CHECK(cj::versions_to_gossip(first.view, now).empty());
-        AND_WHEN("a late write reverts the version key")
+        AND_WHEN("a late write reverts the version key, and it is sent again")
         {
             first.publish(2);
             CHECK(first.view.newest("m") == 3);
@@ -128,7 +128,7 @@
     CHECK(peer.view.published_at("m", 3) == now);
 }
 
-SCENARIO("implausible versions from a peer are ignored", "[fleet]")
+SCENARIO("implausible values from a peer do no harm", "[fleet]")
 {
     process peer;
     peer.publish(2);
@@ -152,14 +152,13 @@
             peer.view, {{"m", 1, 0}, {"m", 0, 0}}, now));
         CHECK(peer.view.newest("m") == 2);
     }
-    SECTION("the greatest age")
+    SECTION("the greatest age saturates instead of wrapping around")
     {
         CHECK(cj::merge_gossiped_versions(peer.view,
                                           {{"m", 3, ~std::uint32_t{0}}}, now));
         CHECK(peer.view.published_at("m", 3) < now);
         const auto sent = cj::versions_to_gossip(peer.view, now + 1h);
         REQUIRE(sent.size() == 1);
-        // The age saturates instead of wrapping around.
         CHECK(sent[0].age_ms == ~std::uint32_t{0});
     }
 }
--- a/tests/fleet/version_poller.cpp
+++ b/tests/fleet/version_poller.cpp
@@ -72,9 +72,9 @@
 
     /*! @brief Advances the time in ticks. Polls are answered at once while
      * `answer` is set. */
-    void advance(cj::milliseconds longest)
+    void advance(cj::milliseconds duration)
     {
-        for (cj::milliseconds passed{0}; passed < longest; passed += tick)
+        for (cj::milliseconds passed{0}; passed < duration; passed += tick)
         {
             virtual_clock::time() += tick;
             poll_if_due("m");
@@ -346,6 +346,8 @@
     THEN("they report it soon after a recheck is requested")
     {
         entry.poller.request_recheck("test", virtual_clock::now());
+        // The report delay and ticks, a slot of 250 ms for each entry before
+        // this one, and the widest random spread, (1 + rank / 2)^2 slots.
         entry.advance(1200ms + rank * 250ms +
                       (rank + 2) * (rank + 2) * 250ms / 4);
         CHECK(entry.missed.size() == 1);
