--- a/src/coursejunction/rollout/agent_state.hpp
+++ b/src/coursejunction/rollout/agent_state.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What a side believes of its upstream, for whoever asks.
+ * @brief Snapshot of a sidecar's state for the state dump.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_AGENT_STATE_HPP
 #define COURSEJUNCTION_ROLLOUT_AGENT_STATE_HPP
@@ -14,24 +14,25 @@
 namespace coursejunction
 {
 
-/*! @brief How far a version is on its way to an upstream. */
+/*! @brief Progress of one version on its way to an upstream. */
 struct version_progress
 {
     std::uint64_t version{0};
-    std::size_t chunk_count{
-        0}; /*!< Of the manifest; 0 while that is missing. */
-    std::size_t held_chunks{0};
-    std::size_t staged_chunks{0}; /*!< Put to the upstream. */
+    std::size_t chunk_count{0}; /*!< In the manifest; 0 until it is known. */
+    std::size_t held_chunks{0}; /*!< Received and verified. */
+    /*! @brief Written to the upstream's staging area. */
+    std::size_t staged_chunks{0};
 };
 
-/*! @brief A side at one moment. */
+/*! @brief State of a sidecar at one moment. */
 struct agent_state
 {
-    std::optional<engine_report> upstream; /*!< As it was last read. */
-    bool reachable{false};
-    bool closing{false};
-    std::uint64_t ordered_version{0}; /*!< Of the last order; 0 for none. */
-    std::uint64_t staged_version{0};  /*!< Holds the staging area; 0: none. */
+    /*! @brief Last report; empty before the first. */
+    std::optional<engine_report> upstream;
+    bool reachable{false}; /*!< The last report could be read. */
+    bool closing{false};   /*!< Closed to requests in order to load. */
+    std::uint64_t ordered_version{0}; /*!< Of the last load command; 0: none. */
+    std::uint64_t staged_version{0};  /*!< Owns the staging area; 0: none. */
     std::size_t uploads_waiting{0};
     std::vector<version_progress> versions;
 };
--- a/src/coursejunction/rollout/assignment.cpp
+++ b/src/coursejunction/rollout/assignment.cpp
@@ -26,20 +26,20 @@
 } // namespace internal
 
 std::map<instance_id, deployment_name>
-assign_deployments(const configuration& wanted,
+assign_deployments(const configuration& config,
                    const std::vector<upstream_candidate>& upstreams)
 {
     std::map<instance_id, deployment_name> assigned;
-    for (const auto& [name, spec] : wanted.deployments())
+    for (const auto& [name, spec] : config.deployments())
     {
         for (const auto& where : spec.placements)
         {
             std::vector<instance_id> free;
-            for (const auto& one : upstreams)
+            for (const auto& upstream : upstreams)
             {
-                if (internal::matches(one, where) &&
-                    !assigned.contains(one.instance))
-                    free.push_back(one.instance);
+                if (internal::matches(upstream, where) &&
+                    !assigned.contains(upstream.instance))
+                    free.push_back(upstream.instance);
             }
             for (const auto& id :
                  rendezvous_rank(name.value(), free, where.count))
--- a/src/coursejunction/rollout/assignment.hpp
+++ b/src/coursejunction/rollout/assignment.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Which upstream runs which deployment; the same in every process
- * that sees the same configuration and instances.
+ * @brief Assigns deployments to upstreams; pure, so that every process with
+ * the same configuration and instances computes the same assignment.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_ASSIGNMENT_HPP
 #define COURSEJUNCTION_ROLLOUT_ASSIGNMENT_HPP
@@ -15,7 +15,7 @@
 namespace coursejunction
 {
 
-/*! @brief An upstream that may run a deployment. */
+/*! @brief An upstream that a deployment may be assigned to. */
 struct upstream_candidate
 {
     instance_id instance;
@@ -24,11 +24,12 @@
     std::vector<std::string> labels;
 };
 
-/*! @brief Places deployments on upstreams: deployments in order of name, in
- * each hall the first ranks of a rendezvous over upstreams still free. An
- * upstream that dies moves only its own deployment. */
+/*! @brief Assigns deployments in order of name. In each hall a deployment gets
+ * the upstreams that rank first by rendezvous hashing among those that match
+ * its labels and are still free, so that the loss of an upstream moves only the
+ * deployment that ran on it. */
 [[nodiscard]] std::map<instance_id, deployment_name>
-assign_deployments(const configuration& wanted,
+assign_deployments(const configuration& config,
                    const std::vector<upstream_candidate>& upstreams);
 
 } // namespace coursejunction
--- a/src/coursejunction/rollout/close_policy.hpp
+++ b/src/coursejunction/rollout/close_policy.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief When a side may close its upstream to load new weights; pure.
+ * @brief Decides when a sidecar may close its upstream to load new weights;
+ * pure.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_CLOSE_POLICY_HPP
 #define COURSEJUNCTION_ROLLOUT_CLOSE_POLICY_HPP
@@ -15,51 +16,57 @@
 namespace coursejunction
 {
 
-/*! @brief Limits of a rollout inside one hall. */
+/*! @brief Limits of a rolling update within one hall. */
 struct close_limits
 {
-    /*! @brief Part of a hall's upstreams that may be closed at once. */
+    /*! @brief Fraction of a hall's upstreams that may be closed at once. */
     double max_closed_fraction{0.34};
-    /*! @brief Time after which an upstream closes whatever the others do:
-     * `version_deadlines::close_deadline`. */
+    /*! @brief Time since a version was published after which an upstream
+     * closes whatever the others do: `version_deadlines::close_deadline`. */
     milliseconds close_deadline{5300};
 };
 
-/*! @brief Another side of the same hall, as it last told. */
+/*! @brief Another sidecar of the same hall, by its last report. */
 struct hall_peer
 {
     instance_id id;
-    bool closed{false}; /*!< Takes nothing new. */
-    bool ready{false};  /*!< Has the wanted version, but does not serve it. */
+    bool closed{false}; /*!< Its upstream takes no new requests. */
+    bool ready{false};  /*!< Has the new version complete, but not loaded. */
 };
 
-/*! @brief Tells whether a side may close now. Nobody grants it: each side
- * counts those that it hears, and ties go by rank. Sides that do not hear each
- * other may close together, which costs room for a moment but no rule.
- * @param known How long ago the version was named. */
+/*! @brief Tells whether a sidecar may close its upstream now. There is no
+ * coordinator: each sidecar counts the closed ones among those it hears from,
+ * and the rendezvous rank for the version decides who goes first. Sidecars that
+ * don't hear from each other may close together, which costs capacity for a
+ * moment but breaks no guarantee.
+ * @param version Key by which sidecars are ranked, `model_version::rank_key`.
+ * @param since_published Time since the version was published. */
 [[nodiscard]] inline bool may_close(const close_limits& limits,
                                     const instance_id& own,
                                     const std::vector<hall_peer>& others,
                                     const std::string& version,
-                                    std::chrono::microseconds known)
+                                    std::chrono::microseconds since_published)
 {
-    if (known >= limits.close_deadline)
+    if (since_published >= limits.close_deadline)
         return true;
-    const auto size = static_cast<double>(others.size() + 1);
-    const auto most = std::max<std::size_t>(
-        1, static_cast<std::size_t>(size * limits.max_closed_fraction + 0.5));
+    const auto hall_size = static_cast<double>(others.size() + 1);
+    const auto max_closed = std::max<std::size_t>(
+        1,
+        static_cast<std::size_t>(hall_size * limits.max_closed_fraction + 0.5));
     std::size_t closed = 0;
-    std::size_t before = 0;
-    const auto rank = rendezvous_weight(version, own.value());
-    for (const auto& one : others)
+    std::size_t ahead = 0;
+    const auto own_rank = rendezvous_weight(version, own.value());
+    for (const auto& peer : others)
     {
-        if (one.closed)
+        if (peer.closed)
             ++closed;
-        else if (one.ready && rendezvous_weight(version, one.id.value()) > rank)
-            ++before;
+        else if (peer.ready &&
+                 rendezvous_weight(version, peer.id.value()) > own_rank)
+            ++ahead;
     }
-    // Those before us may close first, as long as there is room for all.
-    return closed < most && before < most - closed;
+    // Those ranked ahead close first; this one closes if there is room for it
+    // beside them.
+    return closed < max_closed && ahead < max_closed - closed;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/rollout/fence.hpp
+++ b/src/coursejunction/rollout/fence.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Right of a side process to give orders to its upstream.
+ * @brief Whether this process is still the one that may control its upstream.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_FENCE_HPP
 #define COURSEJUNCTION_ROLLOUT_FENCE_HPP
@@ -11,97 +11,98 @@
 namespace coursejunction
 {
 
-/*! @brief Whether an order may be given now. */
+/*! @brief Whether a load command may be sent now. */
 enum class fence_state : std::uint8_t
 {
-    none,        /*!< No token yet: take one by compare-and-swap. */
-    unconfirmed, /*!< It must be read again that no later token exists. */
-    held,        /*!< An order may be given. */
-    lost         /*!< A later holder exists: never order again. */
+    none,        /*!< No token yet: acquire one by compare-and-swap. */
+    unconfirmed, /*!< Read first whether a later token exists. */
+    held,        /*!< A command may be sent. */
+    lost         /*!< A later holder exists: never send again. */
 };
 
-/*! @brief Holds the fencing token that this process took.
+/*! @brief The fencing token of this process, and whether it may still be used.
  *
- * An upstream that checks orders refuses an old token by itself. For one that
- * does not, the token is read again before each order, and always after this
- * process has been paused: a gap between two ticks means that it may have
- * slept while another took over. A process that was never paused and took its
- * token before an outage goes on during the outage, because nobody can take a
- * later token from a service that is down. */
+ * An upstream that checks tokens refuses an old one by itself. For one that
+ * does not, the newest token is read from the key-value service before each
+ * command, and always after this process was suspended: a gap between two ticks
+ * means that another process may have taken over meanwhile. A process that
+ * acquired its token before an outage of the service and was not suspended may
+ * go on during the outage, because nobody can acquire a later token from a
+ * service that is down. */
 class fence
 {
 public:
-    /*! @brief A longer gap between two ticks counts as a pause. */
-    static constexpr milliseconds pause_gap{1500};
+    /*! @brief A longer gap between two ticks counts as a suspension. */
+    static constexpr milliseconds suspension_gap{1500};
 
     /*! @param checked Whether the upstream refuses old tokens by itself. */
     explicit fence(bool checked) : upstream_checks(checked) {}
 
-    /*! @brief Called regularly.
-     * @return Whether a pause was noticed. */
+    /*! @brief Detects suspensions; must be called at intervals well below
+     * `suspension_gap`.
+     * @return Whether the process was suspended since the last call. */
     bool tick(time_point now)
     {
-        const bool paused = ticked && now - last_tick > pause_gap;
+        const bool suspended = ticked && now - last_tick > suspension_gap;
         ticked = true;
         last_tick = now;
-        if (paused)
-            doubt = true;
-        return paused;
+        if (suspended)
+            was_suspended = true;
+        return suspended;
     }
 
-    /*! @brief A token was taken. */
+    /*! @brief Notes a token that was acquired from the service. */
     void token_acquired(fencing_token token)
     {
-        if (superseded && token <= own)
+        if (superseded && token <= own_token)
             return;
-        own = token;
-        doubt = false;
-        fresh = true;
+        own_token = token;
+        was_suspended = false;
+        confirmed = true;
         superseded = false;
     }
 
-    /*! @brief The newest token was read from the service. */
+    /*! @brief Notes the newest token, as read from the service. */
     void newest_token_read(fencing_token newest)
     {
-        if (newest > own)
+        if (newest > own_token)
             superseded = true;
-        doubt = false;
-        fresh = true;
+        was_suspended = false;
+        confirmed = true;
     }
 
-    /*! @brief The service did not answer when asked to confirm: nobody can
-     * take a later token meanwhile, so a process that was not paused goes
+    /*! @brief Notes that the service did not answer the read. Nobody can
+     * acquire a later token meanwhile, so a process that was not suspended goes
      * on. */
-    void service_unreachable() { fresh = !doubt; }
+    void service_unreachable() { confirmed = !was_suspended; }
 
-    /*! @brief An order was given: the next one is confirmed anew. */
-    void command_sent() { fresh = false; }
+    /*! @brief Notes a command that was sent; the next one needs a new read. */
+    void command_sent() { confirmed = false; }
 
-    /*! @brief An upstream refused the token as old. */
+    /*! @brief Notes that the upstream refused the token as old. */
     void token_rejected() { superseded = true; }
 
-    /*! @brief Returns whether an order may be given now. */
     [[nodiscard]] fence_state state() const
     {
-        if (own.empty())
+        if (own_token.empty())
             return fence_state::none;
         if (superseded)
             return fence_state::lost;
-        if (!upstream_checks && (doubt || !fresh))
+        if (!upstream_checks && (was_suspended || !confirmed))
             return fence_state::unconfirmed;
         return fence_state::held;
     }
 
-    /*! @brief Returns the token; empty before one was taken. */
-    [[nodiscard]] fencing_token token() const noexcept { return own; }
+    /*! @brief Returns the token; empty before one was acquired. */
+    [[nodiscard]] fencing_token token() const noexcept { return own_token; }
 
 private:
     bool upstream_checks;
     bool ticked{false};
-    bool doubt{false};
-    bool fresh{false};
+    bool was_suspended{false};
+    bool confirmed{false};
     bool superseded{false};
-    fencing_token own;
+    fencing_token own_token;
     time_point last_tick{};
 };
 
--- a/src/coursejunction/rollout/fwd.hpp
+++ b/src/coursejunction/rollout/fwd.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Declares the types of the rollout module.
+ * @brief Forward declarations of the rollout module.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_FWD_HPP
 #define COURSEJUNCTION_ROLLOUT_FWD_HPP
--- a/src/coursejunction/rollout/permit_table.hpp
+++ b/src/coursejunction/rollout/permit_table.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Limits how many replicas of a deployment are closed in a hall.
+ * @brief Limits how many replicas of a deployment are closed at once in a
+ * hall.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_PERMIT_TABLE_HPP
 #define COURSEJUNCTION_ROLLOUT_PERMIT_TABLE_HPP
@@ -14,24 +15,26 @@
 namespace coursejunction
 {
 
-/*! @brief Grants permits to close, in the memory of one entry of the hall. It
- * needs no service: an entry grants only after it has listened for a settling
- * time, so it knows of replicas that another entry let close. Two entries that
- * both think they are first overshoot to at most twice the limit. */
+/*! @brief Permits to close a replica, kept in the memory of the hall's first
+ * entry. It needs no external service: an entry grants permits only after it
+ * has received reports for a settling time, so that it knows of the replicas
+ * that its predecessor let close. Two entries that both take themselves for the
+ * first close at most twice the limit. */
 class permit_table
 {
 public:
-    /*! @brief How long a permit counts when nothing more is heard. */
+    /*! @brief A permit expires this long after it was granted, or after the
+     * last report that the replica is closed. */
     static constexpr milliseconds validity{10'000};
 
-    /*! @param start When this entry started to hear reports.
-     * @param settling How long it listens before it grants. */
+    /*! @param start When this entry began to receive reports.
+     * @param settling Time before it grants permits. */
     permit_table(time_point start, milliseconds settling)
         : grants_from(start + settling)
     {
     }
 
-    /*! @brief Asks for a permit.
+    /*! @brief Requests a permit; one that is granted already is renewed.
      * @param limit Replicas of the deployment that may be closed in the hall.
      * @return Whether it is granted. */
     [[nodiscard]] bool request(const deployment_name& deployment,
@@ -40,28 +43,32 @@
     {
         if (now < grants_from)
             return false;
-        auto& held = closed[deployment];
-        std::erase_if(held, [&](const auto& one) { return one.second < now; });
-        if (!held.contains(instance) && held.size() >= limit)
+        auto& permits = permits_by_deployment[deployment];
+        std::erase_if(permits,
+                      [&](const auto& one) { return one.second < now; });
+        if (!permits.contains(instance) && permits.size() >= limit)
             return false;
-        held[instance] = now + validity;
+        permits[instance] = now + validity;
         return true;
     }
 
-    /*! @brief Takes a report: a closed replica counts, whoever let it close;
-     * one that is open again counts no more once it has changed. */
+    /*! @brief Applies a report. A closed replica counts, whichever entry
+     * granted the permit; an open one no longer counts unless it still waits
+     * for its permit.
+     * @param waiting The replica waits for a permit. */
     void update_replica(const deployment_name& deployment,
                         const instance_id& instance, bool is_closed,
                         bool waiting, time_point now)
     {
-        auto& held = closed[deployment];
+        auto& permits = permits_by_deployment[deployment];
         if (is_closed)
-            held[instance] = now + validity;
+            permits[instance] = now + validity;
         else if (!waiting)
-            held.erase(instance);
+            permits.erase(instance);
     }
 
-    /*! @brief Starts the settling time anew, when the hall's entries change. */
+    /*! @brief Grants nothing before a time; for when the hall's entries
+     * change. */
     void delay_grants_until(time_point when)
     {
         grants_from = std::max(grants_from, when);
@@ -71,13 +78,14 @@
     [[nodiscard]] std::size_t
     closed_count(const deployment_name& deployment) const
     {
-        const auto found = closed.find(deployment);
-        return found == closed.end() ? 0 : found->second.size();
+        const auto found = permits_by_deployment.find(deployment);
+        return found == permits_by_deployment.end() ? 0 : found->second.size();
     }
 
 private:
     time_point grants_from;
-    std::map<deployment_name, std::map<instance_id, time_point>> closed;
+    std::map<deployment_name, std::map<instance_id, time_point>>
+        permits_by_deployment;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/rollout/replica.hpp
+++ b/src/coursejunction/rollout/replica.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Life of one replica: from what its upstream serves to what the
- * configuration wants it to serve.
+ * @brief State machine that brings one replica from the version that its
+ * upstream serves to the version that the configuration asks for.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_REPLICA_HPP
 #define COURSEJUNCTION_ROLLOUT_REPLICA_HPP
@@ -17,21 +17,21 @@
 namespace coursejunction
 {
 
-/*! @brief Where a replica stands. */
+/*! @brief Phase of a replica. */
 enum class replica_phase : std::uint8_t
 {
-    unknown,  /*!< What the upstream serves has not been read yet. */
-    idle,     /*!< Nothing is wanted. */
-    staging,  /*!< Fetches the wanted version; still serves the old one. */
-    waiting,  /*!< Has it whole; waits for a permit to close. */
-    draining, /*!< Closed; requests in progress finish. */
-    loading,  /*!< The order to load is out. */
-    checking, /*!< Reads back what the upstream serves. */
-    serving,  /*!< Serves the wanted version. */
-    failed    /*!< Waits to try again. */
+    unknown,  /*!< The served version has not been read yet. */
+    idle,     /*!< No deployment is assigned. */
+    staging,  /*!< Fetches the target version; serves the old one. */
+    waiting,  /*!< Staging is complete; waits for a permit to close. */
+    draining, /*!< Closed; waits until requests in progress finish. */
+    loading,  /*!< The load command was sent. */
+    checking, /*!< Reads back the version that the upstream serves. */
+    serving,  /*!< Serves the target version. */
+    failed    /*!< Waits for the next attempt. */
 };
 
-/*! @brief Returns the name of a phase for people and status. */
+/*! @brief Returns the name of a phase, as status reports and logs have it. */
 [[nodiscard]] constexpr std::string_view to_string(replica_phase phase)
 {
     switch (phase)
@@ -58,17 +58,17 @@
     return "unknown";
 }
 
-/*! @brief What the daemon is to do for the replica. */
+/*! @brief What the caller of `replica::next_action` has to do. */
 enum class replica_action : std::uint8_t
 {
     none,
-    read_upstream,    /*!< Ask the upstream what it serves. */
-    stage,            /*!< Start or go on fetching `wanted`. */
-    request_permit,   /*!< Ask the hall's entries for a permit to close. */
-    send_load_command /*!< Take a fencing token and order the load. */
+    read_upstream,    /*!< Read which version the upstream serves. */
+    stage,            /*!< Start or continue to fetch the target version. */
+    request_permit,   /*!< Request a permit to close from the hall's entries. */
+    send_load_command /*!< Acquire a fencing token and send the command. */
 };
 
-/*! @brief What a replica is to serve. */
+/*! @brief What a replica should serve. */
 struct replica_target
 {
     deployment_name name;
@@ -81,149 +81,154 @@
                            const replica_target&) = default;
 };
 
-/*! @brief State machine of one replica. Pure: `next_action` says what to do,
- * the other members say what happened. The gate is open only while the upstream
- * was read to serve one whole version. */
+/*! @brief State machine of one replica; pure. `next_action` returns what to do,
+ * and the other modifiers report what happened. Requests are accepted only
+ * while the upstream is known to serve one complete version. */
 class replica
 {
 public:
-    static constexpr milliseconds retry_least{500};
-    static constexpr milliseconds retry_most{30'000};
-    static constexpr milliseconds permit_retry{200};
-    static constexpr milliseconds read_retry{500};
+    static constexpr milliseconds min_retry_delay{500};
+    static constexpr milliseconds max_retry_delay{30'000};
+    static constexpr milliseconds permit_interval{200};
+    static constexpr milliseconds read_interval{500};
 
-    /*! @brief Sets what is wanted; a changed version stops the way to the
-     * one before, wherever it stood. */
+    /*! @brief Sets the target, or none. A changed version ends the update to
+     * the previous one in whichever phase it is, except that a load command
+     * that was sent is read back first. */
     void set_target(std::optional<replica_target> target)
     {
-        if (target == wanted_target)
+        if (target == desired_target)
             return;
-        const bool same_version = target && wanted_target &&
-                                  target->version == wanted_target->version &&
-                                  target->adapter == wanted_target->adapter;
-        wanted_target = std::move(target);
+        const bool same_version = target && desired_target &&
+                                  target->version == desired_target->version &&
+                                  target->adapter == desired_target->adapter;
+        desired_target = std::move(target);
         if (same_version)
             return;
         failures = 0;
-        why.clear();
-        staged_whole = false;
-        // An order that is out must be read back before anything else.
-        if (phase_now != replica_phase::loading &&
-            phase_now != replica_phase::checking &&
-            phase_now != replica_phase::unknown)
-            settle();
+        last_error.clear();
+        staging_complete = false;
+        // The effect of a load command must be read back before anything else.
+        if (current_phase != replica_phase::loading &&
+            current_phase != replica_phase::checking &&
+            current_phase != replica_phase::unknown)
+            update_phase();
     }
 
-    /*! @brief The wanted version is whole and verified. */
+    /*! @brief Notes that a version is fully staged and verified. */
     void staging_completed(const digest& version)
     {
-        if (!wanted_target || wanted_target->version != version)
+        if (!desired_target || desired_target->version != version)
             return;
-        staged_whole = true;
-        if (phase_now == replica_phase::staging)
-            phase_now = replica_phase::waiting;
+        staging_complete = true;
+        if (current_phase == replica_phase::staging)
+            current_phase = replica_phase::waiting;
     }
 
-    /*! @brief The upstream lost what was staged: it must be handed over
-     * again. */
+    /*! @brief Notes that the upstream lost its staging area: the version must
+     * be staged again. */
     void staging_lost()
     {
-        staged_whole = false;
-        if (phase_now == replica_phase::waiting)
-            phase_now = replica_phase::staging;
+        staging_complete = false;
+        if (current_phase == replica_phase::waiting)
+            current_phase = replica_phase::staging;
     }
 
-    /*! @brief The wanted version cannot be had now. */
+    /*! @brief Notes that the target version can't be fetched for now. */
     void staging_failed(std::string reason, time_point now)
     {
-        if (phase_now == replica_phase::staging)
-            fail(std::move(reason), now);
+        if (current_phase == replica_phase::staging)
+            enter_failed(std::move(reason), now);
     }
 
-    /*! @brief A permit to close came. */
+    /*! @brief Notes a permit to close for a version. */
     void permit_granted(const digest& version, time_point)
     {
-        if (wanted_target && wanted_target->version == version &&
-            phase_now == replica_phase::waiting && !wanted_target->paused)
+        if (desired_target && desired_target->version == version &&
+            current_phase == replica_phase::waiting && !desired_target->paused)
         {
-            phase_now = replica_phase::draining;
+            current_phase = replica_phase::draining;
         }
     }
 
-    /*! @brief The upstream answered the order. */
+    /*! @brief Notes the outcome of the load command.
+     * @param done Whether the upstream confirmed it; if not, the served version
+     * still decides, since only the response may have been lost. */
     void load_finished(bool done, std::string reason, time_point now)
     {
-        if (phase_now != replica_phase::loading)
+        if (current_phase != replica_phase::loading)
             return;
         if (!done)
-            why = std::move(reason);
-        load_refused = !done;
-        phase_now = replica_phase::checking;
-        action_at = now;
+            last_error = std::move(reason);
+        load_failed = !done;
+        current_phase = replica_phase::checking;
+        next_action_at = now;
     }
 
-    /*! @brief The upstream said what it serves; empty means nothing. */
+    /*! @brief Notes the version that the upstream serves; empty for none. */
     void version_read(const digest& version, time_point now)
     {
-        serving_now = version;
-        if (phase_now == replica_phase::checking && load_refused)
+        served_version = version;
+        if (current_phase == replica_phase::checking && load_failed)
         {
-            load_refused = false;
-            if (!matches())
-                return fail(why, now);
+            load_failed = false;
+            if (!serves_target())
+                return enter_failed(last_error, now);
         }
-        if (phase_now == replica_phase::checking ||
-            phase_now == replica_phase::unknown)
-            settle();
-        else if (phase_now == replica_phase::serving && !matches())
-            settle();
-        if (phase_now == replica_phase::serving)
+        if (current_phase == replica_phase::checking ||
+            current_phase == replica_phase::unknown)
+            update_phase();
+        else if (current_phase == replica_phase::serving && !serves_target())
+            update_phase();
+        if (current_phase == replica_phase::serving)
         {
             failures = 0;
-            why.clear();
+            last_error.clear();
         }
     }
 
-    /*! @brief The upstream did not say what it serves: nothing is known. */
+    /*! @brief Notes that the served version could not be read and is unknown.
+     */
     void version_read_failed(std::string reason, time_point now)
     {
-        why = std::move(reason);
-        if (phase_now != replica_phase::checking)
-            phase_now = replica_phase::unknown;
-        action_at = now + read_retry;
+        last_error = std::move(reason);
+        if (current_phase != replica_phase::checking)
+            current_phase = replica_phase::unknown;
+        next_action_at = now + read_interval;
     }
 
-    /*! @brief Forgets what the upstream serves, so that it is read again. */
+    /*! @brief Forgets the served version, so that it is read again at once. */
     void invalidate()
     {
-        if (phase_now != replica_phase::loading)
-            phase_now = replica_phase::unknown;
-        action_at = time_point{};
+        if (current_phase != replica_phase::loading)
+            current_phase = replica_phase::unknown;
+        next_action_at = time_point{};
     }
 
-    /*! @brief Returns what to do now.
+    /*! @brief Returns what to do now; called regularly.
      * @param running Requests in progress at the upstream. */
     [[nodiscard]] replica_action next_action(std::size_t running,
                                              time_point now)
     {
-        switch (phase_now)
+        switch (current_phase)
         {
         case replica_phase::unknown:
         case replica_phase::checking:
-            return at_most(replica_action::read_upstream, read_retry, now);
+            return rate_limited(replica_action::read_upstream, read_interval,
+                                now);
         case replica_phase::failed:
-            if (now < action_at)
+            if (now < next_action_at)
                 return replica_action::none;
-            settle();
+            update_phase();
             return replica_action::stage;
         case replica_phase::staging:
             return replica_action::stage;
         case replica_phase::waiting:
-            return next_waiting(now);
+            return next_while_waiting(now);
         case replica_phase::draining:
             if (running > 0)
                 return replica_action::none;
-            phase_now = replica_phase::loading;
+            current_phase = replica_phase::loading;
             return replica_action::send_load_command;
         case replica_phase::loading:
         case replica_phase::serving:
@@ -233,97 +238,102 @@
         return replica_action::none;
     }
 
-    /*! @brief Tells whether new requests may run at the upstream. */
+    /*! @brief Tells whether the upstream may be sent new requests. */
     [[nodiscard]] bool accepts_requests() const
     {
-        return !serving_now.empty() && (phase_now == replica_phase::idle ||
-                                        phase_now == replica_phase::staging ||
-                                        phase_now == replica_phase::waiting ||
-                                        phase_now == replica_phase::serving ||
-                                        phase_now == replica_phase::failed);
+        return !served_version.empty() &&
+               (current_phase == replica_phase::idle ||
+                current_phase == replica_phase::staging ||
+                current_phase == replica_phase::waiting ||
+                current_phase == replica_phase::serving ||
+                current_phase == replica_phase::failed);
     }
 
-    /*! @brief Tells whether the replica is closed for a load. */
+    /*! @brief Tells whether the replica takes no requests because of a load. */
     [[nodiscard]] bool closed_for_load() const
     {
-        return phase_now == replica_phase::draining ||
-               phase_now == replica_phase::loading ||
-               phase_now == replica_phase::checking;
+        return current_phase == replica_phase::draining ||
+               current_phase == replica_phase::loading ||
+               current_phase == replica_phase::checking;
     }
 
-    [[nodiscard]] replica_phase phase() const noexcept { return phase_now; }
+    [[nodiscard]] replica_phase phase() const noexcept { return current_phase; }
     [[nodiscard]] const digest& serving_version() const noexcept
     {
-        return serving_now;
+        return served_version;
     }
     [[nodiscard]] const std::string& failure_reason() const noexcept
     {
-        return why;
+        return last_error;
     }
     [[nodiscard]] const std::optional<replica_target>& target() const noexcept
     {
-        return wanted_target;
+        return desired_target;
     }
 
 private:
-    [[nodiscard]] bool matches() const
+    [[nodiscard]] bool serves_target() const
     {
-        return wanted_target && wanted_target->version == serving_now;
+        return desired_target && desired_target->version == served_version;
     }
 
-    /*! @brief Takes the phase that follows from what is wanted and served. */
-    void settle()
+    /*! @brief Derives the phase from the target, the served version and the
+     * staging. */
+    void update_phase()
     {
-        if (!wanted_target)
-            phase_now = replica_phase::idle;
-        else if (matches())
-            phase_now = replica_phase::serving;
+        if (!desired_target)
+            current_phase = replica_phase::idle;
+        else if (serves_target())
+            current_phase = replica_phase::serving;
         else
-            phase_now =
-                staged_whole ? replica_phase::waiting : replica_phase::staging;
+            current_phase = staging_complete ? replica_phase::waiting
+                                             : replica_phase::staging;
     }
 
-    void fail(std::string reason, time_point now)
+    void enter_failed(std::string reason, time_point now)
     {
-        why = std::move(reason);
-        phase_now = replica_phase::failed;
-        constexpr unsigned most_doublings = 6;
-        const auto wait = retry_least * (std::int64_t{1}
-                                         << std::min(failures, most_doublings));
-        action_at = now + std::min(wait, retry_most);
+        last_error = std::move(reason);
+        current_phase = replica_phase::failed;
+        constexpr unsigned max_doublings = 6;
+        const auto delay =
+            min_retry_delay *
+            (std::int64_t{1} << std::min(failures, max_doublings));
+        next_action_at = now + std::min(delay, max_retry_delay);
         ++failures;
     }
 
-    replica_action next_waiting(time_point now)
+    replica_action next_while_waiting(time_point now)
     {
-        if (wanted_target->paused)
+        if (desired_target->paused)
             return replica_action::none;
-        // Nothing is served: closing takes nothing away.
-        if (serving_now.empty())
+        // Nothing is served, so that closing costs no capacity.
+        if (served_version.empty())
         {
-            phase_now = replica_phase::loading;
+            current_phase = replica_phase::loading;
             return replica_action::send_load_command;
         }
-        return at_most(replica_action::request_permit, permit_retry, now);
+        return rate_limited(replica_action::request_permit, permit_interval,
+                            now);
     }
 
-    replica_action at_most(replica_action action, milliseconds each,
-                           time_point now)
+    /*! @brief Returns an action at most once per interval. */
+    replica_action rate_limited(replica_action action, milliseconds interval,
+                                time_point now)
     {
-        if (now < action_at)
+        if (now < next_action_at)
             return replica_action::none;
-        action_at = now + each;
+        next_action_at = now + interval;
         return action;
     }
 
-    replica_phase phase_now{replica_phase::unknown};
-    std::optional<replica_target> wanted_target;
-    digest serving_now;
-    std::string why;
-    bool staged_whole{false};
-    bool load_refused{false};
+    replica_phase current_phase{replica_phase::unknown};
+    std::optional<replica_target> desired_target;
+    digest served_version;
+    std::string last_error;
+    bool staging_complete{false};
+    bool load_failed{false};
     unsigned failures{0};
-    time_point action_at{};
+    time_point next_action_at{};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/rollout/report_order.hpp
+++ b/src/coursejunction/rollout/report_order.hpp
@@ -1,9 +1,10 @@
 /*! @file
- * @brief How a report of an upstream stands to the one before it; pure.
+ * @brief Compares a report of an upstream with the previous one; pure.
  *
- * An upstream that starts again under its id holds and knows nothing of before,
- * and its counts start anew: a report that reads like the last one may be of
- * another life. One of an earlier life that comes late never brings it back.
+ * An upstream that restarts under its id has lost its weights, and its counters
+ * start at 0 again, so that a report may equal the previous one although it is
+ * of a later incarnation. A delayed report of an earlier incarnation must be
+ * discarded.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_REPORT_ORDER_HPP
 #define COURSEJUNCTION_ROLLOUT_REPORT_ORDER_HPP
@@ -15,33 +16,36 @@
 namespace coursejunction
 {
 
-/*! @brief What a report is to the one before it. */
+/*! @brief How a report relates to the previous one. */
 enum class report_order : std::uint8_t
 {
-    follows,   /*!< Of the same life, as late or later. */
-    restarted, /*!< The upstream has started again since. */
-    outdated   /*!< Of an earlier life, or of an earlier moment. */
+    follows,   /*!< Of the same incarnation, not older. */
+    restarted, /*!< The upstream has restarted since. */
+    outdated   /*!< Of an earlier incarnation, or older. */
 };
 
-/*! @brief Compares two reports.
- * @param closing Whether an order to load is out or about to be given, which
- * takes weights away in the same life. */
-[[nodiscard]] inline report_order
-order_of(const engine_report& before, const engine_report& told, bool closing)
+/*! @brief Classifies a report by the previous one.
+ * @param closing Whether a load command was sent or is about to be sent: it
+ * unloads the weights without a restart. */
+[[nodiscard]] inline report_order classify_report(const engine_report& previous,
+                                                  const engine_report& report,
+                                                  bool closing)
 {
-    if (!before.life.empty() && !told.life.empty())
+    if (!previous.life.empty() && !report.life.empty())
     {
-        if (told.life > before.life)
+        if (report.life > previous.life)
             return report_order::restarted;
-        return told.life < before.life || told.sequence < before.sequence
+        return report.life < previous.life ||
+                       report.sequence < previous.sequence
                    ? report_order::outdated
                    : report_order::follows;
     }
-    // Lives are not told: orders that are forgotten, or weights that go without
-    // an order, show a restart, but for one between two orders of none.
+    // Without incarnations a restart shows in a lower count of load commands,
+    // or in weights that vanish without a command. A restart before the first
+    // command with the same weights goes unnoticed.
     const bool lost_weights =
-        told.version == 0 && before.version != 0 && !closing;
-    return told.sequence < before.sequence || lost_weights
+        report.version == 0 && previous.version != 0 && !closing;
+    return report.sequence < previous.sequence || lost_weights
                ? report_order::restarted
                : report_order::follows;
 }
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief The side role: brings the upstream of its instance to the version
- * that is named, and tells the entries what it does.
+ * @brief The sidecar's control loop: brings the upstream on its instance to the
+ * newest published version and reports its state to the entries.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_UPSTREAM_AGENT_HPP
 #define COURSEJUNCTION_ROLLOUT_UPSTREAM_AGENT_HPP
@@ -31,38 +31,42 @@
 namespace coursejunction
 {
 
-/*! @brief Times of the side role. */
+/*! @brief Intervals, timeouts and limits of a sidecar. */
 struct agent_options
 {
-    /*! @brief How often the upstream's state is read; entries place requests
-     * by it, and 12 upstreams get some 10 requests a second each. */
+    /*! @brief How often the upstream's report is read. Entries place requests
+     * by it, and each of 12 upstreams gets some 10 requests a second. */
     milliseconds poll_interval{50};
-    /*! @brief How often chunks are told to the hall while they come; one
-     * chunk takes 35 ms on a side's link. */
+    /*! @brief How often the held chunks are announced to the hall during a
+     * transfer; one chunk takes 35 ms on a sidecar's link. */
     milliseconds announce_interval{90};
-    /*! @brief How long after a version was named some side may still fetch it:
-     * the time that a version has. */
+    /*! @brief How long after a version was published other sidecars may still
+     * fetch it: the time until it is enforced. */
     milliseconds fetch_window{8000};
-    /*! @brief Time after which entries send nothing to weights older than a
-     * version that was named: `version_deadlines::send_deadline`. */
+    /*! @brief Time since a version was published after which entries send no
+     * requests to older weights: `version_deadlines::send_deadline`. */
     milliseconds send_deadline{6000};
-    /*! @brief Between the news that the upstream closes and the order, so that
-     * requests on their way still arrive before it. */
+    /*! @brief Time between the announcement that the upstream closes and the
+     * load command, so that requests already sent arrive before the command. */
     milliseconds close_propagation_delay{30};
-    /*! @brief How long running requests may finish before the order cuts the
-     * rest, which entries resume elsewhere. A whole drain takes 2 s and more,
-     * so that three rounds of it would not fit into a version's 8 s; two
-     * thirds of the streams end within 800 ms. */
+    /*! @brief How long running requests may finish before the load command
+     * aborts the others, which entries resume elsewhere. Two thirds of the
+     * streams end within 800 ms. A complete drain takes 2 s and more, and the
+     * three rounds of a rolling update would not fit into the 8 s of a version.
+     */
     milliseconds drain_timeout{800};
-    /*! @brief Without effect for this long, an order is given again. */
+    /*! @brief A load command that had no effect for this long is sent again. */
     milliseconds load_timeout{5000};
-    /*! @brief Rate of the instance's link; zero for no limit. */
+    /*! @brief Rate of the instance's link, by which uploads are paced; zero for
+     * no limit. */
     byte_rate link_rate{0};
     close_limits closing_limits;
 };
 
-/*! @brief Acts for one upstream.
- * @tparam Platform Names the `store`, `catalogue`, `engine` and `origin`. */
+/*! @brief Controls one upstream. All members run on the thread of the event
+ * loop.
+ * @tparam Platform Defines the types `store`, `catalogue`, `engine` and
+ * `origin`. */
 template <typename Platform>
 class upstream_agent
 {
@@ -73,84 +77,88 @@
     using node_type = fleet_node<store_type>;
     using transfer_type = chunk_transfer<engine_type, origin_type>;
 
-    upstream_agent(event_loop& owner, node_type& peers, engine_type& beside,
-                   origin_type& weights, metrics& counted, agent_options set)
-        : loop(owner), node(peers), engine(beside), origin(weights),
-          counters(counted), options(set), own(node.settings().address),
-          uploads(owner, set.link_rate)
+    upstream_agent(event_loop& main_loop, node_type& own_node,
+                   engine_type& local_engine, origin_type& weight_origin,
+                   metrics& metric_sink, agent_options settings)
+        : loop(main_loop), node(own_node), engine(local_engine),
+          origin(weight_origin), counters(metric_sink), options(settings),
+          own_address(node.settings().address),
+          uploads(main_loop, settings.link_rate)
     {
     }
 
-    /*! @brief Starts to act. */
+    /*! @brief Joins the fleet and starts the timers. */
     void start()
     {
         fleet_hooks hooks;
         hooks.changed = [this](const std::vector<std::string>& keys, bool)
-        { changed(keys); };
+        { keys_changed(keys); };
         hooks.overwritten = [this](const message::mirror_item& one)
         { fleet.pass(one, event_loop::now()); };
         hooks.heard =
             [this](const std::string& from, const message::fleet_heartbeat& one)
-        { heard(from, one); };
+        { heartbeat_received(from, one); };
         hooks.describe =
             [this](message::fleet_heartbeat& into, chunk_detail detail)
-        { describe(into, detail); };
+        { fill_heartbeat(into, detail); };
         hooks.request = [this](stream_request request, stream_reply reply)
         { serve_peer(request, std::move(reply)); };
-        hooks.spreading = [this] { return spreading_now(); };
+        hooks.spreading = [this] { return transfers_active(); };
         node.start(std::move(hooks));
-        polling = loop.every(options.poll_interval, [this] { poll(); });
-        spreading = loop.every(options.announce_interval, [this] { spread(); });
+        poll_timer = loop.every(options.poll_interval, [this] { poll(); });
+        announce_timer = loop.every(options.announce_interval,
+                                    [this] { announce_chunks(); });
     }
 
     [[nodiscard]] const fleet_view<Platform>& view() const { return fleet; }
 
-    /*! @brief Returns what this side believes now. */
+    /*! @brief Returns a snapshot for the state dump. */
     [[nodiscard]] agent_state state() const
     {
-        agent_state made;
-        made.upstream = last;
-        made.reachable = reachable;
-        made.closing = closing;
-        made.ordered_version = ordered_version;
-        made.staged_version = staged_version;
-        made.uploads_waiting = uploads.size();
-        for (const auto& [version, one] : transfers)
-            made.versions.push_back(one->progress());
-        return made;
+        agent_state snapshot;
+        snapshot.upstream = last_report;
+        snapshot.reachable = reachable;
+        snapshot.closing = closing;
+        snapshot.ordered_version = load_version;
+        snapshot.staged_version = staged_version;
+        snapshot.uploads_waiting = uploads.size();
+        for (const auto& [version, transfer] : transfers)
+            snapshot.versions.push_back(transfer->progress());
+        return snapshot;
     }
 
 private:
-    // --- What is wanted --------------------------------------------------
+    // --- Versions to fetch -----------------------------------------------
 
-    void changed(const std::vector<std::string>& keys)
+    void keys_changed(const std::vector<std::string>& keys)
     {
         fleet.update(node.mirror(), keys);
-        for (const auto& [id, one] : fleet.upstreams())
+        for (const auto& [id, upstream] : fleet.upstreams())
         {
-            if (!one.weights.empty() || has_engine(one))
-                node.name_side(host_of(one.address), one.hall);
+            if (!upstream.weights.empty() || has_engine(upstream))
+                node.name_side(host_of(upstream.address), upstream.hall);
         }
-        decide();
+        update();
     }
 
-    [[nodiscard]] bool has_engine(const upstream_record& one) const
+    [[nodiscard]] bool has_engine(const upstream_record& upstream) const
     {
-        const auto* rules = fleet.rules();
+        const auto* config = fleet.rules();
         const auto* service =
-            rules != nullptr ? rules->service(one.service) : nullptr;
+            config != nullptr ? config->service(upstream.service) : nullptr;
         return service != nullptr && service->engine.has_value();
     }
 
-    /*! @brief Returns the model that this upstream is for. */
+    /*! @brief Returns the model that this upstream serves; by the configuration
+     * while the upstream reports none. */
     [[nodiscard]] std::string model() const
     {
-        if (last && !last->model.empty())
-            return last->model;
-        const auto* rules = fleet.rules();
-        if (rules == nullptr)
+        if (last_report && !last_report->model.empty())
+            return last_report->model;
+        const auto* config = fleet.rules();
+        if (config == nullptr)
             return {};
-        for (const auto& [name, service] : rules->services)
+        for (const auto& [name, service] : config->services)
         {
             if (service.engine && !service.engine->models.empty())
                 return service.engine->models.front();
@@ -158,194 +166,207 @@
         return {};
     }
 
-    void decide()
+    /*! @brief Takes the next step after a report, a heartbeat or a change of
+     * the store's keys. */
+    void update()
     {
         const auto name = model();
-        if (name.empty() || !last)
+        if (name.empty() || !last_report)
             return;
-        const auto serves = last->version;
+        const auto served = last_report->version;
         const auto newest = fleet.newest(name);
-        drop_transfers(name, serves, newest);
-        want({name, newest});
+        drop_transfers(name, served, newest);
+        add_transfer({name, newest});
         if (closing)
         {
-            if (serves == ordered_version)
-                opened();
-            return await_order();
+            if (served == load_version)
+                load_completed();
+            return check_load_timeout();
         }
-        if (serves == newest)
+        if (served == newest)
             return;
-        fetch(serves);
-        advance(assign_staging(serves));
+        fetch_in_order(served);
+        verify_and_close(assign_staging(served));
     }
 
-    /*! @brief Forgets versions that no longer matter: older than what is
-     * served, of another model, overtaken, or passed over before they were
-     * whole. */
-    void drop_transfers(const std::string& name, std::uint64_t serves,
+    /*! @brief Drops the transfers of versions that are of another model or
+     * older than the served one, and of incomplete ones that the newest version
+     * makes useless. */
+    void drop_transfers(const std::string& model_name, std::uint64_t served,
                         std::uint64_t newest)
     {
         std::erase_if(transfers,
                       [&](const auto& one)
                       {
                           const auto version = one.first;
-                          if (one.second->version().model != name)
+                          if (one.second->version().model != model_name)
                               return true;
-                          if (version < serves)
+                          if (version < served)
                               return true;
-                          if (version >= newest || version == serves ||
+                          if (version >= newest || version == served ||
                               one.second->complete())
                               return false;
-                          const auto found = transfers.find(newest);
-                          return overtaken(fleet.named_at(name, version),
-                                           fleet.named_at(name, newest)) ||
-                                 too_late(*one.second, newest) ||
-                                 (found != transfers.end() &&
-                                  found->second->complete());
+                          const auto newest_transfer = transfers.find(newest);
+                          return superseded(
+                                     fleet.named_at(model_name, version),
+                                     fleet.named_at(model_name, newest)) ||
+                                 loads_too_late(*one.second, newest) ||
+                                 (newest_transfer != transfers.end() &&
+                                  newest_transfer->second->complete());
                       });
     }
 
-    /*! @brief Tells whether a version would be loaded for nothing, since a
-     * newer one takes its requests by then. */
-    [[nodiscard]] bool too_late(const transfer_type& one,
-                                std::uint64_t newest) const
+    /*! @brief Tells whether entries would send all requests to the newest
+     * version before this one could be loaded. */
+    [[nodiscard]] bool loads_too_late(const transfer_type& transfer,
+                                      std::uint64_t newest) const
     {
-        const auto needs = one.need();
-        if (!needs)
+        const auto remaining = transfer.need();
+        if (!remaining)
             return false;
-        const auto used_until =
-            fleet.named_at(one.version().model, newest) + options.send_deadline;
-        if (!comes_too_late(*needs, event_loop::now(), used_until))
+        const auto retired_at =
+            fleet.named_at(transfer.version().model, newest) +
+            options.send_deadline;
+        if (!too_late_to_serve(*remaining, event_loop::now(), retired_at))
             return false;
-        log::state("version_passed_over",
-                   {{"version", std::to_string(one.version().version)},
-                    {"for", std::to_string(newest)},
-                    {"chunks_unseen", std::to_string(needs->missing_chunks)}});
+        log::state(
+            "version_passed_over",
+            {{"version", std::to_string(transfer.version().version)},
+             {"for", std::to_string(newest)},
+             {"chunks_unseen", std::to_string(remaining->missing_chunks)}});
         return true;
     }
 
-    /*! @brief Lets versions come one after another, the oldest first: what has
-     * begun to spread is whole soonest, and each version binds on its own. One
-     * that stands still lets the next one begin beside it. */
-    void fetch(std::uint64_t serves)
+    /*! @brief Fetches versions one after another, the oldest first: what has
+     * begun to spread is complete soonest, and each version is enforced
+     * separately. A stalled transfer lets the next one start beside it. */
+    void fetch_in_order(std::uint64_t served)
     {
         const auto now = event_loop::now();
-        for (auto& [version, one] : transfers)
+        for (auto& [version, transfer] : transfers)
         {
-            if (version <= serves)
+            if (version <= served)
                 continue;
-            one->fetch();
-            if (!one->complete() && !one->stands_still(now))
+            transfer->fetch();
+            if (!transfer->complete() && !transfer->stands_still(now))
                 return;
         }
     }
 
-    /*! @brief Gives the staging area of the upstream, which has room for one
-     * version only, to the version that is to be loaded next. Chunks of any
-     * other that lay there are lost.
-     * @return That version. */
-    std::uint64_t assign_staging(std::uint64_t serves)
+    /*! @brief Assigns the staging area of the upstream, which holds one version
+     * only, to the version that is to be loaded next. Chunks of another version
+     * in it are lost.
+     * @return The version that owns the staging area. */
+    std::uint64_t assign_staging(std::uint64_t served)
     {
         const auto now = event_loop::now();
-        std::vector<coming_version> coming;
-        for (const auto& [version, one] : transfers)
-            coming.push_back(
-                {version, one->complete(), one->stands_still(now)});
-        const auto next = next_version(coming, serves, staged_version);
-        if (next == staged_version)
-            return next;
+        std::vector<candidate_version> candidates;
+        for (const auto& [version, transfer] : transfers)
+            candidates.push_back(
+                {version, transfer->complete(), transfer->stands_still(now)});
+        const auto chosen =
+            select_next_version(candidates, served, staged_version);
+        if (chosen == staged_version)
+            return chosen;
         log::state("staging_assigned",
-                   {{"version", std::to_string(next)},
+                   {{"version", std::to_string(chosen)},
                     {"instead_of", std::to_string(staged_version)}});
-        std::erase_if(
-            transfers, [&](const auto& one)
-            { return one.first < next || one.first == staged_version; });
-        staged_version = next;
-        transfers.at(next)->stage();
-        return next;
+        std::erase_if(transfers,
+                      [&](const auto& transfer) {
+                          return transfer.first < chosen ||
+                                 transfer.first == staged_version;
+                      });
+        staged_version = chosen;
+        transfers.at(chosen)->stage();
+        return chosen;
     }
 
-    void want(const model_version& wanted)
+    void add_transfer(const model_version& wanted)
     {
-        auto& found = transfers[wanted.version];
-        if (found)
+        auto& transfer = transfers[wanted.version];
+        if (transfer)
             return;
         log::state("version_wanted",
                    {{"model", wanted.model},
                     {"version", std::to_string(wanted.version)},
-                    {"serves", std::to_string(last->version)}});
-        found = std::make_shared<transfer_type>(
+                    {"serves", std::to_string(last_report->version)}});
+        transfer = std::make_shared<transfer_type>(
             loop, node.client(), engine, origin, counters, wanted,
-            instance_id(own), surroundings(), transfer_options);
-        found->start();
+            instance_id(own_address), surroundings(), transfer_options);
+        transfer->start();
     }
 
     [[nodiscard]] typename transfer_type::surroundings surroundings()
     {
-        typename transfer_type::surroundings around;
-        around.origin = [this]
+        typename transfer_type::surroundings made;
+        made.origin = [this]
         {
-            const auto* rules = fleet.rules();
-            const auto* from = rules != nullptr ? rules->origin() : nullptr;
-            return from != nullptr ? from->origin : std::string();
+            const auto* config = fleet.rules();
+            const auto* service =
+                config != nullptr ? config->origin() : nullptr;
+            return service != nullptr ? service->origin : std::string();
         };
-        around.origin_rate = [this]
+        made.origin_rate = [this]
         {
-            const auto* rules = fleet.rules();
-            const auto* from = rules != nullptr ? rules->origin() : nullptr;
-            return from != nullptr ? from->origin_rate : byte_rate{0};
+            const auto* config = fleet.rules();
+            const auto* service =
+                config != nullptr ? config->origin() : nullptr;
+            return service != nullptr ? service->origin_rate : byte_rate{0};
         };
-        around.participants = [this] { return participants(); };
-        around.peer_port = [this](const instance_id& id)
+        made.participants = [this] { return participants(); };
+        made.peer_port = [this](const instance_id& id)
         { return node.peer_port(id.value()); };
-        around.uploads = &uploads;
-        around.window = window;
-        return around;
+        made.uploads = &uploads;
+        made.window = window;
+        return made;
     }
 
-    /*! @brief Returns every side of the installation, this one included. */
+    /*! @brief Returns every sidecar of the installation, this one included. */
     [[nodiscard]] std::vector<participant> participants() const
     {
         std::vector<participant> all;
-        for (const auto& [id, one] : fleet.upstreams())
+        for (const auto& [id, upstream] : fleet.upstreams())
         {
-            if (has_engine(one))
-                all.push_back({instance_id(host_of(one.address)), one.hall,
-                               region_id(one.hall.value())});
+            if (has_engine(upstream))
+                all.push_back({instance_id(host_of(upstream.address)),
+                               upstream.hall,
+                               region_id(upstream.hall.value())});
         }
         return all;
     }
 
-    /*! @brief Tells whether a version that is wanted is not whole here. */
-    [[nodiscard]] bool incomplete() const
+    /*! @brief Tells whether a version newer than the served one lacks chunks.
+     */
+    [[nodiscard]] bool has_incomplete() const
     {
-        const auto serves = last ? last->version : 0;
+        const auto served = last_report ? last_report->version : 0;
         return std::any_of(transfers.begin(), transfers.end(),
                            [&](const auto& one) {
-                               return one.first > serves &&
+                               return one.first > served &&
                                       !one.second->complete();
                            });
     }
 
-    /*! @brief Tells whether sides of other halls may still need to know that
-     * this one lives: one of them may fetch from it. */
-    [[nodiscard]] bool spreading_now() const
+    /*! @brief Tells whether sidecars of other halls may fetch from this one and
+     * therefore need its heartbeats. */
+    [[nodiscard]] bool transfers_active() const
     {
-        return incomplete() ||
-               (last && lately_named(fleet.newest(last->model)));
+        return has_incomplete() ||
+               (last_report &&
+                recently_published(fleet.newest(last_report->model)));
     }
 
-    [[nodiscard]] bool lately_named(std::uint64_t version) const
+    [[nodiscard]] bool recently_published(std::uint64_t version) const
     {
-        return version > 1 && last &&
-               event_loop::now() - fleet.named_at(last->model, version) <
+        return version > 1 && last_report &&
+               event_loop::now() - fleet.named_at(last_report->model, version) <
                    options.fetch_window;
     }
 
-    /*! @brief While chunks still come, the hall hears of each soon. */
-    void spread()
+    /*! @brief Announces the held chunks to the hall during a transfer. */
+    void announce_chunks()
     {
-        if (incomplete())
+        if (has_incomplete())
             node.announce_chunks();
     }
 
@@ -353,20 +374,20 @@
 
     void poll()
     {
-        if (polls_open)
+        if (poll_pending)
             return;
-        polls_open = true;
+        poll_pending = true;
         engine.report(
-            [this](result<engine_report> told)
+            [this](result<engine_report> report)
             {
-                polls_open = false;
-                if (told)
-                    return reported(std::move(told.value()));
-                unreachable(told.error().message);
+                poll_pending = false;
+                if (report)
+                    return report_received(std::move(report.value()));
+                poll_failed(report.error().message);
             });
     }
 
-    void unreachable(const std::string& why)
+    void poll_failed(const std::string& why)
     {
         if (!reachable)
             return;
@@ -376,167 +397,179 @@
         node.announce();
     }
 
-    void reported(engine_report told)
+    void report_received(engine_report report)
     {
-        const auto order =
-            last ? order_of(*last, told, closing) : report_order::follows;
-        if (order == report_order::outdated)
+        const auto relation =
+            last_report ? classify_report(*last_report, report, closing)
+                        : report_order::follows;
+        if (relation == report_order::outdated)
             return counters.count("upstream_reports_outdated_total");
-        if (!reachable || !last || told.version != last->version)
+        if (!reachable || !last_report ||
+            report.version != last_report->version)
             log::state("upstream_read",
-                       {{"model", told.model},
-                        {"version", std::to_string(told.version)},
-                        {"life", std::to_string(told.life.value())},
-                        {"sequence", std::to_string(told.sequence)}});
-        if (order == report_order::restarted)
-            upstream_restarted(told);
-        const bool differs =
-            !reachable || !last || told.running != last->running ||
-            told.waiting != last->waiting || told.version != last->version ||
-            told.loading != last->loading;
+                       {{"model", report.model},
+                        {"version", std::to_string(report.version)},
+                        {"life", std::to_string(report.life.value())},
+                        {"sequence", std::to_string(report.sequence)}});
+        if (relation == report_order::restarted)
+            upstream_restarted(report);
+        const bool load_changed = !reachable || !last_report ||
+                                  report.running != last_report->running ||
+                                  report.waiting != last_report->waiting ||
+                                  report.version != last_report->version ||
+                                  report.loading != last_report->loading;
         reachable = true;
-        last = std::move(told);
+        last_report = std::move(report);
         ++status_sequence;
-        decide();
-        if (differs)
+        update();
+        if (load_changed)
             node.announce_load();
     }
 
-    /*! @brief Nothing that was known of the earlier life holds: no order that
-     * was given, no turn, no weights. */
-    void upstream_restarted(const engine_report& told)
+    /*! @brief Discards all state that belongs to the earlier incarnation: the
+     * load command, the closing and the staged chunks. */
+    void upstream_restarted(const engine_report& report)
     {
         log::warning("upstream_restarted",
-                     {{"life", std::to_string(told.life.value())},
-                      {"before", std::to_string(last->life.value())}});
+                     {{"life", std::to_string(report.life.value())},
+                      {"before", std::to_string(last_report->life.value())}});
         counters.count("upstream_restarts_total");
-        ++restarts;
+        ++restart_count;
         closing = false;
-        ordered_version = 0;
-        order_timer.stop();
-        // What it has staged must be read anew.
+        load_version = 0;
+        load_timer.stop();
+        // The new transfers read what the upstream has staged.
         transfers.clear();
         staged_version = 0;
     }
 
-    void opened()
+    void load_completed()
     {
         closing = false;
         log::state("version_served",
-                   {{"model", last->model},
-                    {"version", std::to_string(last->version)}});
+                   {{"model", last_report->model},
+                    {"version", std::to_string(last_report->version)}});
         counters.count("versions_loaded_total");
     }
 
     // --- Loading ---------------------------------------------------------
 
-    /*! @brief An order is out, or about to be given. */
-    void await_order()
+    /*! @brief Lets the load command be sent again once it has timed out. */
+    void check_load_timeout()
     {
-        if (!closing || event_loop::now() - ordered_at <= options.load_timeout)
+        if (!closing || event_loop::now() - closed_at <= options.load_timeout)
             return;
         log::warning("order_without_effect",
-                     {{"version", std::to_string(ordered_version)}});
+                     {{"version", std::to_string(load_version)}});
         closing = false;
     }
 
-    /*! @brief Takes the next step towards a version. */
-    void advance(std::uint64_t version)
+    /*! @brief Verifies the staged chunks of a version when all are staged and
+     * this sidecar may close, then closes the upstream to load it. */
+    void verify_and_close(std::uint64_t version)
     {
         const auto now = event_loop::now();
-        const auto& next = transfers.at(version);
-        if (!verified.expired() || !next->staged() || !my_turn(*next, now))
+        const auto& transfer = transfers.at(version);
+        if (!verifying.expired() || !transfer->staged() ||
+            !may_close_now(*transfer, now))
             return;
-        verified = next;
-        next->verify(
-            [this, version](bool right)
+        verifying = transfer;
+        transfer->verify(
+            [this, version](bool intact)
             {
-                verified.reset();
-                if (right && transfers.contains(version))
-                    close(version);
+                verifying.reset();
+                if (intact && transfers.contains(version))
+                    close_upstream(version);
             });
     }
 
-    [[nodiscard]] bool my_turn(const transfer_type& next, time_point now) const
+    [[nodiscard]] bool may_close_now(const transfer_type& transfer,
+                                     time_point now) const
     {
-        if (last->version == 0)
+        if (last_report->version == 0)
             return true;
-        const auto& wanted = next.version();
+        const auto& wanted = transfer.version();
         std::vector<hall_peer> others;
-        for (const auto& [address, one] : node.peers().all())
+        for (const auto& [address, peer] : node.peers().all())
         {
-            if (one.entry || !peer_directory::alive(one, now) ||
-                one.last.hall != node.settings().hall.value())
+            if (peer.entry || !peer_directory::alive(peer, now) ||
+                peer.last.hall != node.settings().hall.value())
                 continue;
-            others.push_back({instance_id(address), !one.last.upstream.open,
-                              one.last.upstream.version < wanted.version &&
-                                  next.whole_at(one.last.chunks)});
+            others.push_back({instance_id(address), !peer.last.upstream.open,
+                              peer.last.upstream.version < wanted.version &&
+                                  transfer.whole_at(peer.last.chunks)});
         }
-        const auto known = now - fleet.named_at(wanted.model, wanted.version);
-        return may_close(options.closing_limits, instance_id(own), others,
-                         wanted.rank_key(), known);
+        const auto since_published =
+            now - fleet.named_at(wanted.model, wanted.version);
+        return may_close(options.closing_limits, instance_id(own_address),
+                         others, wanted.rank_key(), since_published);
     }
 
-    /*! @brief Tells the entries first, then gives the order. */
-    void close(std::uint64_t version)
+    /*! @brief Announces that the upstream closes; the load command follows. */
+    void close_upstream(std::uint64_t version)
     {
         closing = true;
-        ordered_at = event_loop::now();
-        ordered_version = version;
+        closed_at = event_loop::now();
+        load_version = version;
         ++status_sequence;
         node.announce();
         log::state("upstream_closed",
                    {{"version", std::to_string(version)},
-                    {"running", std::to_string(last->running)}});
-        order_timer =
+                    {"running", std::to_string(last_report->running)}});
+        load_timer =
             loop.after(options.close_propagation_delay, [this] { drain(); });
     }
 
-    /*! @brief Waits until nothing runs, or until the time for it is over. */
+    /*! @brief Sends the load command once no request runs or the drain timed
+     * out. Where requests can't be aborted the upstream drains by itself, so
+     * that the command is sent at once. */
     void drain()
     {
         if (!closing)
             return;
-        const bool over =
-            event_loop::now() - ordered_at >= options.drain_timeout;
-        const bool empty = last && last->running + last->waiting == 0;
-        if (over || empty || !may_cut())
-            return order();
-        order_timer = loop.after(options.poll_interval, [this] { drain(); });
+        const bool timed_out =
+            event_loop::now() - closed_at >= options.drain_timeout;
+        const bool idle =
+            last_report && last_report->running + last_report->waiting == 0;
+        if (timed_out || idle || !may_abort())
+            return send_load_command();
+        load_timer = loop.after(options.poll_interval, [this] { drain(); });
     }
 
-    /*! @brief Tells whether every request here can be resumed elsewhere. */
-    [[nodiscard]] bool may_cut() const
+    /*! @brief Tells whether all routes to engines allow their requests to be
+     * repeated, so that entries can resume aborted ones elsewhere. */
+    [[nodiscard]] bool may_abort() const
     {
-        const auto* rules = fleet.rules();
-        if (rules == nullptr)
+        const auto* config = fleet.rules();
+        if (config == nullptr)
             return false;
-        return std::all_of(rules->routes.begin(), rules->routes.end(),
-                           [&](const route_rule& one)
+        return std::all_of(config->routes.begin(), config->routes.end(),
+                           [&](const route_rule& route)
                            {
                                const auto* service =
-                                   one.services.empty()
+                                   route.services.empty()
                                        ? nullptr
-                                       : rules->service(
-                                             one.services.front().service);
+                                       : config->service(
+                                             route.services.front().service);
                                return service == nullptr || !service->engine ||
-                                      one.repeatable();
+                                      route.repeatable();
                            });
     }
 
-    void order()
+    void send_load_command()
     {
-        const auto found = transfers.find(ordered_version);
-        if (!closing || found == transfers.end() || !last)
+        const auto transfer = transfers.find(load_version);
+        if (!closing || transfer == transfers.end() || !last_report)
             return;
-        const auto wanted = found->second->version();
+        const auto wanted = transfer->second->version();
         counters.count("orders_total");
         engine.load(
-            wanted, last->sequence,
-            may_cut() ? load_method::abort : load_method::drain,
-            [this, wanted, life = restarts](load_outcome outcome)
+            wanted, last_report->sequence,
+            may_abort() ? load_method::abort : load_method::drain,
+            [this, wanted,
+             restarts_at_send = restart_count](load_outcome outcome)
             {
-                if (life != restarts)
+                if (restarts_at_send != restart_count)
                     return;
                 log::state(
                     "order_given",
@@ -555,71 +588,73 @@
 
     // --- Peers -----------------------------------------------------------
 
-    /*! @brief Adds what this side knows to a heartbeat. */
-    void describe(message::fleet_heartbeat& into, chunk_detail detail) const
+    /*! @brief Adds this sidecar's state to a heartbeat. */
+    void fill_heartbeat(message::fleet_heartbeat& into,
+                        chunk_detail detail) const
     {
-        auto& told = into.upstream;
-        told.sequence = status_sequence;
-        told.reachable = reachable;
-        if (last)
+        auto& status = into.upstream;
+        status.sequence = status_sequence;
+        status.reachable = reachable;
+        if (last_report)
         {
-            told.life = last->life.value();
-            told.model = last->model;
-            told.version = last->version;
-            told.running = last->running;
-            told.waiting = last->waiting;
-            told.memory_used = last->memory_used;
-            told.memory_size = last->memory_size;
-            told.pace = last->pace;
-            told.open = !closing && last->version > 0;
+            status.life = last_report->life.value();
+            status.model = last_report->model;
+            status.version = last_report->version;
+            status.running = last_report->running;
+            status.waiting = last_report->waiting;
+            status.memory_used = last_report->memory_used;
+            status.memory_size = last_report->memory_size;
+            status.pace = last_report->pace;
+            status.open = !closing && last_report->version > 0;
         }
-        const auto serves = last ? last->version : 0;
-        for (const auto& [version, one] : transfers)
+        const auto served = last_report ? last_report->version : 0;
+        for (const auto& [version, transfer] : transfers)
         {
             if (detail == chunk_detail::all ||
                 (detail == chunk_detail::coming &&
-                 (version > serves || lately_named(version))))
-                into.chunks.push_back(one->possession());
+                 (version > served || recently_published(version))))
+                into.chunks.push_back(transfer->possession());
         }
     }
 
-    void heard(const std::string& from, const message::fleet_heartbeat& one)
+    void heartbeat_received(const std::string& from,
+                            const message::fleet_heartbeat& heartbeat)
     {
-        if (one.entry)
+        if (heartbeat.entry)
         {
             if (fleet.rules() != nullptr &&
-                take_told(fleet, one.versions, event_loop::now()))
-                decide();
+                take_told(fleet, heartbeat.versions, event_loop::now()))
+                update();
             return;
         }
         for (const auto& [version, transfer] : transfers)
             transfer->peer_lives(instance_id(from));
-        for (const auto& told : one.chunks)
+        for (const auto& possession : heartbeat.chunks)
         {
-            const auto found = transfers.find(told.version);
+            const auto found = transfers.find(possession.version);
             if (found != transfers.end())
-                found->second->peer_holds(instance_id(from), told);
+                found->second->peer_holds(instance_id(from), possession);
         }
     }
 
-    static std::string_view parameter(std::string_view target,
-                                      std::string_view name)
+    static std::string_view query_parameter(std::string_view target,
+                                            std::string_view name)
     {
         auto at = target.find('?');
         while (at != std::string_view::npos)
         {
-            const auto from = at + 1;
-            at = target.find('&', from);
-            const auto part = target.substr(
-                from, at == std::string_view::npos ? at : at - from);
-            if (part.starts_with(name) && part.size() > name.size() &&
-                part[name.size()] == '=')
-                return part.substr(name.size() + 1);
+            const auto begin = at + 1;
+            at = target.find('&', begin);
+            const auto pair = target.substr(
+                begin, at == std::string_view::npos ? at : at - begin);
+            if (pair.starts_with(name) && pair.size() > name.size() &&
+                pair[name.size()] == '=')
+                return pair.substr(name.size() + 1);
         }
         return {};
     }
 
-    static std::uint64_t number(std::string_view text)
+    static std::uint64_t parse_number(std::string_view text)
     {
         std::uint64_t value = 0;
         std::from_chars(text.data(), text.data() + text.size(), value);
@@ -628,11 +663,11 @@
 
     void serve_peer(const stream_request& request, stream_reply reply)
     {
-        const model_version asked{
-            std::string(parameter(request.target, "model")),
-            number(parameter(request.target, "version"))};
-        const auto found = transfers.find(asked.version);
-        if (found == transfers.end() || found->second->version() != asked)
+        const model_version requested{
+            std::string(query_parameter(request.target, "model")),
+            parse_number(query_parameter(request.target, "version"))};
+        const auto found = transfers.find(requested.version);
+        if (found == transfers.end() || found->second->version() != requested)
             return reply.send(404, {}, "");
         auto& transfer = found->second;
         if (request.target.starts_with("/chunks?"))
@@ -640,10 +675,10 @@
             const auto text = transfer->manifest_lines();
             return reply.send(text.empty() ? 404 : 200, {}, text);
         }
-        transfer->give(static_cast<chunk_index>(
-                           number(parameter(request.target, "index"))),
-                       !parameter(request.target, "wait").empty(),
-                       parameter(request.target, "by"), std::move(reply));
+        transfer->give(static_cast<chunk_index>(parse_number(
+                           query_parameter(request.target, "index"))),
+                       !query_parameter(request.target, "wait").empty(),
+                       query_parameter(request.target, "by"), std::move(reply));
     }
 
     event_loop& loop;
@@ -652,27 +687,27 @@
     origin_type& origin;
     metrics& counters;
     agent_options options;
-    std::string own;
+    std::string own_address;
     fleet_view<Platform> fleet;
     paced_uploads uploads;
     chunk_transfer_options transfer_options;
     std::shared_ptr<call_window> window{std::make_shared<call_window>(
         transfer_options.holder_calls, transfer_options.slow_chunk)};
     std::map<std::uint64_t, std::shared_ptr<transfer_type>> transfers;
-    std::optional<engine_report> last;
+    std::optional<engine_report> last_report;
     std::uint64_t status_sequence{0};
-    std::uint64_t restarts{0}; /*!< Of the upstream, that were noticed. */
-    time_point ordered_at{};
-    std::uint64_t ordered_version{0};
-    std::uint64_t staged_version{0}; /*!< Holds the staging area; 0: none. */
+    std::uint64_t restart_count{0}; /*!< Detected restarts of the upstream. */
+    time_point closed_at{};
+    std::uint64_t load_version{0};
+    std::uint64_t staged_version{0}; /*!< Owns the staging area; 0: none. */
     bool reachable{false};
-    bool polls_open{false};
+    bool poll_pending{false};
     bool closing{false};
-    /*! @brief The transfer whose staged chunks are being read back. */
-    std::weak_ptr<transfer_type> verified;
-    timer polling;
-    timer spreading;
-    timer order_timer;
+    /*! @brief The transfer whose staged chunks are being verified. */
+    std::weak_ptr<transfer_type> verifying;
+    timer poll_timer;
+    timer announce_timer;
+    timer load_timer;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/rollout/upstream_engine.hpp
+++ b/src/coursejunction/rollout/upstream_engine.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief What a side needs of the upstream beside it and of the origin.
+ * @brief Interfaces of the upstream on the same instance and of the origin of
+ * weights, as a sidecar uses them.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_UPSTREAM_ENGINE_HPP
 #define COURSEJUNCTION_ROLLOUT_UPSTREAM_ENGINE_HPP
@@ -18,36 +19,38 @@
 namespace coursejunction
 {
 
-/*! @brief What an upstream tells of itself. */
+/*! @brief An upstream's report of its state. */
 struct engine_report
 {
     incarnation life;
     std::string model;
-    std::uint64_t version{0};  /*!< Whole weights; 0 while any layer lacks. */
-    std::uint64_t sequence{0}; /*!< Orders taken since its start. */
-    bool loading{false};       /*!< An order is under way. */
-    std::uint32_t running{0};
-    std::uint32_t waiting{0};
-    std::uint64_t memory_used{0};
-    std::uint64_t memory_size{0};
-    double pace{1};
+    /*! @brief Of the weights in all layers; 0 if a layer is missing or
+     * differs. */
+    std::uint64_t version{0};
+    std::uint64_t sequence{0}; /*!< Load commands accepted since its start. */
+    bool loading{false};       /*!< A load command is in progress. */
+    std::uint32_t running{0};  /*!< Requests in progress. */
+    std::uint32_t waiting{0};  /*!< Requests in its queue. */
+    std::uint64_t memory_used{0}; /*!< KV cache in use. */
+    std::uint64_t memory_size{0}; /*!< KV cache in all. */
+    double pace{1};               /*!< Slowdown factor; 1: nominal. */
 };
 
-/*! @brief What became of an order to load. */
+/*! @brief Outcome of a load command. */
 enum class load_outcome : std::uint8_t
 {
-    accepted,        /*!< It is under way. */
-    already_applied, /*!< It holds already. */
-    conflict,        /*!< The upstream's state was another one. */
-    refused,         /*!< It will not be taken as it is. */
-    unknown          /*!< No answer came; it may have been taken. */
+    accepted,        /*!< Loading has begun. */
+    already_applied, /*!< The upstream already serves the version. */
+    conflict,        /*!< Another command was accepted since the report. */
+    refused,         /*!< The upstream rejected it or was not reached. */
+    unknown          /*!< No response; it may have been accepted. */
 };
 
-/*! @brief What an order does with requests that run. */
+/*! @brief What a load command does with requests in progress. */
 enum class load_method : std::uint8_t
 {
-    drain, /*!< They finish first; nothing new is taken meanwhile. */
-    abort  /*!< They are cut off; entries resume them elsewhere. */
+    drain, /*!< They finish first; new ones are not accepted. */
+    abort  /*!< They are aborted; entries resume them elsewhere. */
 };
 
 /*! @brief A version of a model. */
@@ -56,7 +59,8 @@
     std::string model;
     std::uint64_t version{0};
 
-    /*! @brief Returns the name by which sides are ranked for this version. */
+    /*! @brief Returns the rendezvous key by which sidecars are ranked for this
+     * version. */
     [[nodiscard]] std::string rank_key() const
     {
         return model + std::to_string(version);
@@ -66,33 +70,35 @@
                            const model_version&) = default;
 };
 
-/*! @brief Calls of the upstream on the same instance; every callback comes on
- * the loop's thread, once. */
+/*! @brief Calls of the upstream on the same instance. Every callback is called
+ * once, on the thread of the event loop. */
 template <typename Engine>
 concept Staging_engine = requires(
     Engine& engine, const std::string& model, chunk_index chunk,
-    std::string bytes, const model_version& what, std::uint64_t sequence,
-    std::function<void(result<engine_report>)> reported,
-    std::function<void(result<std::vector<chunk_index>>)> listed,
-    std::function<void(result<std::string>)> got, std::function<void(bool)> put,
-    std::function<void(load_outcome)> ordered)
+    std::string bytes, const model_version& version_id, std::uint64_t sequence,
+    std::function<void(result<engine_report>)> on_report,
+    std::function<void(result<std::vector<chunk_index>>)> on_list,
+    std::function<void(result<std::string>)> on_bytes,
+    std::function<void(bool)> on_stored,
+    std::function<void(load_outcome)> on_outcome)
 {
-    engine.report(reported);
-    engine.staged(model, listed);
-    engine.staged_chunk(model, chunk, got);
-    engine.stage(model, chunk, bytes, put);
-    engine.load(what, sequence, load_method::drain, ordered);
+    engine.report(on_report);
+    engine.staged(model, on_list);
+    engine.staged_chunk(model, chunk, on_bytes);
+    engine.stage(model, chunk, bytes, on_stored);
+    engine.load(version_id, sequence, load_method::drain, on_outcome);
 };
 
-/*! @brief Calls of the origin of weights at an address. */
+/*! @brief Calls of the origin of weights at an address. Callbacks as for
+ * `Staging_engine`. */
 template <typename Origin>
-concept Weight_origin = requires(Origin& origin, const std::string& address,
-                                 const model_version& what, chunk_index chunk,
-                                 std::function<void(result<manifest>)> listed,
-                                 std::function<void(result<std::string>)> got)
+concept Weight_origin = requires(
+    Origin& origin, const std::string& address, const model_version& version_id,
+    chunk_index chunk, std::function<void(result<manifest>)> on_list,
+    std::function<void(result<std::string>)> on_bytes)
 {
-    origin.chunks(address, what, listed);
-    origin.chunk(address, what, chunk, got);
+    origin.chunks(address, version_id, on_list);
+    origin.chunk(address, version_id, chunk, on_bytes);
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/rollout/version_order.hpp
+++ b/src/coursejunction/rollout/version_order.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Which of several named versions an upstream is brought to next; pure.
+ * @brief Which of several published versions an upstream loads next; pure.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_VERSION_ORDER_HPP
 #define COURSEJUNCTION_ROLLOUT_VERSION_ORDER_HPP
@@ -14,82 +14,89 @@
 namespace coursejunction
 {
 
-/*! @brief A version for which a newer one was named within this time has hardly
- * begun to spread: the first chunk comes after 0.4 s. */
-inline constexpr milliseconds overtaken_time{500};
+/*! @brief A version that is followed by a newer one within this time has hardly
+ * begun to spread: the first chunk arrives after 0.4 s. */
+inline constexpr milliseconds supersede_window{500};
 
-/*! @brief Tells whether a version is passed over for a newer one. Both have the
- * same time until they bind, so that fetching the older one first takes the
- * links from the only one that will be needed: a store that was away tells of
- * several versions at once, of which all but the last would cost a copy from
- * the origin each. Sides know alike
- * when versions were named, so that all of them pass over the same ones.
- * @param named When the version was named.
- * @param newer_named When the newest one was. */
-[[nodiscard]] inline bool overtaken(time_point named, time_point newer_named)
+/*! @brief Tells whether a version is skipped in favour of the newest one,
+ * because both were published at nearly the same time. Both are enforced
+ * equally long after their publication, so that fetching the older one would
+ * only take bandwidth from the one that is needed: a store that was unreachable
+ * reports several versions at once, and all but the last would cost a copy from
+ * the origin each. All sidecars know the same publish times and therefore skip
+ * the same versions.
+ * @param published When the version was published.
+ * @param newer_published When the newest one was published. */
+[[nodiscard]] inline bool superseded(time_point published,
+                                     time_point newer_published)
 {
-    return newer_named - named < overtaken_time;
+    return newer_published - published < supersede_window;
 }
 
-/*! @brief What a version still needs before upstreams can serve it. */
+/*! @brief What must still be fetched from the origin before upstreams can load
+ * a version. */
 struct remaining_download
 {
-    std::size_t missing_chunks{0}; /*!< No side is known to have them. */
-    std::chrono::microseconds origin_chunk_time{
-        0}; /*!< One on the origin's link. */
+    std::size_t missing_chunks{0}; /*!< No sidecar is known to have them. */
+    /*! @brief Transfer time of one chunk on the origin's link. */
+    std::chrono::microseconds origin_chunk_time{0};
 };
 
-/*! @brief From the last chunk's arrival until half of the upstreams serve a
- * version: it spreads, is read back, ordered and loaded. */
-inline constexpr milliseconds serving_time{900};
+/*! @brief Time from the arrival of the last chunk from the origin until half of
+ * the upstreams serve a version: the chunk spreads, staged chunks are verified,
+ * the load command is sent and the weights are loaded. */
+inline constexpr milliseconds rollout_time{900};
 
-/*! @brief Tells whether a version comes too late to be served at all: a newer
- * one takes all requests before upstreams have loaded it. What its chunks take
- * from the origin's link is then taken from the newer one.
- * @param used_until When requests go to the newer version only. */
-[[nodiscard]] inline bool comes_too_late(const remaining_download& needs,
-                                         time_point now, time_point used_until)
+/*! @brief Tells whether a version can't be loaded before the newer one takes
+ * all requests. Its chunks would then only take the origin's bandwidth from the
+ * newer one.
+ * @param retired_at When requests begin to go to the newer version only. */
+[[nodiscard]] inline bool too_late_to_serve(const remaining_download& remaining,
+                                            time_point now,
+                                            time_point retired_at)
 {
     const auto count =
-        static_cast<std::chrono::microseconds::rep>(needs.missing_chunks);
-    return now + needs.origin_chunk_time * count + serving_time >= used_until;
+        static_cast<std::chrono::microseconds::rep>(remaining.missing_chunks);
+    return now + remaining.origin_chunk_time * count + rollout_time >=
+           retired_at;
 }
 
-/*! @brief A version that is on its way to an instance. */
-struct coming_version
+/*! @brief A version that is being transferred to an instance. */
+struct candidate_version
 {
     std::uint64_t version{0};
-    bool complete{false};     /*!< Every chunk is here. */
-    bool stands_still{false}; /*!< Nothing came for long. */
+    bool complete{false}; /*!< All chunks have arrived. */
+    bool stalled{false};  /*!< No chunk has arrived for long. */
 };
 
 /*! @brief Returns the version to stage and load next.
  *
- * The newest once it is whole; until then the oldest that is newer than what is
- * served and still comes, since it is whole soonest and each version binds on
- * its own. Only one version can lie staged at an upstream: staging another one
- * gives up what was staged before, so a version that stands still is left only
- * for one that comes.
- * @param coming Versions in rising order, at least one.
- * @param serves What the upstream serves.
- * @param staged The version that holds the staging area, or 0. */
+ * This is the newest one once it is complete. Until then it is the oldest one
+ * that is newer than the served one and not stalled, since it will be complete
+ * soonest and each version is enforced separately. An upstream stages one
+ * version only, and staging another one discards the chunks of the first.
+ * Therefore a stalled version is given up only for one that makes progress.
+ * @param candidates In rising order, at least one.
+ * @param served The version that the upstream serves.
+ * @param staged The version that owns the staging area, or 0. */
 [[nodiscard]] inline std::uint64_t
-next_version(const std::vector<coming_version>& coming, std::uint64_t serves,
-             std::uint64_t staged)
+select_next_version(const std::vector<candidate_version>& candidates,
+                    std::uint64_t served, std::uint64_t staged)
 {
-    const auto& newest = coming.back();
+    const auto& newest = candidates.back();
     if (newest.complete)
         return newest.version;
-    for (const auto& one : coming)
+    for (const auto& candidate : candidates)
     {
-        if (one.version > serves && (one.complete || !one.stands_still))
-            return one.version;
+        if (candidate.version > served &&
+            (candidate.complete || !candidate.stalled))
+            return candidate.version;
     }
-    // Everything stands still: what is staged is not given up for nothing.
-    for (const auto& one : coming)
+    // All are stalled: the staged chunks are kept.
+    for (const auto& candidate : candidates)
     {
-        if (one.version > serves && one.version == staged)
-            return one.version;
+        if (candidate.version > served && candidate.version == staged)
+            return candidate.version;
     }
     return newest.version;
 }
--- a/tests/rollout/assignment.cpp
+++ b/tests/rollout/assignment.cpp
@@ -8,23 +8,23 @@
 namespace
 {
 
-std::vector<cj::upstream_candidate> slots(std::size_t count)
+std::vector<cj::upstream_candidate> candidates(std::size_t count)
 {
-    std::vector<cj::upstream_candidate> made;
-    for (std::size_t at = 0; at < count; ++at)
+    std::vector<cj::upstream_candidate> list;
+    for (std::size_t number = 0; number < count; ++number)
     {
-        cj::upstream_candidate one;
-        one.instance = cj::instance_id("i" + std::to_string(at));
-        one.hall = cj::hall_id(at % 2 == 0 ? "north" : "south");
-        if (at % 4 == 0)
-            one.labels = {"gpu=large"};
-        made.push_back(one);
+        cj::upstream_candidate candidate;
+        candidate.instance = cj::instance_id("i" + std::to_string(number));
+        candidate.hall = cj::hall_id(number % 2 == 0 ? "north" : "south");
+        if (number % 4 == 0)
+            candidate.labels = {"gpu=large"};
+        list.push_back(candidate);
     }
-    return made;
+    return list;
 }
 
-cj::configuration wanting(std::size_t north, std::size_t south,
-                          std::vector<std::string> selector = {})
+cj::configuration config_placing(std::size_t north, std::size_t south,
+                                 std::vector<std::string> selector = {})
 {
     cj::configuration_change change;
     change.name = cj::deployment_name("tutor");
@@ -36,33 +36,34 @@
 
 } // namespace
 
-SCENARIO("deployments are placed the same by everybody", "[rollout]")
+SCENARIO("a deployment is assigned only to upstreams with its labels",
+         "[rollout]")
 {
-    GIVEN("a selector")
+    GIVEN("a placement with a selector")
     {
-        const auto placed =
-            cj::assign_deployments(wanting(5, 0, {"gpu=large"}), slots(8));
+        const auto placed = cj::assign_deployments(
+            config_placing(5, 0, {"gpu=large"}), candidates(8));
         CHECK(placed.size() == 2);
         CHECK(placed.contains(cj::instance_id("i0")));
         CHECK(placed.contains(cj::instance_id("i4")));
     }
 }
 
-TEST_CASE("an instance that dies moves only its own deployment", "[rollout]")
+TEST_CASE("losing an instance moves only its own deployment", "[rollout]")
 {
-    rc::prop("whichever dies",
+    rc::prop("whichever instance is lost",
              []
              {
-                 auto all = slots(20);
-                 const auto wanted = wanting(4, 4);
-                 const auto before = cj::assign_deployments(wanted, all);
+                 auto all = candidates(20);
+                 const auto config = config_placing(4, 4);
+                 const auto before = cj::assign_deployments(config, all);
                  RC_ASSERT(before.size() == 8U);
-                 const auto gone = *rc::gen::elementOf(all);
-                 std::erase_if(all, [&](const auto& one)
-                               { return one.instance == gone.instance; });
-                 const auto after = cj::assign_deployments(wanted, all);
+                 const auto lost = *rc::gen::elementOf(all);
+                 std::erase_if(all, [&](const auto& candidate)
+                               { return candidate.instance == lost.instance; });
+                 const auto after = cj::assign_deployments(config, all);
                  for (const auto& [id, name] : before)
-                     RC_ASSERT(id == gone.instance || after.contains(id));
+                     RC_ASSERT(id == lost.instance || after.contains(id));
                  RC_ASSERT(after.size() == 8U);
              });
 }
--- a/tests/rollout/close_policy.cpp
+++ b/tests/rollout/close_policy.cpp
@@ -8,66 +8,67 @@
 namespace
 {
 
-/*! @brief Lets sides of a hall that hear each other close, in rounds.
+/*! @brief Runs a rolling update in a hall whose sidecars all hear from each
+ * other.
  * @return How many closed in each round. */
-std::vector<std::size_t> rounds(std::size_t count)
+std::vector<std::size_t> closed_per_round(std::size_t count)
 {
     const cj::close_limits limits;
-    std::vector<cj::hall_peer> all;
-    for (std::size_t at = 0; at < count; ++at)
-        all.push_back(
-            {cj::instance_id("side-" + std::to_string(at)), false, true});
-    std::vector<std::size_t> closed_each;
+    std::vector<cj::hall_peer> sidecars;
+    for (std::size_t number = 0; number < count; ++number)
+        sidecars.push_back(
+            {cj::instance_id("side-" + std::to_string(number)), false, true});
+    std::vector<std::size_t> closed_counts;
     for (int round = 0; round < 20; ++round)
     {
         std::size_t closed = 0;
-        for (auto& one : all)
+        for (auto& sidecar : sidecars)
         {
             std::vector<cj::hall_peer> others;
-            for (const auto& other : all)
+            for (const auto& other : sidecars)
             {
-                if (other.id != one.id)
+                if (other.id != sidecar.id)
                     others.push_back(other);
             }
-            if (one.ready && !one.closed &&
-                cj::may_close(limits, one.id, others, "m2", 3s))
+            if (sidecar.ready && !sidecar.closed &&
+                cj::may_close(limits, sidecar.id, others, "m2", 3s))
             {
-                one.closed = true;
+                sidecar.closed = true;
                 ++closed;
             }
         }
-        for (auto& one : all)
+        for (auto& sidecar : sidecars)
         {
-            if (one.closed)
-                one = {one.id, false, false};
+            if (sidecar.closed)
+                sidecar = {sidecar.id, false, false};
         }
         if (closed == 0)
             break;
-        closed_each.push_back(closed);
+        closed_counts.push_back(closed);
     }
-    return closed_each;
+    return closed_counts;
 }
 
 } // namespace
 
-SCENARIO("a hall's upstreams close in turns", "[rollout]")
+SCENARIO("the upstreams of a hall close in rounds", "[rollout]")
 {
-    THEN("a third at once, until all have")
+    THEN("a third of them at once, until all have closed")
     {
-        CHECK(rounds(6) == std::vector<std::size_t>{2, 2, 2});
-        CHECK(rounds(4) == std::vector<std::size_t>{1, 1, 1, 1});
-        CHECK(rounds(1) == std::vector<std::size_t>{1});
+        CHECK(closed_per_round(6) == std::vector<std::size_t>{2, 2, 2});
+        CHECK(closed_per_round(4) == std::vector<std::size_t>{1, 1, 1, 1});
+        CHECK(closed_per_round(1) == std::vector<std::size_t>{1});
     }
-    THEN("one whose weights are not whole yet holds nobody up")
+    THEN("a sidecar with an incomplete version holds up no other one")
     {
         const cj::close_limits limits;
         std::vector<cj::hall_peer> others;
-        for (int at = 0; at < 5; ++at)
-            others.push_back(
-                {cj::instance_id("side-" + std::to_string(at)), false, false});
+        for (int number = 0; number < 5; ++number)
+            others.push_back({cj::instance_id("side-" + std::to_string(number)),
+                              false, false});
         CHECK(cj::may_close(limits, cj::instance_id("z"), others, "m2", 3s));
     }
-    THEN("late ones close whatever the others do")
+    THEN("after the deadline a sidecar closes whatever the others do")
     {
         const cj::close_limits limits;
         const std::vector<cj::hall_peer> others{
--- a/tests/rollout/fence.cpp
+++ b/tests/rollout/fence.cpp
@@ -5,7 +5,7 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("only the newest holder orders", "[rollout]")
+SCENARIO("only the holder of the newest token sends commands", "[rollout]")
 {
     cj::time_point now{10s};
     for (const bool checked : {true, false})
@@ -16,32 +16,34 @@
         guard.token_acquired(cj::fencing_token(7));
         REQUIRE(guard.state() == cj::fence_state::held);
 
-        WHEN("the process was paused, upstream checks: " << checked)
+        WHEN("the process was suspended, upstream checks tokens: " << checked)
         {
             CHECK_FALSE(guard.tick(now + 100ms));
             CHECK(guard.tick(now + 5s));
-            THEN("an upstream that does not check needs a confirmation")
+            THEN("the token is read again only if the upstream does not check "
+                 "it")
             {
                 CHECK(guard.state() == (checked
                                             ? cj::fence_state::held
                                             : cj::fence_state::unconfirmed));
             }
-            THEN("a later token found then ends its orders for good")
+            THEN("a later token that is read ends its right for good")
             {
                 guard.newest_token_read(cj::fencing_token(8));
                 CHECK(guard.state() == cj::fence_state::lost);
                 guard.newest_token_read(cj::fencing_token(7));
                 CHECK(guard.state() == cj::fence_state::lost);
             }
-            THEN("its own token found then lets it go on")
+            THEN("its own token that is read lets it go on")
             {
                 guard.newest_token_read(cj::fencing_token(7));
                 CHECK(guard.state() == cj::fence_state::held);
             }
         }
-        WHEN("an order was given, upstream checks: " << checked)
+        WHEN("a command was sent, upstream checks tokens: " << checked)
         {
-            // Another may have taken over in a pause too short to notice.
+            // Another process may have taken over in a suspension too short to
+            // detect.
             guard.command_sent();
             CHECK(guard.state() == (checked ? cj::fence_state::held
                                             : cj::fence_state::unconfirmed));
@@ -53,7 +55,7 @@
             CHECK(guard.state() == (checked ? cj::fence_state::held
                                             : cj::fence_state::unconfirmed));
         }
-        WHEN("the upstream refuses the token, checks: " << checked)
+        WHEN("the upstream refuses the token, checks tokens: " << checked)
         {
             guard.token_rejected();
             CHECK(guard.state() == cj::fence_state::lost);
--- a/tests/rollout/permit_table.cpp
+++ b/tests/rollout/permit_table.cpp
@@ -5,7 +5,7 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("few replicas are closed at once", "[rollout]")
+SCENARIO("permits bound how many replicas are closed at once", "[rollout]")
 {
     const cj::deployment_name tutor("tutor");
     const cj::time_point start{10s};
@@ -17,7 +17,7 @@
 
     GIVEN("an entry that has just become the hall's first")
     {
-        THEN("it grants nothing before it has heard the replicas")
+        THEN("it grants nothing during the settling time")
         {
             CHECK_FALSE(permits.request(tutor, a, 2, start + 1s));
         }
@@ -28,25 +28,25 @@
         CHECK(permits.request(tutor, a, 2, now));
         CHECK(permits.request(tutor, b, 2, now));
         CHECK_FALSE(permits.request(tutor, c, 2, now));
-        WHEN("one is open again")
+        WHEN("one reports that it is open again")
         {
             permits.update_replica(tutor, a, false, false, now);
             CHECK(permits.request(tutor, c, 2, now));
         }
-        WHEN("one that was granted has not closed yet")
+        WHEN("one that was granted a permit has not closed yet")
         {
             permits.update_replica(tutor, a, false, true, now);
-            THEN("it still counts")
+            THEN("its permit still counts")
             {
                 CHECK_FALSE(permits.request(tutor, c, 2, now));
             }
         }
-        WHEN("one is never heard of again")
+        WHEN("none of them reports again")
         {
             CHECK(permits.request(tutor, c, 2, now + 11s));
         }
     }
-    GIVEN("replicas that another entry let close")
+    GIVEN("closed replicas with permits of another entry")
     {
         permits.update_replica(tutor, a, true, false, now);
         permits.update_replica(tutor, b, true, false, now);
--- a/tests/rollout/replica.cpp
+++ b/tests/rollout/replica.cpp
@@ -11,125 +11,127 @@
 namespace
 {
 
-const auto one = cj::digest::of("one");
-const auto two = cj::digest::of("two");
+const auto first = cj::digest::of("one");
+const auto second = cj::digest::of("two");
 
 cj::replica_target target(const cj::digest& version, bool paused = false)
 {
     return {cj::deployment_name("tutor"), "tutor", "", version, paused};
 }
 
-/*! @brief A replica that serves the first version and has the second whole. */
+/*! @brief Returns a replica that serves the first version and has staged the
+ * second one. */
 cj::replica ready(cj::time_point now)
 {
-    cj::replica made;
-    made.set_target(target(one));
-    made.version_read(one, now);
-    made.set_target(target(two));
-    made.staging_completed(two);
-    return made;
+    cj::replica prepared;
+    prepared.set_target(target(first));
+    prepared.version_read(first, now);
+    prepared.set_target(target(second));
+    prepared.staging_completed(second);
+    return prepared;
 }
 
 } // namespace
 
-SCENARIO("a replica goes from one version to the next", "[rollout]")
+SCENARIO("a replica is updated from one version to the next", "[rollout]")
 {
     cj::time_point now{10s};
-    cj::replica copy;
+    cj::replica replica;
 
-    GIVEN("a fresh process")
+    GIVEN("a process that has just started")
     {
-        CHECK_FALSE(copy.accepts_requests());
-        copy.set_target(target(one));
-        CHECK(copy.next_action(0, now) == action::read_upstream);
-        WHEN("the upstream already serves what is wanted")
+        CHECK_FALSE(replica.accepts_requests());
+        replica.set_target(target(first));
+        CHECK(replica.next_action(0, now) == action::read_upstream);
+        WHEN("the upstream already serves the target version")
         {
-            copy.version_read(one, now);
-            CHECK(copy.phase() == phase::serving);
-            CHECK(copy.accepts_requests());
+            replica.version_read(first, now);
+            CHECK(replica.phase() == phase::serving);
+            CHECK(replica.accepts_requests());
         }
         WHEN("the upstream serves nothing")
         {
-            copy.version_read({}, now);
-            copy.staging_completed(one);
-            THEN("it loads without a permit, for nothing is taken away")
+            replica.version_read({}, now);
+            replica.staging_completed(first);
+            THEN("it loads without a permit, since no capacity is lost")
             {
-                CHECK(copy.next_action(0, now) == action::send_load_command);
+                CHECK(replica.next_action(0, now) == action::send_load_command);
             }
         }
     }
-    GIVEN("the next version whole")
+    GIVEN("the next version is staged")
     {
-        copy = ready(now);
-        CHECK(copy.accepts_requests());
-        CHECK(copy.next_action(3, now) == action::request_permit);
-        copy.permit_granted(two, now);
-        THEN("it closes, lets requests finish, loads, reads back and opens")
+        replica = ready(now);
+        CHECK(replica.accepts_requests());
+        CHECK(replica.next_action(3, now) == action::request_permit);
+        replica.permit_granted(second, now);
+        THEN("it closes, drains, loads, reads the version back and opens")
         {
-            CHECK_FALSE(copy.accepts_requests());
-            CHECK(copy.next_action(3, now) == action::none);
-            CHECK(copy.next_action(0, now) == action::send_load_command);
-            copy.load_finished(true, "", now);
-            CHECK_FALSE(copy.accepts_requests());
-            CHECK(copy.next_action(0, now) == action::read_upstream);
-            copy.version_read(two, now);
-            CHECK(copy.phase() == phase::serving);
-            CHECK(copy.accepts_requests());
+            CHECK_FALSE(replica.accepts_requests());
+            CHECK(replica.next_action(3, now) == action::none);
+            CHECK(replica.next_action(0, now) == action::send_load_command);
+            replica.load_finished(true, "", now);
+            CHECK_FALSE(replica.accepts_requests());
+            CHECK(replica.next_action(0, now) == action::read_upstream);
+            replica.version_read(second, now);
+            CHECK(replica.phase() == phase::serving);
+            CHECK(replica.accepts_requests());
         }
-        THEN("a load that failed is told and tried again later")
+        THEN("a failed load is reported and tried again later")
         {
-            REQUIRE(copy.next_action(0, now) == action::send_load_command);
-            copy.load_finished(false, "out of memory", now);
-            copy.version_read({}, now);
-            CHECK(copy.phase() == phase::failed);
-            CHECK(copy.failure_reason() == "out of memory");
-            CHECK_FALSE(copy.accepts_requests());
-            CHECK(copy.next_action(0, now) == action::none);
-            CHECK(copy.next_action(0, now + 600ms) == action::stage);
+            REQUIRE(replica.next_action(0, now) == action::send_load_command);
+            replica.load_finished(false, "out of memory", now);
+            replica.version_read({}, now);
+            CHECK(replica.phase() == phase::failed);
+            CHECK(replica.failure_reason() == "out of memory");
+            CHECK_FALSE(replica.accepts_requests());
+            CHECK(replica.next_action(0, now) == action::none);
+            CHECK(replica.next_action(0, now + 600ms) == action::stage);
         }
-        THEN("an order whose answer was lost is settled by reading")
+        THEN("a load command whose response was lost is settled by the read")
         {
-            REQUIRE(copy.next_action(0, now) == action::send_load_command);
-            copy.load_finished(false, "answer lost", now);
-            copy.version_read(two, now);
-            CHECK(copy.phase() == phase::serving);
+            REQUIRE(replica.next_action(0, now) == action::send_load_command);
+            replica.load_finished(false, "answer lost", now);
+            replica.version_read(second, now);
+            CHECK(replica.phase() == phase::serving);
         }
-        THEN("a version declared while loading is not forgotten")
+        THEN("a target that is set during the load is not lost")
         {
-            REQUIRE(copy.next_action(0, now) == action::send_load_command);
-            copy.set_target(target(one));
-            copy.load_finished(true, "", now);
-            copy.version_read(two, now);
-            CHECK(copy.phase() == phase::staging);
+            REQUIRE(replica.next_action(0, now) == action::send_load_command);
+            replica.set_target(target(first));
+            replica.load_finished(true, "", now);
+            replica.version_read(second, now);
+            CHECK(replica.phase() == phase::staging);
         }
     }
     GIVEN("a paused deployment")
     {
-        copy = ready(now);
-        copy.set_target(target(two, true));
-        CHECK(copy.next_action(0, now) == action::none);
-        copy.permit_granted(two, now);
-        CHECK(copy.accepts_requests());
-        copy.set_target(target(two));
-        CHECK(copy.next_action(0, now) == action::request_permit);
+        replica = ready(now);
+        replica.set_target(target(second, true));
+        CHECK(replica.next_action(0, now) == action::none);
+        replica.permit_granted(second, now);
+        CHECK(replica.accepts_requests());
+        replica.set_target(target(second));
+        CHECK(replica.next_action(0, now) == action::request_permit);
     }
-    GIVEN("a permit for a version that is no longer wanted")
+    GIVEN("a permit for a version that is no longer the target")
     {
-        copy = ready(now);
-        copy.permit_granted(one, now);
-        CHECK(copy.accepts_requests());
+        replica = ready(now);
+        replica.permit_granted(first, now);
+        CHECK(replica.accepts_requests());
     }
 }
 
-TEST_CASE("the gate is open only on one whole version", "[rollout]")
+TEST_CASE("requests are accepted only while one whole version is served",
+          "[rollout]")
 {
     rc::prop(
-        "whatever happens in whatever order",
+        "for any sequence of events",
         [](const std::vector<std::uint8_t>& events)
         {
-            cj::replica copy;
+            cj::replica replica;
             cj::time_point now{10s};
-            cj::digest engine = one; // What the upstream really serves.
+            cj::digest actually_served = first;
             bool loading = false;
             for (const auto event : events)
             {
@@ -137,38 +139,41 @@
                 switch (event % 8)
                 {
                 case 0:
-                    copy.set_target(target(event % 16 < 8 ? one : two));
+                    replica.set_target(target(event % 16 < 8 ? first : second));
                     break;
                 case 1:
-                    copy.staging_completed(event % 16 < 8 ? one : two);
+                    replica.staging_completed(event % 16 < 8 ? first : second);
                     break;
                 case 2:
-                    copy.permit_granted(event % 16 < 8 ? one : two, now);
+                    replica.permit_granted(event % 16 < 8 ? first : second,
+                                           now);
                     break;
                 case 3:
                     if (loading)
                     {
                         const bool done = event % 16 < 8;
-                        engine = done ? copy.target()->version : cj::digest();
+                        actually_served =
+                            done ? replica.target()->version : cj::digest();
                         loading = false;
-                        copy.load_finished(done, "", now);
+                        replica.load_finished(done, "", now);
                     }
                     break;
                 case 4:
                     if (!loading)
-                        copy.version_read(engine, now);
+                        replica.version_read(actually_served, now);
                     break;
                 default:
-                    if (copy.next_action(0, now) == action::send_load_command)
+                    if (replica.next_action(0, now) ==
+                        action::send_load_command)
                     {
                         loading = true;
-                        engine = {};
+                        actually_served = {};
                     }
                 }
-                if (copy.accepts_requests())
+                if (replica.accepts_requests())
                 {
                     RC_ASSERT(!loading);
-                    RC_ASSERT(copy.serving_version() == engine);
+                    RC_ASSERT(replica.serving_version() == actually_served);
                 }
             }
         });
--- a/tests/rollout/report_order.cpp
+++ b/tests/rollout/report_order.cpp
@@ -10,62 +10,62 @@
 cj::engine_report report(std::uint64_t life, std::uint64_t sequence,
                          std::uint64_t version = 1)
 {
-    cj::engine_report one;
-    one.life = cj::incarnation(life);
-    one.sequence = sequence;
-    one.version = version;
-    return one;
+    cj::engine_report made;
+    made.life = cj::incarnation(life);
+    made.sequence = sequence;
+    made.version = version;
+    return made;
 }
 
 } // namespace
 
-SCENARIO("reports of an upstream that may have started again", "[rollout]")
+SCENARIO("a report is classified by the previous one", "[rollout]")
 {
-    GIVEN("lives are told")
+    GIVEN("reports with an incarnation")
     {
-        THEN("a restart from no order to no order is noticed")
+        THEN("a restart is detected although no load command was accepted")
         {
-            CHECK(order_of(report(100, 0), report(200, 0), false) ==
+            CHECK(classify_report(report(100, 0), report(200, 0), false) ==
                   cj::report_order::restarted);
         }
-        THEN("so is one in the middle of a load")
+        THEN("a restart is detected during a load")
         {
-            CHECK(order_of(report(100, 0), report(200, 0, 0), true) ==
+            CHECK(classify_report(report(100, 0), report(200, 0, 0), true) ==
                   cj::report_order::restarted);
         }
-        THEN("more orders of the new life than of the earlier one hide nothing")
+        THEN("a restart is detected despite a higher sequence number")
         {
-            CHECK(order_of(report(100, 1), report(200, 5), false) ==
+            CHECK(classify_report(report(100, 1), report(200, 5), false) ==
                   cj::report_order::restarted);
         }
-        THEN("late news of the earlier life change nothing")
+        THEN("a late report of the earlier incarnation is outdated")
         {
-            CHECK(order_of(report(200, 0), report(100, 7), false) ==
+            CHECK(classify_report(report(200, 0), report(100, 7), false) ==
                   cj::report_order::outdated);
         }
-        THEN("neither do those of an earlier moment")
+        THEN("a report with a lower sequence number is outdated")
         {
-            CHECK(order_of(report(200, 3), report(200, 2), false) ==
+            CHECK(classify_report(report(200, 3), report(200, 2), false) ==
                   cj::report_order::outdated);
         }
-        THEN("weights that go in one life are no restart")
+        THEN("weights unloaded by a command are no restart")
         {
-            CHECK(order_of(report(200, 1), report(200, 2, 0), true) ==
+            CHECK(classify_report(report(200, 1), report(200, 2, 0), true) ==
                   cj::report_order::follows);
         }
     }
-    GIVEN("lives are not told")
+    GIVEN("reports without an incarnation")
     {
-        THEN("orders that are forgotten show a restart")
+        THEN("a lower sequence number is a restart")
         {
-            CHECK(order_of(report(0, 2), report(0, 0), false) ==
+            CHECK(classify_report(report(0, 2), report(0, 0), false) ==
                   cj::report_order::restarted);
         }
-        THEN("so do weights that go without an order")
+        THEN("weights that vanish without a command are a restart")
         {
-            CHECK(order_of(report(0, 2), report(0, 2, 0), false) ==
+            CHECK(classify_report(report(0, 2), report(0, 2, 0), false) ==
                   cj::report_order::restarted);
-            CHECK(order_of(report(0, 2), report(0, 2, 0), true) ==
+            CHECK(classify_report(report(0, 2), report(0, 2, 0), true) ==
                   cj::report_order::follows);
         }
     }
--- a/tests/rollout/version_order.cpp
+++ b/tests/rollout/version_order.cpp
@@ -4,87 +4,89 @@
 
 namespace cj = coursejunction;
 
-SCENARIO("versions named one after another are loaded in an order", "[rollout]")
+SCENARIO("the next version to load is chosen among several", "[rollout]")
 {
-    THEN("the newest goes first once it is whole")
+    THEN("the newest is loaded once it is complete")
     {
-        CHECK(cj::next_version({{2, true, false}, {3, true, false}}, 1, 2) ==
-              3);
+        CHECK(cj::select_next_version({{2, true, false}, {3, true, false}}, 1,
+                                      2) == 3);
     }
-    THEN("until then an older one that still comes keeps the staging area")
+    THEN("until then an older one that makes progress keeps the staging area")
     {
-        // Chunks of 3 must not be staged among those of 2: on hunted days
-        // upstreams loaded the mixture.
-        CHECK(cj::next_version({{2, false, false}, {3, false, false}}, 1, 2) ==
-              2);
-        CHECK(cj::next_version({{2, true, false}, {3, false, false}}, 1, 2) ==
-              2);
+        // Chunks of both versions in one staging area would be loaded as a
+        // mixture, which a search over random test days found.
+        CHECK(cj::select_next_version({{2, false, false}, {3, false, false}}, 1,
+                                      2) == 2);
+        CHECK(cj::select_next_version({{2, true, false}, {3, false, false}}, 1,
+                                      2) == 2);
     }
-    THEN("one that stands still is left for one that comes")
+    THEN("a stalled one is given up for one that makes progress")
     {
-        CHECK(cj::next_version({{2, false, true}, {3, false, false}}, 1, 2) ==
-              3);
+        CHECK(cj::select_next_version({{2, false, true}, {3, false, false}}, 1,
+                                      2) == 3);
     }
-    THEN("but kept while nothing comes at all")
+    THEN("a stalled one is kept if all are stalled")
     {
-        CHECK(cj::next_version({{2, false, true}, {3, false, true}}, 1, 2) ==
-              2);
-        CHECK(cj::next_version({{2, false, true}, {3, false, true}}, 1, 3) ==
-              3);
+        CHECK(cj::select_next_version({{2, false, true}, {3, false, true}}, 1,
+                                      2) == 2);
+        CHECK(cj::select_next_version({{2, false, true}, {3, false, true}}, 1,
+                                      3) == 3);
     }
-    THEN("what is served already is passed over")
+    THEN("the served one is skipped")
     {
-        CHECK(cj::next_version({{2, true, false}, {3, false, false}}, 2, 2) ==
-              3);
+        CHECK(cj::select_next_version({{2, true, false}, {3, false, false}}, 2,
+                                      2) == 3);
     }
 }
 
-SCENARIO("versions that become known together", "[rollout]")
+SCENARIO("versions published at nearly the same time", "[rollout]")
 {
     using namespace std::chrono_literals;
-    const coursejunction::time_point named{100s};
-    THEN("the older one is passed over")
+    const coursejunction::time_point published{100s};
+    THEN("the older one is skipped")
     {
-        CHECK(coursejunction::overtaken(named, named));
-        CHECK(coursejunction::overtaken(named, named + 100ms));
+        CHECK(coursejunction::superseded(published, published));
+        CHECK(coursejunction::superseded(published, published + 100ms));
     }
-    THEN("one that has begun to spread is not")
+    THEN("one that has begun to spread is not skipped")
     {
-        CHECK_FALSE(coursejunction::overtaken(named, named + 2s));
+        CHECK_FALSE(coursejunction::superseded(published, published + 2s));
     }
 }
 
-// An origin was away while two versions were named 2 s apart. Afterwards it
-// gave the rest of the older one first, which no upstream could serve any more,
-// and the newer one was whole 0.6 s later than it could have been.
-SCENARIO("a version that comes too late to be served is passed over",
-         "[rollout]")
+// While the origin was unreachable, two versions were published 2 s apart.
+// Sidecars then fetched the rest of the older one first, which no upstream
+// could serve any more, so that the newer one was complete 0.6 s later than
+// possible.
+SCENARIO("a version that can't be loaded in time is skipped", "[rollout]")
 {
     using namespace std::chrono_literals;
-    const coursejunction::time_point newer_named{120s};
-    const auto used_until = newer_named + 8300ms;
-    coursejunction::remaining_download needs{13, 44ms};
+    const coursejunction::time_point newer_published{120s};
+    const auto retired_at = newer_published + 8300ms;
+    coursejunction::remaining_download remaining{13, 44ms};
 
     GIVEN(
         "the origin is back 1.4 s before the newer version takes all requests")
     {
-        const auto now = used_until - 1400ms;
-        THEN("its last 13 chunks come too late")
+        const auto now = retired_at - 1400ms;
+        THEN("13 missing chunks are too late")
         {
-            CHECK(coursejunction::comes_too_late(needs, now, used_until));
+            CHECK(
+                coursejunction::too_late_to_serve(remaining, now, retired_at));
         }
-        THEN("its last 3 chunks do not")
+        THEN("3 missing chunks are not")
         {
-            needs.missing_chunks = 3;
-            CHECK_FALSE(coursejunction::comes_too_late(needs, now, used_until));
+            remaining.missing_chunks = 3;
+            CHECK_FALSE(
+                coursejunction::too_late_to_serve(remaining, now, retired_at));
         }
     }
-    GIVEN("the origin is back 3 s before")
+    GIVEN("the origin is back 3 s before that")
     {
-        THEN("the older version is of use for a while")
+        THEN("the older version can still be served")
         {
-            CHECK_FALSE(coursejunction::comes_too_late(needs, used_until - 3s,
-                                                       used_until));
+            CHECK_FALSE(coursejunction::too_late_to_serve(
+                remaining, retired_at - 3s, retired_at));
         }
     }
 }
