--- a/src/coursejunction/run/claim_quorum.hpp
+++ b/src/coursejunction/run/claim_quorum.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What the keepers of a claim said together; pure.
+ * @brief Quorum of the entries that remember a claim; pure.
  */
 #ifndef COURSEJUNCTION_RUN_CLAIM_QUORUM_HPP
 #define COURSEJUNCTION_RUN_CLAIM_QUORUM_HPP
@@ -15,56 +15,59 @@
 namespace coursejunction
 {
 
-/*! @brief What is known of a claim. */
+/*! @brief Verdict of the voters on a claim. */
 enum class claim_verdict : std::uint8_t
 {
-    free,     /*!< Enough keepers answered; none knows of another claim. */
-    taken,    /*!< A keeper knows of another claim. */
-    no_quorum /*!< Too few keepers answered. */
+    free,     /*!< A quorum answered; no voter knows another claim. */
+    taken,    /*!< A voter knows another claim. */
+    no_quorum /*!< Too few voters answered. */
 };
 
-/*! @brief Counts answers until they settle the word: one "taken" does, "free"
- * only when nobody is left to be heard and at least half have answered. Of
- * three keepers two answer each of two claimants, so that one hears both. */
+/*! @brief Collects the votes on one claim. One "taken" decides; "free" needs
+ * that no vote is pending and that at least half of the voters have answered.
+ * Of three voters each of two claimants gets the votes of two, so that one
+ * voter knows both claims. */
 class claim_quorum
 {
 public:
-    explicit claim_quorum(std::set<instance_id> asked)
-        : open(std::move(asked)), needed((open.size() + 1) / 2)
+    explicit claim_quorum(std::set<instance_id> voters)
+        : pending(std::move(voters)), quorum((pending.size() + 1) / 2)
     {
     }
 
-    /*! @brief A keeper answered; one that was not asked does not count. */
-    void add_answer(const instance_id& keeper, bool taken)
+    /*! @brief Adds a vote; ignored from those that were not asked or voted
+     * before.
+     * @param taken Whether the voter knows another claim. */
+    void add_answer(const instance_id& voter, bool taken)
     {
-        if (open.erase(keeper) == 0)
+        if (pending.erase(voter) == 0)
             return;
-        ++heard;
-        known = known || taken;
+        ++answered;
+        claimed_by_other = claimed_by_other || taken;
     }
 
-    /*! @brief A keeper will not answer. */
-    void drop_voter(const instance_id& keeper) { open.erase(keeper); }
+    /*! @brief Notes that a voter will not answer. */
+    void drop_voter(const instance_id& voter) { pending.erase(voter); }
 
-    /*! @brief Waits for nobody any more. */
-    void stop_waiting() { open.clear(); }
+    /*! @brief Ends the vote with the answers so far. */
+    void stop_waiting() { pending.clear(); }
 
-    /*! @brief Returns the word, or nothing while it is not settled. */
+    /*! @brief Returns the verdict, or nothing while votes are pending. */
     [[nodiscard]] std::optional<claim_verdict> verdict() const
     {
-        if (known)
+        if (claimed_by_other)
             return claim_verdict::taken;
-        if (!open.empty())
+        if (!pending.empty())
             return std::nullopt;
-        return heard > 0 && heard >= needed ? claim_verdict::free
-                                            : claim_verdict::no_quorum;
+        return answered > 0 && answered >= quorum ? claim_verdict::free
+                                                  : claim_verdict::no_quorum;
     }
 
 private:
-    std::set<instance_id> open;
-    std::size_t needed;
-    std::size_t heard{0};
-    bool known{false};
+    std::set<instance_id> pending;
+    std::size_t quorum;
+    std::size_t answered{0};
+    bool claimed_by_other{false};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/run/claim_registry.hpp
+++ b/src/coursejunction/run/claim_registry.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Claims of requests that may run once, as one entry remembers them;
- * pure.
+ * @brief Claims on requests that may run only once, as one entry remembers
+ * them; pure.
  */
 #ifndef COURSEJUNCTION_RUN_CLAIM_REGISTRY_HPP
 #define COURSEJUNCTION_RUN_CLAIM_REGISTRY_HPP
@@ -17,8 +17,9 @@
 namespace coursejunction
 {
 
-/*! @brief Who claimed a request first, by the digest of its id. The claim in
- * the key-value service stands beside it. */
+/*! @brief Remembers who claimed a request first, by the digest of the request
+ * id. It is a second record beside the claim in the key-value service, which
+ * may lose claims. */
 class claim_registry
 {
 public:
@@ -28,49 +29,51 @@
      * them. */
     static constexpr std::chrono::hours retention{24};
 
-    /*! @param most Claims that are remembered; the oldest go first. */
-    explicit claim_registry(size_type most) : limit(most) {}
+    /*! @param max_claims Claims remembered; the oldest are dropped first. */
+    explicit claim_registry(size_type max_claims) : capacity(max_claims) {}
 
-    /*! @brief Notes a claim.
-     * @return Whether the claimant is the first; it may ask again. */
+    /*! @brief Claims a request.
+     * @return Whether the claimant is the first; true again when it repeats
+     * its claim. */
     [[nodiscard]] bool try_claim(const digest& request,
                                  const std::string& claimant, time_point now)
     {
-        forget(now);
+        drop_expired(now);
         const auto [found, added] = claimants.emplace(request, claimant);
         if (!added)
             return found->second == claimant;
-        order.emplace_back(now, request);
-        if (order.size() > limit)
+        oldest_first.emplace_back(now, request);
+        if (oldest_first.size() > capacity)
             drop_oldest();
         return true;
     }
 
-    /*! @brief Tells whether anybody has claimed a request. */
+    /*! @brief Tells whether a request is claimed. */
     [[nodiscard]] bool contains(const digest& request, time_point now)
     {
-        forget(now);
+        drop_expired(now);
         return claimants.contains(request);
     }
 
     [[nodiscard]] size_type size() const { return claimants.size(); }
 
 private:
-    void forget(time_point now)
+    void drop_expired(time_point now)
     {
-        while (!order.empty() && now - order.front().first >= retention)
+        while (!oldest_first.empty() &&
+               now - oldest_first.front().first >= retention)
             drop_oldest();
     }
 
     void drop_oldest()
     {
-        claimants.erase(order.front().second);
-        order.pop_front();
+        claimants.erase(oldest_first.front().second);
+        oldest_first.pop_front();
     }
 
-    size_type limit;
+    size_type capacity;
     std::unordered_map<digest, std::string> claimants;
-    std::deque<std::pair<time_point, digest>> order;
+    std::deque<std::pair<time_point, digest>> oldest_first;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/run/crash_evidence.hpp
+++ b/src/coursejunction/run/crash_evidence.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief What is known of one request under which upstreams ended; pure.
+ * @brief Crashes of upstreams that ran one request, and how strongly they speak
+ * against it; pure.
  */
 #ifndef COURSEJUNCTION_RUN_CRASH_EVIDENCE_HPP
 #define COURSEJUNCTION_RUN_CRASH_EVIDENCE_HPP
@@ -16,10 +17,11 @@
 namespace coursejunction
 {
 
-/*! @brief One end of one life of an upstream, alike at all entries. */
+/*! @brief Id of the crash of one incarnation of an upstream; the same at all
+ * entries. */
 using crash_id = strong<struct crash_tag, std::uint64_t>;
 
-/*! @brief Returns the id of the end of a life. */
+/*! @brief Returns the id of the crash of an incarnation. */
 [[nodiscard]] inline crash_id crash_id_of(const instance_id& upstream,
                                           const incarnation& life)
 {
@@ -27,24 +29,24 @@
         stable_hash(upstream.value() + "/" + std::to_string(life.value())));
 }
 
-/*! @brief What a request was doing when its upstream ended; a later value
- * says more against it. */
+/*! @brief State of a request when its upstream crashed. The order matters: a
+ * later value is stronger evidence against the request. */
 enum class crash_evidence : std::uint8_t
 {
-    /*! @brief Its answer had begun. A request that is moved from one killed
-     * upstream to the next loses most of them so. */
+    /*! @brief Its response had begun. A bystander that is moved from one killed
+     * upstream to the next loses most of them in this state. */
     mid_response,
-    /*! @brief Nothing of its answer had come. */
+    /*! @brief No part of its response had arrived. */
     before_response,
-    /*! @brief It ran as a trial, the only copy of it anywhere. */
+    /*! @brief It ran as a trial: no other copy of it ran anywhere. */
     trial
 };
 
-/*! @brief Returns how much an end weighs. Three that came before any answer, or
- * six that say less, are as much as a trial. */
-[[nodiscard]] constexpr std::size_t weight_of(crash_evidence what)
+/*! @brief Returns the weight of one crash. Three crashes before any response,
+ * or six during one, weigh as much as a crash during a trial. */
+[[nodiscard]] constexpr std::size_t evidence_weight(crash_evidence evidence)
 {
-    switch (what)
+    switch (evidence)
     {
     case crash_evidence::mid_response:
         return 1;
@@ -56,41 +58,41 @@
     return 6;
 }
 
-/*! @brief One content with the upstreams that ended under it. */
+/*! @brief The crashes of upstreams that ran one request. */
 struct crash_history
 {
     std::map<crash_id, crash_evidence> crashes;
-    std::set<crash_id> cleared; /*!< Those of them that no longer count. */
-    time_point last_crash{};    /*!< When the last one ended. */
-    std::uint64_t change{0};    /*!< Rises with each change to tell of. */
-    time_point changed{};       /*!< When there last was one. */
-    std::size_t responses_since_crash{
-        0}; /*!< Answers given here since the last end. */
+    std::set<crash_id> cleared;     /*!< Those that no longer count. */
+    time_point last_crash{};        /*!< When the last one happened. */
+    std::uint64_t change_number{0}; /*!< Ledger's count at the last change. */
+    time_point changed_at{};        /*!< When that change happened. */
+    /*! @brief Complete responses at this entry since a crash was last added. */
+    std::size_t responses_since_crash{0};
 
-    /*! @brief Returns how many ends count. */
+    /*! @brief Returns how many crashes count. */
     [[nodiscard]] std::size_t active_crashes() const
     {
         std::size_t sum = 0;
-        for (const auto& [end, evidence] : crashes)
-            sum += cleared.contains(end) ? 0 : 1;
+        for (const auto& [crash, evidence] : crashes)
+            sum += cleared.contains(crash) ? 0 : 1;
         return sum;
     }
 
-    /*! @brief Returns what the ends weigh that count. */
+    /*! @brief Returns the total weight of the crashes that count. */
     [[nodiscard]] std::size_t suspicion() const
     {
         std::size_t sum = 0;
-        for (const auto& [end, evidence] : crashes)
-            sum += cleared.contains(end) ? 0 : weight_of(evidence);
+        for (const auto& [crash, evidence] : crashes)
+            sum += cleared.contains(crash) ? 0 : evidence_weight(evidence);
         return sum;
     }
 
-    /*! @brief Tells whether an upstream ended under a trial of it. */
+    /*! @brief Tells whether a crash during a trial counts. */
     [[nodiscard]] bool failed_trial() const
     {
-        for (const auto& [end, evidence] : crashes)
+        for (const auto& [crash, evidence] : crashes)
         {
-            if (evidence == crash_evidence::trial && !cleared.contains(end))
+            if (evidence == crash_evidence::trial && !cleared.contains(crash))
                 return true;
         }
         return false;
--- a/src/coursejunction/run/crash_ledger.cpp
+++ b/src/coursejunction/run/crash_ledger.cpp
@@ -10,146 +10,152 @@
 namespace
 {
 
-/*! @brief Ends kept of a record: as many as quarantine it, and those that came
- * while all entries heard of them. */
-constexpr std::size_t most_ends = 8;
-
-/*! @brief Ages grow by the way that a record takes; one that is later by less
- * is the same. */
-constexpr milliseconds age_error{1000};
-
-/*! @brief What changed is told again for so long: datagrams get lost, and
- * entries of other halls hear each second heartbeat only, so that all are told
- * three times. */
-constexpr milliseconds repeated{1000};
-
-/*! @brief Pause between two suspected records that are told in turn: 90 bytes
- * to each of 340 entries by each of them are 3 KB/s at each. */
-constexpr milliseconds turn_pause{10'000};
-
-/*! @brief Reads evidence as it is told; what a later version may add says no
- * less than all that is known here. */
-crash_evidence evidence_of(std::uint8_t told)
+/*! @brief Crashes kept in a record: those that quarantine it, and some that
+ * happen until all entries have received the reports. */
+constexpr std::size_t max_crashes = 8;
+
+/*! @brief Time of transfer makes the ages in received records inexact; a crash
+ * that is later by no more than this is the same one. */
+constexpr milliseconds max_age_error{1000};
+
+/*! @brief A change is reported repeatedly for this long: datagrams get lost,
+ * and entries of other halls receive only every second heartbeat. Each entry is
+ * sent the change three times. */
+constexpr milliseconds repeat_duration{1000};
+
+/*! @brief Interval between two blocked records that are reported in turn: 90
+ * bytes to each of 340 entries are 3 KB/s at each sender. */
+constexpr milliseconds turn_interval{10'000};
+
+/*! @brief Decodes received evidence. Unknown values, which a later version of
+ * this program may send, count as the strongest evidence known here. */
+crash_evidence decode_evidence(std::uint8_t received)
 {
-    constexpr auto most = static_cast<std::uint8_t>(crash_evidence::trial);
-    return static_cast<crash_evidence>(std::min(told, most));
+    constexpr auto strongest = static_cast<std::uint8_t>(crash_evidence::trial);
+    return static_cast<crash_evidence>(std::min(received, strongest));
 }
 
-/*! @brief Makes room for an end. What is cleared goes first; then, for a
- * trial's end, one that says least.
+/*! @brief Makes room for a crash in a full record. Cleared crashes are dropped
+ * first; a crash during a trial then replaces the weakest one.
  * @return Whether there is room. */
-bool make_room(crash_history& one, crash_evidence evidence)
+bool make_room(crash_history& history, crash_evidence evidence)
 {
-    if (one.crashes.size() < most_ends)
+    if (history.crashes.size() < max_crashes)
         return true;
-    for (const auto& past : one.cleared)
-        one.crashes.erase(past);
-    one.cleared.clear();
-    if (one.crashes.size() < most_ends)
+    for (const auto& cleared_crash : history.cleared)
+        history.crashes.erase(cleared_crash);
+    history.cleared.clear();
+    if (history.crashes.size() < max_crashes)
         return true;
     if (evidence != crash_evidence::trial)
         return false;
-    const auto least = std::min_element(one.crashes.begin(), one.crashes.end(),
-                                        [](const auto& left, const auto& right)
-                                        { return left.second < right.second; });
-    one.crashes.erase(least);
+    const auto weakest =
+        std::min_element(history.crashes.begin(), history.crashes.end(),
+                         [](const auto& left, const auto& right)
+                         { return left.second < right.second; });
+    history.crashes.erase(weakest);
     return true;
 }
 
-/*! @brief Adds an end, or what is newly known of it.
+/*! @brief Adds a crash, or stronger evidence for a known one.
  * @return Whether that changed the record. */
-bool insert(crash_history& one, const crash_id& end, crash_evidence evidence)
+bool insert(crash_history& history, const crash_id& crash,
+            crash_evidence evidence)
 {
-    const auto found = one.crashes.find(end);
-    if (found != one.crashes.end())
+    const auto found = history.crashes.find(crash);
+    if (found != history.crashes.end())
     {
         if (found->second >= evidence)
             return false;
         found->second = evidence;
         return true;
     }
-    if (!make_room(one, evidence))
+    if (!make_room(history, evidence))
         return false;
-    one.crashes.emplace(end, evidence);
-    one.responses_since_crash = 0;
+    history.crashes.emplace(crash, evidence);
+    history.responses_since_crash = 0;
     return true;
 }
 
-bool holds(const std::vector<message::crash_record>& made,
-           const request_content& what)
+bool contains_record(const std::vector<message::crash_record>& selected,
+                     const request_content& content)
 {
-    return std::any_of(made.begin(), made.end(),
-                       [&](const auto& one) { return one.content == what; });
+    return std::any_of(selected.begin(), selected.end(),
+                       [&](const auto& record)
+                       { return record.content == content; });
 }
 
-message::crash_record record_of(const request_content& what,
-                                const crash_history& one, time_point now)
+message::crash_record make_record(const request_content& content,
+                                  const crash_history& history, time_point now)
 {
-    message::crash_record made;
-    made.content = what;
-    for (const auto& [end, evidence] : one.crashes)
-        made.crashes.push_back(
-            {end.value(), static_cast<std::uint8_t>(evidence)});
-    for (const auto& end : one.cleared)
-        made.cleared.push_back(end.value());
+    message::crash_record record;
+    record.content = content;
+    for (const auto& [crash, evidence] : history.crashes)
+        record.crashes.push_back(
+            {crash.value(), static_cast<std::uint8_t>(evidence)});
+    for (const auto& crash : history.cleared)
+        record.cleared.push_back(crash.value());
     const auto age =
-        std::chrono::duration_cast<milliseconds>(now - one.last_crash).count();
-    made.age_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(0, age));
-    return made;
+        std::chrono::duration_cast<milliseconds>(now - history.last_crash)
+            .count();
+    record.age_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(0, age));
+    return record;
 }
 
 } // namespace
 
-bool crash_ledger::record_crash(const request_content& what,
-                                const crash_id& end, crash_evidence evidence,
+bool crash_ledger::record_crash(const request_content& content,
+                                const crash_id& crash, crash_evidence evidence,
                                 time_point now)
 {
-    if (answers.count(what, now) >= limits.responses_per_crash)
+    if (responses.count(content, now) >= limits.responses_per_crash)
     {
-        answers.consume(what, limits.responses_per_crash);
+        responses.consume(content, limits.responses_per_crash);
         return false;
     }
-    auto& one = found_or_made(what, now);
-    const bool before = quarantined(one, now);
-    // After an answer it is no longer the only copy that runs.
-    if (evidence == crash_evidence::trial && one.responses_since_crash > 0)
+    auto& history = find_or_create(content, now);
+    const bool was_quarantined = quarantined(history, now);
+    // After a response more than one copy of it may run.
+    if (evidence == crash_evidence::trial && history.responses_since_crash > 0)
         evidence = crash_evidence::before_response;
-    if (!insert(one, end, evidence))
+    if (!insert(history, crash, evidence))
         return false;
-    one.last_crash = now;
-    changed(one, now);
-    return !before && quarantined(one, now);
+    history.last_crash = now;
+    note_change(history, now);
+    return !was_quarantined && quarantined(history, now);
 }
 
-bool crash_ledger::record_response(const request_content& what, time_point now)
+bool crash_ledger::record_response(const request_content& content,
+                                   time_point now)
 {
-    answers.record(what, now);
-    const auto found = records.find(what);
+    responses.record(content, now);
+    const auto found = records.find(content);
     if (found == records.end())
         return false;
-    auto& one = found->second;
-    ++one.responses_since_crash;
-    if (status(what, now) == crash_status::on_trial &&
-        one.responses_since_crash >= limits.trial_responses)
-        return lift_quarantine(what, now);
-    return speaks_for(what, one, now);
+    auto& history = found->second;
+    ++history.responses_since_crash;
+    if (status(content, now) == crash_status::on_trial &&
+        history.responses_since_crash >= limits.trial_responses)
+        return lift_quarantine(content, now);
+    return clear_if_bystander(content, history, now);
 }
 
-bool crash_ledger::lift_quarantine(const request_content& what, time_point now)
+bool crash_ledger::lift_quarantine(const request_content& content,
+                                   time_point now)
 {
-    const auto found = records.find(what);
+    const auto found = records.find(content);
     if (found == records.end() || found->second.active_crashes() == 0)
         return false;
-    for (const auto& [end, evidence] : found->second.crashes)
-        found->second.cleared.insert(end);
-    changed(found->second, now);
+    for (const auto& [crash, evidence] : found->second.crashes)
+        found->second.cleared.insert(crash);
+    note_change(found->second, now);
     return true;
 }
 
-crash_status crash_ledger::status(const request_content& what,
+crash_status crash_ledger::status(const request_content& content,
                                   time_point now) const
 {
-    const auto found = records.find(what);
+    const auto found = records.find(content);
     if (found == records.end() || found->second.active_crashes() == 0)
         return crash_status::clear;
     if (!blocked(found->second))
@@ -158,97 +164,99 @@
                                            : crash_status::on_trial;
 }
 
-std::size_t crash_ledger::max_running(const request_content& what,
-                                      bool tries_it, time_point now) const
+std::size_t crash_ledger::max_running(const request_content& content,
+                                      bool runs_trials, time_point now) const
 {
-    switch (status(what, now))
+    switch (status(content, now))
     {
     case crash_status::clear:
         return std::numeric_limits<std::size_t>::max();
     case crash_status::quarantined:
         return 0;
     case crash_status::on_trial:
-        return tries_it ? 1 + records.at(what).responses_since_crash : 0;
+        return runs_trials ? 1 + records.at(content).responses_since_crash : 0;
     case crash_status::suspect:
         break;
     }
-    return 1 + records.at(what).responses_since_crash;
+    return 1 + records.at(content).responses_since_crash;
 }
 
-milliseconds crash_ledger::quarantine_left(const request_content& what,
+milliseconds crash_ledger::quarantine_left(const request_content& content,
                                            time_point now) const
 {
-    const auto found = records.find(what);
+    const auto found = records.find(content);
     if (found == records.end() || !quarantined(found->second, now))
         return milliseconds(0);
-    return std::chrono::duration_cast<milliseconds>(found->second.last_crash +
-                                                    lasts(found->second) - now);
+    return std::chrono::duration_cast<milliseconds>(
+        found->second.last_crash + quarantine_duration(found->second) - now);
 }
 
-bool crash_ledger::merge(const message::crash_record& told, time_point now)
+bool crash_ledger::merge(const message::crash_record& received, time_point now)
 {
-    const auto at = now - milliseconds(told.age_ms);
-    if (told.crashes.empty() || now - at >= limits.retention)
+    const auto crashed_at = now - milliseconds(received.age_ms);
+    if (received.crashes.empty() || now - crashed_at >= limits.retention)
         return false;
-    auto& one = found_or_made(told.content, at);
-    const bool before = quarantined(one, now);
-    bool news = false;
-    for (const auto& end : told.crashes)
-        news = insert(one, crash_id(end.id), evidence_of(end.evidence)) || news;
-    for (const auto end : told.cleared)
+    auto& history = find_or_create(received.content, crashed_at);
+    const bool was_quarantined = quarantined(history, now);
+    bool changed = false;
+    for (const auto& crash : received.crashes)
+        changed = insert(history, crash_id(crash.id),
+                         decode_evidence(crash.evidence)) ||
+                  changed;
+    for (const auto crash : received.cleared)
     {
-        if (one.crashes.contains(crash_id(end)))
-            news = one.cleared.insert(crash_id(end)).second || news;
+        if (history.crashes.contains(crash_id(crash)))
+            changed = history.cleared.insert(crash_id(crash)).second || changed;
     }
-    if (at > one.last_crash + age_error)
+    if (crashed_at > history.last_crash + max_age_error)
     {
-        one.last_crash = at;
-        news = true;
+        history.last_crash = crashed_at;
+        changed = true;
     }
-    if (news && limits.relays_records)
-        changed(one, now);
-    if (speaks_for(told.content, one, now))
+    if (changed && limits.relays_records)
+        note_change(history, now);
+    if (clear_if_bystander(received.content, history, now))
         return false;
-    return !before && quarantined(one, now);
+    return !was_quarantined && quarantined(history, now);
 }
 
 std::vector<message::crash_record>
-crash_ledger::collect_updates(std::size_t most, time_point now)
+crash_ledger::collect_updates(std::size_t max_count, time_point now)
 {
-    std::vector<message::crash_record> made;
-    const auto changes = untold();
-    for (const auto& [change, what] : changes)
+    std::vector<message::crash_record> selected;
+    const auto changes = unreported_changes();
+    for (const auto& [change, content] : changes)
     {
-        if (made.size() >= most)
+        if (selected.size() >= max_count)
             break;
-        made.push_back(record_of(what, records.at(what), now));
-        told_change = change;
+        selected.push_back(make_record(content, records.at(content), now));
+        reported_change = change;
     }
-    // What was dropped meanwhile is told by nobody.
-    if (made.size() == changes.size())
-        told_change = last_change;
-    repeat(made, most, now);
-    add_suspected(made, most, now);
-    return made;
+    // Changes of records that were dropped meanwhile are not reported.
+    if (selected.size() == changes.size())
+        reported_change = last_change;
+    add_recent_changes(selected, max_count, now);
+    add_blocked_in_turn(selected, max_count, now);
+    return selected;
 }
 
-message::crash_record crash_ledger::record(const request_content& what,
+message::crash_record crash_ledger::record(const request_content& content,
                                            time_point now) const
 {
-    const auto found = records.find(what);
-    return found == records.end() ? message::crash_record{what, {}, {}, 0}
-                                  : record_of(what, found->second, now);
+    const auto found = records.find(content);
+    return found == records.end() ? message::crash_record{content, {}, {}, 0}
+                                  : make_record(content, found->second, now);
 }
 
 void crash_ledger::expire(time_point now)
 {
-    std::erase_if(records, [&](const auto& one)
-                  { return now - one.second.last_crash >= limits.retention; });
+    std::erase_if(records, [&](const auto& item)
+                  { return now - item.second.last_crash >= limits.retention; });
 }
 
-bool crash_ledger::is_blocked(const request_content& what) const
+bool crash_ledger::is_blocked(const request_content& content) const
 {
-    const auto found = records.find(what);
+    const auto found = records.find(content);
     return found != records.end() && blocked(found->second);
 }
 
@@ -256,111 +264,120 @@
 {
     return static_cast<std::size_t>(
         std::count_if(records.begin(), records.end(),
-                      [&](const auto& one) { return blocked(one.second); }));
+                      [&](const auto& item) { return blocked(item.second); }));
 }
 
-bool crash_ledger::blocked(const crash_history& one) const
+bool crash_ledger::blocked(const crash_history& history) const
 {
-    return one.suspicion() >= limits.quarantine_threshold;
+    return history.suspicion() >= limits.quarantine_threshold;
 }
 
-bool crash_ledger::quarantined(const crash_history& one, time_point now) const
+bool crash_ledger::quarantined(const crash_history& history,
+                               time_point now) const
 {
-    return blocked(one) && now - one.last_crash < lasts(one);
+    return blocked(history) &&
+           now - history.last_crash < quarantine_duration(history);
 }
 
-milliseconds crash_ledger::lasts(const crash_history& one) const
+milliseconds
+crash_ledger::quarantine_duration(const crash_history& history) const
 {
-    return one.failed_trial() ? limits.repeat_quarantine
-                              : limits.first_quarantine;
+    return history.failed_trial() ? limits.repeat_quarantine
+                                  : limits.first_quarantine;
 }
 
-/*! @brief Clears a record for which there are answers enough. */
-bool crash_ledger::speaks_for(const request_content& what, crash_history& one,
-                              time_point now)
+/*! @brief Clears a record whose crashes are outweighed by responses.
+ * @return Whether it was cleared. */
+bool crash_ledger::clear_if_bystander(const request_content& content,
+                                      crash_history& history, time_point now)
 {
-    const auto ends = one.active_crashes();
-    const auto needed = ends * limits.responses_per_crash;
-    if (ends == 0 || answers.count(what, now) < needed)
+    const auto crashes = history.active_crashes();
+    const auto needed = crashes * limits.responses_per_crash;
+    if (crashes == 0 || responses.count(content, now) < needed)
         return false;
-    answers.consume(what, needed);
-    return lift_quarantine(what, now);
+    responses.consume(content, needed);
+    return lift_quarantine(content, now);
 }
 
-void crash_ledger::changed(crash_history& one, time_point now)
+void crash_ledger::note_change(crash_history& history, time_point now)
 {
-    one.change = ++last_change;
-    one.changed = now;
+    history.change_number = ++last_change;
+    history.changed_at = now;
 }
 
-crash_history& crash_ledger::found_or_made(const request_content& what,
-                                           time_point last)
+crash_history& crash_ledger::find_or_create(const request_content& content,
+                                            time_point last_crash)
 {
-    const auto found = records.find(what);
+    const auto found = records.find(content);
     if (found != records.end())
         return found->second;
     if (records.size() >= limits.max_records)
-        drop_one();
-    auto& made = records[what];
-    made.last_crash = last;
-    return made;
+        drop_least_suspect();
+    auto& history = records[content];
+    history.last_crash = last_crash;
+    return history;
 }
 
-/*! @brief Makes room: the oldest goes, and one that is suspected only when all
- * are. Contents cost an upstream each to get here. */
-void crash_ledger::drop_one()
+/*! @brief Drops the oldest record that is not blocked, or the oldest one if all
+ * are. A new record takes a crash, which bounds how fast a flood of
+ * requests can replace old ones. */
+void crash_ledger::drop_least_suspect()
 {
-    const auto first = std::min_element(
+    const auto least_suspect = std::min_element(
         records.begin(), records.end(),
         [&](const auto& left, const auto& right)
         {
             return std::pair(blocked(left.second), left.second.last_crash) <
                    std::pair(blocked(right.second), right.second.last_crash);
         });
-    records.erase(first);
+    records.erase(least_suspect);
 }
 
-std::map<std::uint64_t, request_content> crash_ledger::untold() const
+std::map<std::uint64_t, request_content>
+crash_ledger::unreported_changes() const
 {
     std::map<std::uint64_t, request_content> found;
     if (!has_pending_updates())
         return found;
-    for (const auto& [what, one] : records)
+    for (const auto& [content, history] : records)
     {
-        if (one.change > told_change)
-            found.emplace(one.change, what);
+        if (history.change_number > reported_change)
+            found.emplace(history.change_number, content);
     }
     return found;
 }
 
-void crash_ledger::repeat(std::vector<message::crash_record>& made,
-                          std::size_t most, time_point now)
+void crash_ledger::add_recent_changes(
+    std::vector<message::crash_record>& selected, std::size_t max_count,
+    time_point now)
 {
-    for (const auto& [what, one] : records)
+    for (const auto& [content, history] : records)
     {
-        if (made.size() >= most)
+        if (selected.size() >= max_count)
             return;
-        const bool lately = one.change > 0 && now - one.changed < repeated;
-        if (lately && !holds(made, what))
-            made.push_back(record_of(what, one, now));
+        const bool is_recent = history.change_number > 0 &&
+                               now - history.changed_at < repeat_duration;
+        if (is_recent && !contains_record(selected, content))
+            selected.push_back(make_record(content, history, now));
     }
 }
 
-void crash_ledger::add_suspected(std::vector<message::crash_record>& made,
-                                 std::size_t most, time_point now)
+void crash_ledger::add_blocked_in_turn(
+    std::vector<message::crash_record>& selected, std::size_t max_count,
+    time_point now)
 {
-    if (made.size() >= most || now - told_turn < turn_pause)
+    if (selected.size() >= max_count || now - turn_reported_at < turn_interval)
         return;
-    auto at = records.upper_bound(turn);
-    for (std::size_t seen = 0; seen < records.size(); ++seen, ++at)
+    auto at = records.upper_bound(last_in_turn);
+    for (std::size_t visited = 0; visited < records.size(); ++visited, ++at)
     {
         if (at == records.end())
             at = records.begin();
-        if (!blocked(at->second) || holds(made, at->first))
+        if (!blocked(at->second) || contains_record(selected, at->first))
             continue;
-        made.push_back(record_of(at->first, at->second, now));
-        turn = at->first;
-        told_turn = now;
+        selected.push_back(make_record(at->first, at->second, now));
+        last_in_turn = at->first;
+        turn_reported_at = now;
         return;
     }
 }
--- a/src/coursejunction/run/fwd.hpp
+++ b/src/coursejunction/run/fwd.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Declares the types of the run module.
+ * @brief Forward declarations of the run module.
  */
 #ifndef COURSEJUNCTION_RUN_FWD_HPP
 #define COURSEJUNCTION_RUN_FWD_HPP
--- a/src/coursejunction/run/lost_attempt_tracker.hpp
+++ b/src/coursejunction/run/lost_attempt_tracker.hpp
@@ -1,10 +1,10 @@
 /*! @file
- * @brief Tells the end of an upstream from the loss of a connection; pure.
+ * @brief Tells a crash of an upstream from the loss of a connection; pure.
  *
- * An attempt that was lost before its answer was whole says little: its
- * connection may have been reset, or its upstream may stand still. Only when
- * the upstream itself is seen to be gone, or to be another life, did it end
- * under the request. A cut link and a planned leaving accuse nobody.
+ * An attempt that is lost before its response is complete is no proof of a
+ * crash: the connection may have been reset, or the upstream may be suspended.
+ * The upstream crashed under the request only if it is known to be gone or to
+ * have restarted. A lost link and a planned shutdown are no evidence.
  */
 #ifndef COURSEJUNCTION_RUN_LOST_ATTEMPT_TRACKER_HPP
 #define COURSEJUNCTION_RUN_LOST_ATTEMPT_TRACKER_HPP
@@ -22,7 +22,7 @@
 namespace coursejunction
 {
 
-/*! @brief A request under which an upstream ended. */
+/*! @brief A request that an upstream ran when it crashed. */
 struct crash_report
 {
     request_content content;
@@ -30,24 +30,22 @@
     crash_evidence evidence{crash_evidence::before_response};
 };
 
-/*! @brief How an attempt was lost. */
+/*! @brief Why an attempt was lost. */
 enum class loss_cause : std::uint8_t
 {
-    closed,    /*!< The other end closed its connection. */
-    timed_out, /*!< It was taken back, since nothing came. */
-    cancelled  /*!< It was taken back for another reason; it may go on for a
-                  moment. */
+    closed,    /*!< The upstream closed the connection. */
+    timed_out, /*!< It was cancelled because no data arrived. */
+    cancelled  /*!< It was cancelled for another reason. */
 };
 
-/*! @brief How the end of an upstream shows. */
+/*! @brief How it is known that an upstream is gone. */
 enum class crash_proof : std::uint8_t
 {
-    record_expired, /*!< Nobody keeps its record; one that stands still does not
-                    either, and lives. */
-    confirmed       /*!< Its address refuses, or belongs to another life. */
+    record_expired, /*!< Its record expired; it may only be suspended. */
+    confirmed       /*!< Its address refuses connections or was reused. */
 };
 
-/*! @brief An attempt that was lost before its answer was whole. */
+/*! @brief An attempt that was lost before its response was complete. */
 struct lost_attempt
 {
     instance_id upstream;
@@ -56,23 +54,26 @@
     loss_cause cause{loss_cause::closed};
 };
 
-/*! @brief Attempts that were lost, until it is known why. */
+/*! @brief Keeps lost attempts until it is known whether their upstreams
+ * crashed. */
 class lost_attempt_tracker
 {
 public:
-    /*! @brief How long an upstream's end may show after its attempt was lost.
-     * Its record lapses after three missed liveness reports of a second. */
-    static constexpr milliseconds patience{4000};
-
-    /*! @brief An attempt that was taken back may go on for so long: the word of
-     * it has to travel, and upstreams stop within half a second. */
-    static constexpr milliseconds aftermath{500};
-
-    /*! @brief Notes a lost attempt.
-     * @return Whether its upstream's end is not being looked into yet. */
+    /*! @brief How long after the loss of an attempt the crash of its upstream
+     * may be confirmed. The upstream's record expires after three missed
+     * liveness reports, one a second. */
+    static constexpr milliseconds max_proof_delay{4000};
+
+    /*! @brief How long a cancelled attempt may still run: the cancellation has
+     * to arrive, and upstreams stop within half a second. */
+    static constexpr milliseconds max_cancel_delay{500};
+
+    /*! @brief Adds a lost attempt.
+     * @return Whether the caller should probe the upstream: it is the first
+     * loss there that was no plain cancellation. */
     bool add_lost_attempt(lost_attempt one, time_point now)
     {
-        forget_old(now);
+        drop_expired(now);
         const bool first = std::none_of(
             pending.begin(), pending.end(),
             [&](const auto& other)
@@ -80,34 +81,36 @@
                 return other.lost.report.crash == one.report.crash &&
                        other.lost.cause != loss_cause::cancelled;
             });
-        const auto until =
-            now + (one.cause == loss_cause::cancelled ? aftermath : patience);
-        pending.push_back({std::move(one), until});
+        const auto expires_at =
+            now + (one.cause == loss_cause::cancelled ? max_cancel_delay
+                                                      : max_proof_delay);
+        pending.push_back({std::move(one), expires_at});
         return first && pending.back().lost.cause != loss_cause::cancelled;
     }
 
-    /*! @brief An upstream was seen to have ended.
-     * @return The requests whose attempts it took along. */
+    /*! @brief Notes that an upstream is gone.
+     * @return The requests that it ran, as far as the proof covers how their
+     * attempts were lost; their attempts are removed. */
     [[nodiscard]] std::vector<crash_report>
     confirm_crash(const instance_id& upstream, crash_proof proof,
                   time_point now)
     {
-        forget_old(now);
-        std::vector<crash_report> accused;
+        drop_expired(now);
+        std::vector<crash_report> reports;
         std::erase_if(pending,
                       [&](const auto& one)
                       {
                           if (one.lost.upstream != upstream ||
                               !proves(proof, one.lost.cause))
                               return false;
-                          accused.push_back(one.lost.report);
+                          reports.push_back(one.lost.report);
                           return true;
                       });
-        return accused;
+        return reports;
     }
 
-    /*! @brief Returns the address of an upstream with attempts whose loss is
-     * not explained yet. */
+    /*! @brief Returns the address of an upstream with unexplained lost
+     * attempts. */
     [[nodiscard]] std::optional<std::string>
     address_of(const instance_id& upstream) const
     {
@@ -119,7 +122,8 @@
         return std::nullopt;
     }
 
-    /*! @brief Returns another upstream that lost attempts at an address. */
+    /*! @brief Returns another upstream with unexplained lost attempts at an
+     * address. */
     [[nodiscard]] std::optional<instance_id>
     previous_upstream_at(const instance_id& upstream,
                          const std::string& address) const
@@ -132,37 +136,39 @@
         return std::nullopt;
     }
 
-    /*! @brief Tells whether an attempt of a request was lost just now and it is
-     * not known why. */
-    [[nodiscard]] bool has_unexplained_loss(const request_content& what,
+    /*! @brief Tells whether a request has a recently lost attempt that is not
+     * yet explained. */
+    [[nodiscard]] bool has_unexplained_loss(const request_content& content,
                                             time_point now) const
     {
         return std::any_of(pending.begin(), pending.end(),
                            [&](const auto& one) {
-                               return now < one.until &&
-                                      one.lost.report.content == what;
+                               return now < one.expires_at &&
+                                      one.lost.report.content == content;
                            });
     }
 
 private:
-    struct waiting
+    struct pending_attempt
     {
         lost_attempt lost;
-        time_point until{};
+        time_point expires_at{};
     };
 
-    [[nodiscard]] static bool proves(crash_proof proof, loss_cause how)
+    /*! @brief Tells whether a proof covers a loss. A suspended upstream lets
+     * its record expire, but doesn't close its connections. */
+    [[nodiscard]] static bool proves(crash_proof proof, loss_cause cause)
     {
-        return proof == crash_proof::confirmed || how == loss_cause::closed;
+        return proof == crash_proof::confirmed || cause == loss_cause::closed;
     }
 
-    void forget_old(time_point now)
+    void drop_expired(time_point now)
     {
         std::erase_if(pending,
-                      [&](const auto& one) { return now >= one.until; });
+                      [&](const auto& one) { return now >= one.expires_at; });
     }
 
-    std::vector<waiting> pending;
+    std::vector<pending_attempt> pending;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/run/recent_responses.hpp
+++ b/src/coursejunction/run/recent_responses.hpp
@@ -1,9 +1,9 @@
 /*! @file
- * @brief Counts how often a content was answered lately; pure.
+ * @brief Counts recent complete responses by request content; pure.
  *
- * Load pattern: one caller asks the same thing many times a second, so that its
- * copies are with most upstreams. Whatever ends some of these then ends copies
- * of it, and only the answers of all the others tell that it is a bystander.
+ * Where a caller sends the same request many times a second, copies of it run
+ * on most upstreams. Whatever crashes some of these also hits copies of it, and
+ * only the responses of the others show that it is a bystander.
  */
 #ifndef COURSEJUNCTION_RUN_RECENT_RESPONSES_HPP
 #define COURSEJUNCTION_RUN_RECENT_RESPONSES_HPP
@@ -19,68 +19,69 @@
 namespace coursejunction
 {
 
-/*! @brief Whole answers of the last while, by content. */
+/*! @brief Complete responses within a sliding window. */
 class recent_responses
 {
 public:
-    /*! @brief Answers count for so long: a content that begins to end its
-     * upstreams, as with new weights, is taken for a bystander no longer. */
+    /*! @brief Length of the window. A request that begins to crash upstreams,
+     * for example with new weights, may not count as a bystander for longer. */
     static constexpr milliseconds retention{10'000};
 
-    /*! @brief Answers kept, 100 bytes each; the oldest go first. An entry of
-     * the installations gives some 400 in ten seconds. */
+    /*! @brief Responses kept, 100 bytes each; the oldest are dropped first. An
+     * entry gets some 400 in ten seconds. */
     static constexpr std::size_t capacity = 1024;
 
-    /*! @brief A request was answered in whole. */
-    void record(const request_content& what, time_point now)
+    /*! @brief Records a complete response. */
+    void record(const request_content& content, time_point now)
     {
-        ++counts[what];
-        answers.emplace_back(now, what);
-        while (answers.size() > capacity ||
-               now - answers.front().first >= retention)
+        ++counts[content];
+        responses.emplace_back(now, content);
+        while (responses.size() > capacity ||
+               now - responses.front().first >= retention)
             drop_oldest();
     }
 
-    /*! @brief Returns how many answers there were. */
-    [[nodiscard]] std::size_t count(const request_content& what, time_point now)
+    /*! @brief Returns how many responses of a content are in the window. */
+    [[nodiscard]] std::size_t count(const request_content& content,
+                                    time_point now)
     {
-        while (!answers.empty() && now - answers.front().first >= retention)
+        while (!responses.empty() && now - responses.front().first >= retention)
             drop_oldest();
-        const auto found = counts.find(what);
+        const auto found = counts.find(content);
         return found == counts.end() ? 0 : found->second;
     }
 
-    /*! @brief Takes some answers away, the oldest first: they have spoken for
-     * the request once. */
-    void consume(const request_content& what, std::size_t count)
+    /*! @brief Removes some responses of a content, the oldest first: each
+     * counts for a request only once. */
+    void consume(const request_content& content, std::size_t count)
     {
-        std::size_t left = count;
-        std::erase_if(answers,
-                      [&](const auto& one)
+        std::size_t remaining = count;
+        std::erase_if(responses,
+                      [&](const auto& response)
                       {
-                          if (left == 0 || one.second != what)
+                          if (remaining == 0 || response.second != content)
                               return false;
-                          --left;
-                          uncount(what);
+                          --remaining;
+                          uncount(content);
                           return true;
                       });
     }
 
 private:
-    void uncount(const request_content& what)
+    void uncount(const request_content& content)
     {
-        const auto found = counts.find(what);
+        const auto found = counts.find(content);
         if (--found->second == 0)
             counts.erase(found);
     }
 
     void drop_oldest()
     {
-        uncount(answers.front().second);
-        answers.pop_front();
+        uncount(responses.front().second);
+        responses.pop_front();
     }
 
-    std::deque<std::pair<time_point, request_content>> answers;
+    std::deque<std::pair<time_point, request_content>> responses;
     std::map<request_content, std::size_t> counts;
 };
 
--- a/src/coursejunction/run/retry_budget.hpp
+++ b/src/coursejunction/run/retry_budget.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Keeps retries from multiplying load.
+ * @brief Limits retries to a fraction of the requests.
  */
 #ifndef COURSEJUNCTION_RUN_RETRY_BUDGET_HPP
 #define COURSEJUNCTION_RUN_RETRY_BUDGET_HPP
@@ -9,22 +9,27 @@
 namespace coursejunction
 {
 
-/*! @brief Every first attempt earns a part of a retry; a retry spends one. So
- * retries stay a fixed portion of the requests whatever fails. */
+/*! @brief Token bucket for retries: each request adds a fraction of a token,
+ * and each retry takes one, so that failures can't multiply the load. It starts
+ * full. */
 class retry_budget
 {
 public:
-    /*! @param portion Retries earned by each request.
-     * @param most Retries that may be saved up. */
-    retry_budget(double portion, double most)
-        : earned(portion), depth(most), level(most)
+    /*! @param retry_ratio Tokens added by each request.
+     * @param max_saved Size of the bucket. */
+    retry_budget(double retry_ratio, double max_saved)
+        : earned_per_request(retry_ratio), max_level(max_saved),
+          level(max_saved)
     {
     }
 
-    /*! @brief A request came. */
-    void record_request() { level = std::min(depth, level + earned); }
+    /*! @brief Adds the share of one request. */
+    void record_request()
+    {
+        level = std::min(max_level, level + earned_per_request);
+    }
 
-    /*! @brief Spends one retry.
+    /*! @brief Takes a token for a retry.
      * @return Whether one was left. */
     [[nodiscard]] bool try_spend()
     {
@@ -35,8 +40,8 @@
     }
 
 private:
-    double earned;
-    double depth;
+    double earned_per_request;
+    double max_level;
     double level;
 };
 
--- a/src/coursejunction/run/retry_window.hpp
+++ b/src/coursejunction/run/retry_window.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Bounds retries over a sliding window of time; pure.
+ * @brief Limits retries within a sliding time window; pure.
  */
 #ifndef COURSEJUNCTION_RUN_RETRY_WINDOW_HPP
 #define COURSEJUNCTION_RUN_RETRY_WINDOW_HPP
@@ -11,70 +11,72 @@
 namespace coursejunction
 {
 
-/*! @brief How many retries a window may hold. */
+/*! @brief Limits of a retry window. */
 struct retry_limits
 {
     /*! @brief Length of the window. */
     milliseconds window{10'000};
-    /*! @brief Retries for each request of the window. */
+    /*! @brief Retries allowed for each request in the window. */
     double retry_ratio{0};
-    /*! @brief Retries of a window beside those. */
+    /*! @brief Retries allowed in the window in addition. */
     double reserve{0};
 };
 
-/*! @brief Counts requests and retries of the last while, so that a burst of
- * failures may spend what the whole window earned. Both are counted in slots;
- * a slot that is partly outside the window still counts for the retries and no
- * longer for the requests, so that the limit holds for every window. */
+/*! @brief Counts requests and retries within the window, so that a burst of
+ * failures may use what the whole window allows. Both are counted in slots of
+ * time. A slot that is partly outside the window still counts for the retries
+ * but not for the requests, so that the limit holds for every window. */
 class retry_window
 {
 public:
-    explicit retry_window(retry_limits set) : limits(set) {}
+    explicit retry_window(retry_limits initial) : limits(initial) {}
 
-    /*! @brief Replaces the reserve: the number of those who share it changed.
+    /*! @brief Replaces the reserve when the number of entries that share it
+     * changes.
      */
-    void set_reserve(double most) { limits.reserve = most; }
+    void set_reserve(double retries) { limits.reserve = retries; }
 
-    /*! @brief A request came. */
+    /*! @brief Counts a request. */
     void record_request(time_point now) { ++slot_at(now).requests; }
 
-    /*! @brief Spends one retry.
-     * @return Whether one was left. */
+    /*! @brief Counts a retry if the limits allow it.
+     * @return Whether they do. */
     [[nodiscard]] bool try_spend(time_point now)
     {
         auto& current = slot_at(now);
         double requests = 0;
-        double spent = 1;
+        double retries_used = 1;
         for (const auto& one : slots)
         {
-            spent += one.spent;
-            if (one.began > now - limits.window)
+            retries_used += one.retries_used;
+            if (one.started_at > now - limits.window)
                 requests += one.requests;
         }
-        if (spent > limits.retry_ratio * requests + limits.reserve)
+        if (retries_used > limits.retry_ratio * requests + limits.reserve)
             return false;
-        ++current.spent;
+        ++current.retries_used;
         return true;
     }
 
 private:
-    /*! @brief Slots of a window. */
-    static constexpr int parts = 20;
+    static constexpr int slots_per_window = 20;
 
     struct slot
     {
-        time_point began{};
+        time_point started_at{};
         double requests{0};
-        double spent{0};
+        double retries_used{0};
     };
 
+    /*! @brief Returns the current slot; drops those outside the window. */
     slot& slot_at(time_point now)
     {
-        const std::chrono::microseconds length = limits.window / parts;
+        const std::chrono::microseconds slot_length =
+            limits.window / slots_per_window;
         while (!slots.empty() &&
-               slots.front().began + length <= now - limits.window)
+               slots.front().started_at + slot_length <= now - limits.window)
             slots.pop_front();
-        if (slots.empty() || now >= slots.back().began + length)
+        if (slots.empty() || now >= slots.back().started_at + slot_length)
             slots.push_back({now, 0, 0});
         return slots.back();
     }
--- a/src/coursejunction/run/run_registry.hpp
+++ b/src/coursejunction/run/run_registry.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief The place where it is decided, once, whether a request starts.
+ * @brief Decides whether a request that may run only once may start at this
+ * sidecar.
  */
 #ifndef COURSEJUNCTION_RUN_RUN_REGISTRY_HPP
 #define COURSEJUNCTION_RUN_RUN_REGISTRY_HPP
@@ -16,18 +17,19 @@
 namespace coursejunction
 {
 
-/*! @brief Whether a request may start at this side. */
+/*! @brief Whether a request may start at this sidecar, or why not. */
 enum class start_decision : std::uint8_t
 {
-    start,             /*!< It may start now. */
+    start,             /*!< It may start once its claim is won. */
     claim_pending,     /*!< The same request is being claimed. */
     running,           /*!< The same request runs. */
-    finished,          /*!< The same request ran; its answer may be kept. */
-    claimed_elsewhere, /*!< Another side holds the claim. */
-    forbidden          /*!< It was promised that it will never start here. */
+    finished,          /*!< The same request ran; see `find_response`. */
+    claimed_elsewhere, /*!< Another sidecar holds the claim. */
+    forbidden          /*!< `forbid` promised that it never starts here. */
 };
 
-/*! @brief Answer of a request that ran, kept for a caller who asks again. */
+/*! @brief Response of a request that ran, for a caller that repeats it. A
+ * status of 0 stands for an incomplete response. */
 struct cached_response
 {
     std::uint16_t status{0};
@@ -35,158 +37,163 @@
     std::string body;
 };
 
-/*! @brief Requests that may run only once, by id, in the memory of one side.
- * Every change is one step on one thread, so "started" and "will never start"
- * exclude each other. It forgets when its process ends; the claim in the
- * key-value service does not. */
+/*! @brief State of the requests that may run only once, by id, in the memory of
+ * one sidecar. All calls come on one thread, so that a request can't be both
+ * started and forbidden. The state is lost when the process ends, but the claim
+ * in the key-value service remains. */
 class run_registry
 {
 public:
     using size_type = std::size_t;
 
-    explicit run_registry(size_type most) : limit(most) {}
+    explicit run_registry(size_type max_records) : capacity(max_records) {}
 
-    /*! @brief Asks whether a request may start, and if so begins to claim
-     * it. */
+    /*! @brief Decides whether a request may start. If so, the caller must claim
+     * it and report the outcome by `start_claimed`, `claim_lost` or
+     * `release_claim`. */
     [[nodiscard]] start_decision begin_claim(const request_id& id)
     {
         const auto found = records.find(id);
         if (found == records.end())
         {
-            remember(id);
+            add_record(id);
             return start_decision::start;
         }
-        switch (found->second.now)
+        switch (found->second.state)
         {
-        case state::claiming:
+        case run_state::claiming:
             return start_decision::claim_pending;
-        case state::running:
+        case run_state::running:
             return start_decision::running;
-        case state::ended:
+        case run_state::finished:
             return start_decision::finished;
-        case state::elsewhere:
+        case run_state::claimed_elsewhere:
             return start_decision::claimed_elsewhere;
-        case state::never:
+        case run_state::forbidden:
             return start_decision::forbidden;
-        case state::withdrawn:
-            found->second.now = state::claiming;
+        case run_state::released:
+            found->second.state = run_state::claiming;
             return start_decision::start;
         }
         return start_decision::forbidden;
     }
 
-    /*! @brief The claim was won: the request starts now.
-     * @return False when it was promised meanwhile that it will not. */
+    /*! @brief Starts a request whose claim was won.
+     * @return False if it was forbidden meanwhile. */
     [[nodiscard]] bool start_claimed(const request_id& id)
     {
-        auto& one = records.at(id);
-        if (one.now != state::claiming)
+        auto& found = records.at(id);
+        if (found.state != run_state::claiming)
             return false;
-        one.now = state::running;
+        found.state = run_state::running;
         return true;
     }
 
-    /*! @brief The claim was lost for good: another side has it. */
+    /*! @brief Notes that another sidecar holds the claim. */
     void claim_lost(const request_id& id)
     {
-        records.at(id).now = state::elsewhere;
+        records.at(id).state = run_state::claimed_elsewhere;
     }
 
-    /*! @brief It is not known who holds the claim. It did not start here; a
-     * later try may claim again. */
+    /*! @brief Notes that the owner of the claim is unknown. The request has not
+     * started here, and a later attempt may claim it again. */
     void release_claim(const request_id& id)
     {
-        auto& one = records.at(id);
-        COURSEJUNCTION_ASSERT(one.now == state::claiming ||
-                                  one.now == state::never,
-                              "only a claim can be withdrawn");
-        if (one.now == state::claiming)
-            one.now = state::withdrawn;
+        auto& found = records.at(id);
+        COURSEJUNCTION_ASSERT(
+            found.state == run_state::claiming ||
+                found.state == run_state::forbidden,
+            "only a pending or forbidden claim can be released");
+        if (found.state == run_state::claiming)
+            found.state = run_state::released;
     }
 
-    /*! @brief The upstream was never reached, which is proved: a later try
-     * may start it. */
+    /*! @brief Notes that the request provably never reached the upstream, so
+     * that a later attempt may start it. */
     void upstream_unreached(const request_id& id)
     {
-        records.at(id).now = state::withdrawn;
+        records.at(id).state = run_state::released;
     }
 
-    /*! @brief Promises that a request that has not started never will.
-     * @return False when it has started. */
+    /*! @brief Ensures that a request never starts here.
+     * @return False if it has started already. */
     [[nodiscard]] bool forbid(const request_id& id)
     {
         const auto found = records.find(id);
         if (found == records.end())
         {
-            remember(id);
-            records.at(id).now = state::never;
+            add_record(id);
+            records.at(id).state = run_state::forbidden;
             return true;
         }
-        if (found->second.now == state::running ||
-            found->second.now == state::ended)
+        if (found->second.state == run_state::running ||
+            found->second.state == run_state::finished)
             return false;
-        found->second.now = state::never;
+        found->second.state = run_state::forbidden;
         return true;
     }
 
-    /*! @brief The request has ended; its answer is kept when it is whole. */
-    void finish(const request_id& id, cached_response answer)
+    /*! @brief Notes that a request has finished.
+     * @param response Kept for repeated requests; empty if incomplete. */
+    void finish(const request_id& id, cached_response response)
     {
-        auto& one = records.at(id);
-        one.now = state::ended;
-        one.answer = std::move(answer);
+        auto& found = records.at(id);
+        found.state = run_state::finished;
+        found.response = std::move(response);
     }
 
-    /*! @brief Returns the kept answer of a request that ended, or null. */
+    /*! @brief Returns the complete response of a finished request, or null. */
     [[nodiscard]] const cached_response*
     find_response(const request_id& id) const
     {
         const auto found = records.find(id);
-        if (found == records.end() || found->second.now != state::ended ||
-            found->second.answer.status == 0)
+        if (found == records.end() ||
+            found->second.state != run_state::finished ||
+            found->second.response.status == 0)
             return nullptr;
-        return &found->second.answer;
+        return &found->second.response;
     }
 
     [[nodiscard]] size_type size() const { return records.size(); }
 
 private:
-    enum class state : std::uint8_t
+    enum class run_state : std::uint8_t
     {
         claiming,
         running,
-        ended,
-        elsewhere,
-        never,
-        withdrawn
+        finished,
+        claimed_elsewhere,
+        forbidden,
+        released
     };
 
     struct record
     {
-        state now{state::claiming};
-        cached_response answer;
+        run_state state{run_state::claiming};
+        cached_response response;
     };
 
-    void remember(const request_id& id)
+    void add_record(const request_id& id)
     {
         records.emplace(id, record{});
-        order.push_back(id);
-        // The claim in the key-value service outlives what is dropped here.
-        while (order.size() > limit)
+        oldest_first.push_back(id);
+        // Dropping a record is safe: the claim in the key-value service
+        // remains.
+        while (oldest_first.size() > capacity)
         {
-            const auto oldest = records.find(order.front());
+            const auto oldest = records.find(oldest_first.front());
             if (oldest != records.end() &&
-                (oldest->second.now == state::running ||
-                 oldest->second.now == state::claiming))
+                (oldest->second.state == run_state::running ||
+                 oldest->second.state == run_state::claiming))
                 break;
-            records.erase(order.front());
-            order.pop_front();
+            records.erase(oldest_first.front());
+            oldest_first.pop_front();
         }
     }
 
-    size_type limit;
+    size_type capacity;
     std::unordered_map<request_id, record> records;
-    std::deque<request_id> order;
+    std::deque<request_id> oldest_first;
 };
 
 } // namespace coursejunction
