--- a/tests/run/claim_quorum.cpp
+++ b/tests/run/claim_quorum.cpp
@@ -14,105 +14,105 @@
 namespace cj = coursejunction;
 using cj::claim_verdict;
 
-SCENARIO("the keepers of a claim settle together who has it", "[run]")
+SCENARIO("the voters decide together whether a claim is free", "[run]")
 {
     const cj::instance_id first("entry-1");
     const cj::instance_id second("entry-2");
     const cj::instance_id third("entry-3");
-    cj::claim_quorum tally({first, second, third});
-    CHECK_FALSE(tally.verdict());
+    cj::claim_quorum quorum({first, second, third});
+    CHECK_FALSE(quorum.verdict());
 
-    GIVEN("two that know of no claim")
+    GIVEN("two voters that know no claim")
     {
-        tally.add_answer(first, false);
-        tally.add_answer(second, false);
-        CHECK_FALSE(tally.verdict());
-        WHEN("the third knows of none either")
+        quorum.add_answer(first, false);
+        quorum.add_answer(second, false);
+        CHECK_FALSE(quorum.verdict());
+        WHEN("the third knows none either")
         {
-            tally.add_answer(third, false);
-            CHECK(tally.verdict() == claim_verdict::free);
+            quorum.add_answer(third, false);
+            CHECK(quorum.verdict() == claim_verdict::free);
         }
-        WHEN("the third knows of one")
+        WHEN("the third knows one")
         {
-            tally.add_answer(third, true);
-            CHECK(tally.verdict() == claim_verdict::taken);
+            quorum.add_answer(third, true);
+            CHECK(quorum.verdict() == claim_verdict::taken);
         }
-        WHEN("the third is lost")
+        WHEN("the third is unreachable")
         {
-            tally.drop_voter(third);
-            CHECK(tally.verdict() == claim_verdict::free);
+            quorum.drop_voter(third);
+            CHECK(quorum.verdict() == claim_verdict::free);
         }
-        WHEN("one answers twice, or somebody who was not asked")
+        WHEN("one votes twice, and one votes that was not asked")
         {
-            tally.add_answer(first, false);
-            tally.add_answer(cj::instance_id("entry-4"), true);
-            CHECK_FALSE(tally.verdict());
+            quorum.add_answer(first, false);
+            quorum.add_answer(cj::instance_id("entry-4"), true);
+            CHECK_FALSE(quorum.verdict());
         }
     }
-    GIVEN("one that knows of a claim")
+    GIVEN("one voter that knows a claim")
     {
-        tally.add_answer(first, true);
-        THEN("nobody else needs to be heard")
+        quorum.add_answer(first, true);
+        THEN("no other vote is needed")
         {
-            CHECK(tally.verdict() == claim_verdict::taken);
+            CHECK(quorum.verdict() == claim_verdict::taken);
         }
     }
-    GIVEN("one of three that answers")
+    GIVEN("one answer of three")
     {
-        tally.add_answer(first, false);
-        tally.stop_waiting();
-        CHECK(tally.verdict() == claim_verdict::no_quorum);
+        quorum.add_answer(first, false);
+        quorum.stop_waiting();
+        CHECK(quorum.verdict() == claim_verdict::no_quorum);
     }
-    GIVEN("nobody who answers, or nobody to ask")
+    GIVEN("no answers, or no voters")
     {
-        tally.stop_waiting();
-        CHECK(tally.verdict() == claim_verdict::no_quorum);
+        quorum.stop_waiting();
+        CHECK(quorum.verdict() == claim_verdict::no_quorum);
         CHECK(cj::claim_quorum({}).verdict() == claim_verdict::no_quorum);
     }
-    GIVEN("an installation with two entries, of which one is gone")
+    GIVEN("two voters, of which one is unreachable")
     {
-        cj::claim_quorum small({first, second});
-        small.drop_voter(second);
-        small.add_answer(first, false);
-        CHECK(small.verdict() == claim_verdict::free);
+        cj::claim_quorum of_two({first, second});
+        of_two.drop_voter(second);
+        of_two.add_answer(first, false);
+        CHECK(of_two.verdict() == claim_verdict::free);
     }
 }
 
 namespace
 {
 
-/*! @brief A key-value service that may lose claims, three keepers, and sides
- * that come and go. */
+/*! @brief A key-value service that may lose claims, three voters, and sidecars
+ * that restart for each request. */
 struct installation
 {
-    static constexpr std::size_t keepers = 3;
+    static constexpr std::size_t voter_count = 3;
 
-    /*! @brief A request comes to a side.
-     * @param side One life of a side.
-     * @param silent One bit for each keeper that does not answer. */
+    /*! @brief Runs a request at a sidecar if it wins the claim.
+     * @param side Incarnation of the sidecar.
+     * @param silent One bit for each voter that does not answer. */
     void request(const std::string& id, const std::string& side,
                  unsigned silent)
     {
         if (!claims.emplace(id, side).second)
             return;
-        std::set<cj::instance_id> asked;
-        for (std::size_t at = 0; at < keepers; ++at)
-            asked.insert(name(at));
-        cj::claim_quorum tally(asked);
-        for (std::size_t at = 0; at < keepers; ++at)
+        std::set<cj::instance_id> voters;
+        for (std::size_t index = 0; index < voter_count; ++index)
+            voters.insert(voter(index));
+        cj::claim_quorum quorum(voters);
+        for (std::size_t index = 0; index < voter_count; ++index)
         {
-            if ((silent >> at & 1U) == 0)
-                tally.add_answer(name(at),
-                                 !books[at].try_claim(cj::digest::of(id), side,
-                                                      cj::time_point()));
+            if ((silent >> index & 1U) == 0)
+                quorum.add_answer(voter(index), !registries[index].try_claim(
+                                                    cj::digest::of(id), side,
+                                                    cj::time_point()));
         }
-        tally.stop_waiting();
-        runs[id] += tally.verdict() == claim_verdict::free ? 1 : 0;
+        quorum.stop_waiting();
+        runs[id] += quorum.verdict() == claim_verdict::free ? 1 : 0;
     }
 
-    static cj::instance_id name(std::size_t at)
+    static cj::instance_id voter(std::size_t index)
     {
-        return cj::instance_id(std::to_string(at));
+        return cj::instance_id(std::to_string(index));
     }
 
     [[nodiscard]] bool at_most_once() const
@@ -122,54 +122,58 @@
     }
 
     std::map<std::string, std::string> claims;
-    std::map<std::string, std::string> copy;
-    std::vector<cj::claim_registry> books{keepers, cj::claim_registry(1000)};
+    std::map<std::string, std::string> backup;
+    std::vector<cj::claim_registry> registries{voter_count,
+                                               cj::claim_registry(1000)};
     std::map<std::string, unsigned> runs;
 };
 
-/*! @brief Plays steps; each tries an id, takes a copy, or comes back from it.
- * @param disturb Returns the keepers that stay silent at a step. */
+/*! @brief Runs random steps: each sends a request, backs the service up, or
+ * restores the backup.
+ * @param silent_voters Returns the voters that don't answer at a step. */
 template <typename Disturb>
-installation play(Disturb disturb)
+installation run_steps(Disturb silent_voters)
 {
-    installation all;
+    installation system;
     const auto steps =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 12));
-    for (std::size_t at = 0; at < steps.size(); ++at)
+    for (std::size_t index = 0; index < steps.size(); ++index)
     {
-        const auto step = steps[at];
+        const auto step = steps[index];
         if (step == 0)
-            all.copy = all.claims;
+            system.backup = system.claims;
         else if (step <= 2)
-            all.claims = all.copy;
+            system.claims = system.backup;
         else
-            all.request(std::to_string(step % 3), "side-" + std::to_string(at),
-                        disturb(all));
+            system.request(std::to_string(step % 3),
+                           "side-" + std::to_string(index),
+                           silent_voters(system));
     }
-    return all;
+    return system;
 }
 
 } // namespace
 
-TEST_CASE("claims that the service loses let nothing run twice", "[run]")
+TEST_CASE("no request runs twice after the service has lost claims", "[run]")
 {
-    rc::prop(
-        "while any keepers are silent at times",
-        []
-        {
-            const auto end = play(
-                [](installation&)
-                { return *rc::gen::inRange(0U, 1U << installation::keepers); });
-            RC_ASSERT(end.at_most_once());
-        });
-    rc::prop("while one keeper forgets all, again and again",
+    rc::prop("while any voters fail to answer at times",
+             []
+             {
+                 const auto end = run_steps(
+                     [](installation&) {
+                         return *rc::gen::inRange(
+                             0U, 1U << installation::voter_count);
+                     });
+                 RC_ASSERT(end.at_most_once());
+             });
+    rc::prop("while one voter loses its memory again and again",
              []
              {
-                 const auto end = play(
-                     [](installation& all)
+                 const auto end = run_steps(
+                     [](installation& system)
                      {
                          if (*rc::gen::arbitrary<bool>())
-                             all.books[0] = cj::claim_registry(1000);
+                             system.registries[0] = cj::claim_registry(1000);
                          return 0U;
                      });
                  RC_ASSERT(end.at_most_once());
--- a/tests/run/claim_session.cpp
+++ b/tests/run/claim_session.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-/*! @brief One side and the claims in the key-value service. */
-struct busy_side
+/*! @brief A sidecar and the claims in the key-value service. */
+struct sidecar
 {
-    static constexpr std::size_t remembered = 8;
+    static constexpr std::size_t max_remembered = 8;
 
     /*! @return Whether the request ran. */
-    bool request(const std::string& name)
+    bool run_request(const std::string& name)
     {
         const cj::request_id id(name);
         if (registry.begin_claim(id) != cj::start_decision::start)
@@ -37,27 +37,27 @@
     }
 
     cj::time_point now{std::chrono::hours(2)};
-    cj::run_registry registry{remembered};
-    cj::claim_session session{remembered / 2};
+    cj::run_registry registry{max_remembered};
+    cj::claim_session session{max_remembered / 2};
     std::map<std::string, std::string> claims;
     unsigned sessions{0};
 };
 
 } // namespace
 
-SCENARIO("a request that its side has forgotten does not run again", "[run]")
+SCENARIO("a request that its sidecar has forgotten does not run again", "[run]")
 {
-    busy_side side;
-    REQUIRE(side.request("unlock-7"));
-    CHECK_FALSE(side.request("unlock-7"));
-    for (std::size_t at = 0; at < 4 * busy_side::remembered; ++at)
+    sidecar sidecar_process;
+    REQUIRE(sidecar_process.run_request("unlock-7"));
+    CHECK_FALSE(sidecar_process.run_request("unlock-7"));
+    for (std::size_t at = 0; at < 4 * sidecar::max_remembered; ++at)
     {
-        CHECK(side.request(std::to_string(at)));
-        CHECK_FALSE(side.request("unlock-7"));
+        CHECK(sidecar_process.run_request(std::to_string(at)));
+        CHECK_FALSE(sidecar_process.run_request("unlock-7"));
     }
 }
 
-SCENARIO("a session of claims is left in time", "[run]")
+SCENARIO("a session expires by its claims, its age or the service", "[run]")
 {
     const cj::time_point now{std::chrono::hours(2)};
     cj::claim_session session(2);
@@ -65,26 +65,26 @@
     session.open("a", now);
     REQUIRE(session.usable(now));
 
-    GIVEN("as many claims as it makes")
+    GIVEN("as many claims as a session may make")
     {
         CHECK(session.use_for_claim() == "a");
         CHECK(session.usable(now));
         CHECK(session.use_for_claim() == "a");
         CHECK_FALSE(session.usable(now));
-        WHEN("another is opened")
+        WHEN("a new one is opened")
         {
             session.open("b", now);
             CHECK(session.usable(now));
             CHECK(session.use_for_claim() == "b");
         }
     }
-    GIVEN("an hour")
+    GIVEN("a session at its maximum age")
     {
         const auto hour = cj::claim_session::max_age;
         CHECK(session.usable(now + hour));
         CHECK_FALSE(session.usable(now + hour + std::chrono::seconds(1)));
     }
-    GIVEN("a service that lacks it")
+    GIVEN("a service that no longer knows it")
     {
         session.invalidate("another");
         CHECK(session.usable(now));
--- a/tests/run/crash_ledger.cpp
+++ b/tests/run/crash_ledger.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-constexpr auto weak = crash_evidence::mid_response;
-constexpr auto beginning = crash_evidence::before_response;
+constexpr auto mid_response = crash_evidence::mid_response;
+constexpr auto before_response = crash_evidence::before_response;
 constexpr auto trial = crash_evidence::trial;
 
 request_content content(int number)
@@ -22,14 +22,14 @@
     return request_content::of("school", "/essays", std::to_string(number));
 }
 
-crash_id end_of(int number)
+crash_id crash_of_engine(int number)
 {
     return crash_id_of(instance_id("engine-" + std::to_string(number)),
                        incarnation(7));
 }
 
-/*! @brief Tells one ledger everything that another one has to tell. */
-void tell(crash_ledger& from, crash_ledger& to, time_point now)
+/*! @brief Merges all updates of one ledger into another one. */
+void report_all(crash_ledger& from, crash_ledger& to, time_point now)
 {
     for (const auto& one : from.collect_updates(100, now))
         to.merge(one, now);
@@ -37,32 +37,35 @@
 
 } // namespace
 
-TEST_CASE("a ledger of upstreams that ended under requests", "[run]")
+TEST_CASE("crashes decide how a request is treated", "[run]")
 {
     crash_ledger ledger;
     time_point now{100s};
     const auto bad = content(1);
 
-    SECTION("nothing is known of a request")
+    SECTION("a request without crashes is clear")
     {
         CHECK(ledger.status(bad, now) == crash_status::clear);
     }
-    SECTION("one end doubts it, three quarantine it")
+    SECTION("one crash makes it suspect, three quarantine it")
     {
-        CHECK_FALSE(ledger.record_crash(bad, end_of(1), beginning, now));
+        CHECK_FALSE(
+            ledger.record_crash(bad, crash_of_engine(1), before_response, now));
         CHECK(ledger.status(bad, now) == crash_status::suspect);
         CHECK(ledger.max_running(bad, false, now) == 1);
-        CHECK_FALSE(ledger.record_crash(bad, end_of(2), beginning, now));
-        CHECK(ledger.record_crash(bad, end_of(3), beginning, now));
+        CHECK_FALSE(
+            ledger.record_crash(bad, crash_of_engine(2), before_response, now));
+        CHECK(
+            ledger.record_crash(bad, crash_of_engine(3), before_response, now));
         CHECK(ledger.status(bad, now) == crash_status::quarantined);
         CHECK(ledger.max_running(bad, true, now) == 0);
         CHECK(ledger.quarantine_left(bad, now + 1s) == 1s);
 
-        SECTION("and no other one")
+        SECTION("no other request is affected")
         {
             CHECK(ledger.status(content(2), now) == crash_status::clear);
         }
-        SECTION("until a trial, of one copy at one entry")
+        SECTION("after the quarantine one entry may run one copy")
         {
             now += 2s;
             CHECK(ledger.status(bad, now) == crash_status::on_trial);
@@ -70,271 +73,282 @@
             CHECK(ledger.max_running(bad, true, now) == 1);
             CHECK(ledger.max_running(bad, false, now) == 0);
         }
-        SECTION("a trial that ends an upstream keeps it away for ten minutes")
+        SECTION("a crash in a trial quarantines it for ten minutes")
         {
             now += 2s;
-            CHECK(ledger.record_crash(bad, end_of(4), trial, now));
+            CHECK(ledger.record_crash(bad, crash_of_engine(4), trial, now));
             CHECK(ledger.quarantine_left(bad, now + 1s) == 599s);
             now += 600s;
             CHECK(ledger.status(bad, now) == crash_status::on_trial);
-            CHECK(ledger.record_crash(bad, end_of(5), trial, now));
+            CHECK(ledger.record_crash(bad, crash_of_engine(5), trial, now));
             CHECK(ledger.status(bad, now + 599s) == crash_status::quarantined);
         }
-        SECTION("also when it has ended many")
+        SECTION("a crash in a trial does so also after many crashes")
         {
             now += 2s;
             for (int at = 4; at < 40; ++at)
             {
-                ledger.record_crash(bad, end_of(at), trial, now);
+                ledger.record_crash(bad, crash_of_engine(at), trial, now);
                 CHECK(ledger.status(bad, now + 599s) ==
                       crash_status::quarantined);
                 now += 600s;
             }
         }
-        SECTION("ends that are told while it rests let it rest longer")
+        SECTION("a crash during the quarantine extends it")
         {
             now += 1s;
-            ledger.record_crash(bad, end_of(4), beginning, now);
+            ledger.record_crash(bad, crash_of_engine(4), before_response, now);
             CHECK(ledger.quarantine_left(bad, now) == 2s);
         }
-        SECTION("until an operator lifts it, at all entries")
+        SECTION("an operator can lift it at all entries")
         {
             crash_ledger other;
-            tell(ledger, other, now);
+            report_all(ledger, other, now);
             CHECK(other.status(bad, now) == crash_status::quarantined);
             CHECK(ledger.lift_quarantine(bad, now));
             CHECK_FALSE(ledger.lift_quarantine(bad, now));
-            tell(ledger, other, now);
+            report_all(ledger, other, now);
             CHECK(other.status(bad, now) == crash_status::clear);
-            // The other one still tells the ends; they stay lifted.
-            tell(other, ledger, now);
+            // The other one still reports the crashes; they stay cleared.
+            report_all(other, ledger, now);
             CHECK(ledger.status(bad, now) == crash_status::clear);
         }
-        SECTION("until its record is forgotten, which others do not bring back")
+        SECTION("its record expires, and other ledgers do not restore it")
         {
             crash_ledger other;
-            tell(ledger, other, now);
+            report_all(ledger, other, now);
             now += 1'199s;
-            tell(ledger, other, now);
-            tell(other, ledger, now);
+            report_all(ledger, other, now);
+            report_all(other, ledger, now);
             now += 1s;
             ledger.expire(now);
-            tell(other, ledger, now);
+            report_all(other, ledger, now);
             CHECK(ledger.histories().empty());
         }
-        SECTION("a suspension of the entry makes it neither older nor younger "
-                "than it is")
+        SECTION("the quarantine goes on while the entry is suspended")
         {
-            // Time goes on while suspended; the clock of ages does too.
-            ledger.record_crash(bad, end_of(4), trial, now);
+            // The clock that gives the ages goes on during a suspension.
+            ledger.record_crash(bad, crash_of_engine(4), trial, now);
             now += 300s;
             CHECK(ledger.quarantine_left(bad, now) == 300s);
         }
     }
-    SECTION("ends that came after a part of the answer weigh half")
+    SECTION("a crash after a part of the response has half the weight")
     {
-        // What is moved from one killed upstream to the next loses them so.
+        // A bystander that is moved from one killed upstream to the next loses
+        // them in this state.
         for (int at = 1; at <= 3; ++at)
-            ledger.record_crash(bad, end_of(at), weak, now);
+            ledger.record_crash(bad, crash_of_engine(at), mid_response, now);
         CHECK(ledger.status(bad, now) == crash_status::suspect);
-        ledger.record_crash(bad, end_of(4), beginning, now);
+        ledger.record_crash(bad, crash_of_engine(4), before_response, now);
         CHECK(ledger.status(bad, now) == crash_status::suspect);
-        ledger.record_crash(bad, end_of(5), weak, now);
+        ledger.record_crash(bad, crash_of_engine(5), mid_response, now);
         CHECK(ledger.status(bad, now) == crash_status::quarantined);
     }
-    SECTION("the copy of an upstream that says most counts, whoever tells it")
+    SECTION("the strongest evidence for a crash counts, whoever reports it")
     {
         crash_ledger other;
         for (int at = 1; at <= 3; ++at)
         {
-            ledger.record_crash(bad, end_of(at), weak, now);
-            other.record_crash(bad, end_of(at), beginning, now);
+            ledger.record_crash(bad, crash_of_engine(at), mid_response, now);
+            other.record_crash(bad, crash_of_engine(at), before_response, now);
         }
-        tell(other, ledger, now);
+        report_all(other, ledger, now);
         CHECK(ledger.status(bad, now) == crash_status::quarantined);
         CHECK(ledger.histories().at(bad).active_crashes() == 3);
     }
-    SECTION("evidence that a later version may tell says as much as a trial")
+    SECTION("unknown evidence weighs as much as a trial")
     {
-        message::crash_record told;
-        told.content = bad;
-        told.crashes.push_back({7, 200});
-        CHECK(ledger.merge(told, now));
+        message::crash_record received;
+        received.content = bad;
+        received.crashes.push_back({7, 200});
+        CHECK(ledger.merge(received, now));
     }
-    SECTION("copies on one upstream are one end, whoever tells it")
+    SECTION("several copies on one upstream are one crash, whoever reports it")
     {
         crash_ledger other;
-        ledger.record_crash(bad, end_of(1), beginning, now);
-        other.record_crash(bad, end_of(1), beginning, now + 5ms);
-        tell(other, ledger, now + 10ms);
-        ledger.record_crash(bad, end_of(1), beginning, now + 12ms);
+        ledger.record_crash(bad, crash_of_engine(1), before_response, now);
+        other.record_crash(bad, crash_of_engine(1), before_response, now + 5ms);
+        report_all(other, ledger, now + 10ms);
+        ledger.record_crash(bad, crash_of_engine(1), before_response,
+                            now + 12ms);
         CHECK(ledger.histories().at(bad).active_crashes() == 1);
     }
-    SECTION("a later life of an upstream is another one")
+    SECTION("each incarnation of an upstream has its own crash")
     {
         const instance_id same("engine");
-        ledger.record_crash(bad, crash_id_of(same, incarnation(1)), beginning,
-                            now);
-        ledger.record_crash(bad, crash_id_of(same, incarnation(2)), beginning,
-                            now);
+        ledger.record_crash(bad, crash_id_of(same, incarnation(1)),
+                            before_response, now);
+        ledger.record_crash(bad, crash_id_of(same, incarnation(2)),
+                            before_response, now);
         CHECK(ledger.histories().at(bad).active_crashes() == 2);
     }
-    SECTION("three entries that each see one end quarantine it together")
+    SECTION("three entries that observe one crash each quarantine it together")
     {
         crash_ledger second;
         crash_ledger third;
-        ledger.record_crash(bad, end_of(1), beginning, now);
-        second.record_crash(bad, end_of(2), beginning, now);
-        third.record_crash(bad, end_of(3), beginning, now);
-        tell(ledger, second, now);
-        tell(second, third, now);
-        tell(third, ledger, now);
-        tell(third, second, now);
+        ledger.record_crash(bad, crash_of_engine(1), before_response, now);
+        second.record_crash(bad, crash_of_engine(2), before_response, now);
+        third.record_crash(bad, crash_of_engine(3), before_response, now);
+        report_all(ledger, second, now);
+        report_all(second, third, now);
+        report_all(third, ledger, now);
+        report_all(third, second, now);
         CHECK(ledger.status(bad, now) == crash_status::quarantined);
         CHECK(second.status(bad, now) == crash_status::quarantined);
         CHECK(third.status(bad, now) == crash_status::quarantined);
     }
-    SECTION("an entry that has just started learns it from any other")
+    SECTION("an entry that has just started learns it from any other one")
     {
         for (int at = 1; at <= 3; ++at)
-            ledger.record_crash(bad, end_of(at), beginning, now);
+            ledger.record_crash(bad, crash_of_engine(at), before_response, now);
         CHECK(ledger.collect_updates(12, now).size() == 1);
         now += 60s;
         crash_ledger fresh;
-        tell(ledger, fresh, now);
+        report_all(ledger, fresh, now);
         CHECK(fresh.status(bad, now) == crash_status::on_trial);
-        ledger.record_crash(bad, end_of(4), trial, now);
+        ledger.record_crash(bad, crash_of_engine(4), trial, now);
         now += 60s;
-        tell(ledger, fresh, now);
+        report_all(ledger, fresh, now);
         CHECK(fresh.status(bad, now) == crash_status::quarantined);
         CHECK(fresh.quarantine_left(bad, now) == 540s);
     }
 }
 
-TEST_CASE("answers speak for a request", "[run]")
+TEST_CASE("responses outweigh crashes", "[run]")
 {
     crash_ledger ledger;
     time_point now{100s};
-    const auto asked = content(1);
-    const auto answer = [&](int count)
+    const auto repeated = content(1);
+    const auto respond = [&](int count)
     {
         for (int at = 0; at < count; ++at)
-            ledger.record_response(asked, now);
+            ledger.record_response(repeated, now);
     };
 
-    SECTION("four for an end: it was a bystander")
+    SECTION("four responses outweigh one crash")
     {
-        ledger.record_crash(asked, end_of(1), beginning, now);
-        answer(3);
-        CHECK(ledger.status(asked, now) == crash_status::suspect);
-        answer(1);
-        CHECK(ledger.status(asked, now) == crash_status::clear);
+        ledger.record_crash(repeated, crash_of_engine(1), before_response, now);
+        respond(3);
+        CHECK(ledger.status(repeated, now) == crash_status::suspect);
+        respond(1);
+        CHECK(ledger.status(repeated, now) == crash_status::clear);
     }
-    SECTION("those from before speak too, each once")
+    SECTION("earlier responses count too, but only once")
     {
-        answer(9);
-        ledger.record_crash(asked, end_of(1), beginning, now);
-        ledger.record_crash(asked, end_of(2), beginning, now);
-        CHECK(ledger.status(asked, now) == crash_status::clear);
-        ledger.record_crash(asked, end_of(3), beginning, now);
-        CHECK(ledger.status(asked, now) == crash_status::suspect);
+        respond(9);
+        ledger.record_crash(repeated, crash_of_engine(1), before_response, now);
+        ledger.record_crash(repeated, crash_of_engine(2), before_response, now);
+        CHECK(ledger.status(repeated, now) == crash_status::clear);
+        ledger.record_crash(repeated, crash_of_engine(3), before_response, now);
+        CHECK(ledger.status(repeated, now) == crash_status::suspect);
     }
-    SECTION("what is asked often is quarantined by no kill of half of all")
+    SECTION("a popular request is not quarantined when many upstreams crash")
     {
-        answer(100);
+        respond(100);
         for (int at = 0; at < 10; ++at)
-            ledger.record_crash(asked, end_of(at), beginning, now);
-        CHECK(ledger.status(asked, now) == crash_status::clear);
+            ledger.record_crash(repeated, crash_of_engine(at), before_response,
+                                now);
+        CHECK(ledger.status(repeated, now) == crash_status::clear);
     }
-    SECTION("each admits one copy more of what is doubted")
+    SECTION("each response allows one more copy of a suspect")
     {
-        ledger.record_crash(asked, end_of(1), beginning, now);
-        answer(2);
-        CHECK(ledger.max_running(asked, false, now) == 3);
-        ledger.record_crash(asked, end_of(2), beginning, now);
-        CHECK(ledger.max_running(asked, false, now) == 1);
+        ledger.record_crash(repeated, crash_of_engine(1), before_response, now);
+        respond(2);
+        CHECK(ledger.max_running(repeated, false, now) == 3);
+        ledger.record_crash(repeated, crash_of_engine(2), before_response, now);
+        CHECK(ledger.max_running(repeated, false, now) == 1);
     }
-    SECTION("three pass a trial, at all entries")
+    SECTION("three responses pass a trial, at all entries")
     {
         for (int at = 1; at <= 3; ++at)
-            ledger.record_crash(asked, end_of(at), beginning, now);
+            ledger.record_crash(repeated, crash_of_engine(at), before_response,
+                                now);
         crash_ledger other;
-        tell(ledger, other, now);
+        report_all(ledger, other, now);
         now += 2s;
-        answer(2);
-        CHECK(ledger.status(asked, now) == crash_status::on_trial);
-        CHECK(ledger.max_running(asked, true, now) == 3);
-        answer(1);
-        CHECK(ledger.status(asked, now) == crash_status::clear);
-        tell(ledger, other, now);
-        CHECK(other.status(asked, now) == crash_status::clear);
+        respond(2);
+        CHECK(ledger.status(repeated, now) == crash_status::on_trial);
+        CHECK(ledger.max_running(repeated, true, now) == 3);
+        respond(1);
+        CHECK(ledger.status(repeated, now) == crash_status::clear);
+        report_all(ledger, other, now);
+        CHECK(other.status(repeated, now) == crash_status::clear);
     }
-    SECTION("an end beside answers of a trial is no proof: others run again")
+    SECTION(
+        "a crash after the first response of a trial counts as none in a trial")
     {
         for (int at = 1; at <= 3; ++at)
-            ledger.record_crash(asked, end_of(at), beginning, now);
+            ledger.record_crash(repeated, crash_of_engine(at), before_response,
+                                now);
         now += 2s;
-        answer(1);
-        ledger.record_crash(asked, end_of(4), trial, now);
-        CHECK(ledger.quarantine_left(asked, now) == 2s);
+        respond(1);
+        ledger.record_crash(repeated, crash_of_engine(4), trial, now);
+        CHECK(ledger.quarantine_left(repeated, now) == 2s);
     }
-    SECTION("one that ends every third upstream is quarantined; of trials it "
-            "passes one in three and costs an upstream in ten minutes at last")
+    SECTION(
+        "one that crashes every third upstream is quarantined, and a failed "
+        "trial quarantines it for ten minutes")
     {
         for (int at = 1; at <= 6; ++at)
         {
-            answer(2);
-            ledger.record_crash(asked, end_of(at), beginning, now);
+            respond(2);
+            ledger.record_crash(repeated, crash_of_engine(at), before_response,
+                                now);
         }
-        CHECK(ledger.status(asked, now) == crash_status::quarantined);
-        answer(1);
-        CHECK(ledger.status(asked, now + 1s) == crash_status::quarantined);
-        CHECK(ledger.status(asked, now + 2s) == crash_status::on_trial);
+        CHECK(ledger.status(repeated, now) == crash_status::quarantined);
+        respond(1);
+        CHECK(ledger.status(repeated, now + 1s) == crash_status::quarantined);
+        CHECK(ledger.status(repeated, now + 2s) == crash_status::on_trial);
         now += 11s;
-        ledger.record_crash(asked, end_of(7), beginning, now);
+        ledger.record_crash(repeated, crash_of_engine(7), before_response, now);
         now += 2s;
-        ledger.record_crash(asked, end_of(8), trial, now);
-        CHECK(ledger.status(asked, now + 599s) == crash_status::quarantined);
+        ledger.record_crash(repeated, crash_of_engine(8), trial, now);
+        CHECK(ledger.status(repeated, now + 599s) == crash_status::quarantined);
     }
-    SECTION("one that ends one in ten stays, at the price of those")
+    SECTION("one that crashes one in ten upstreams stays clear")
     {
         for (int at = 1; at <= 20; ++at)
         {
-            answer(9);
-            ledger.record_crash(asked, end_of(at), beginning, now);
+            respond(9);
+            ledger.record_crash(repeated, crash_of_engine(at), before_response,
+                                now);
         }
-        CHECK(ledger.status(asked, now) == crash_status::clear);
+        CHECK(ledger.status(repeated, now) == crash_status::clear);
     }
-    SECTION("old ones do not: with new weights it may end all of them")
+    SECTION("old responses do not count, since new weights may change it")
     {
-        answer(100);
+        respond(100);
         now += 10s;
         for (int at = 1; at <= 3; ++at)
-            ledger.record_crash(asked, end_of(at), beginning, now);
-        CHECK(ledger.status(asked, now) == crash_status::quarantined);
+            ledger.record_crash(repeated, crash_of_engine(at), before_response,
+                                now);
+        CHECK(ledger.status(repeated, now) == crash_status::quarantined);
     }
-    SECTION("an entry that has them clears what another one tells")
+    SECTION("an entry with responses clears the crashes that others report")
     {
         crash_ledger other;
         for (int at = 1; at <= 3; ++at)
-            other.record_crash(asked, end_of(at), beginning, now);
-        answer(12);
-        tell(other, ledger, now);
-        CHECK(ledger.status(asked, now) == crash_status::clear);
-        tell(ledger, other, now);
-        CHECK(other.status(asked, now) == crash_status::clear);
+            other.record_crash(repeated, crash_of_engine(at), before_response,
+                               now);
+        respond(12);
+        report_all(other, ledger, now);
+        CHECK(ledger.status(repeated, now) == crash_status::clear);
+        report_all(ledger, other, now);
+        CHECK(other.status(repeated, now) == crash_status::clear);
     }
-    SECTION("those of a request that is not doubted take no record")
+    SECTION("responses of a clear request need no record")
     {
-        answer(100);
+        respond(100);
         CHECK(ledger.histories().empty());
     }
 }
 
-TEST_CASE("half of all upstreams are killed at once", "[run]")
+TEST_CASE("no request is blocked if half of all upstreams crash at once",
+          "[run]")
 {
-    // 300 upstreams with 16 requests each; every request is sent to a second
-    // upstream, of which half are killed as well.
+    // 300 upstreams with 16 requests each; every request is resent to a second
+    // upstream, and half of these crash as well.
     crash_limits limits;
     limits.max_records = 100'000;
     crash_ledger ledger(limits);
@@ -344,12 +358,12 @@
     {
         for (int place = 0; place < 16; ++place, ++number)
         {
-            ledger.record_crash(content(number), end_of(upstream), beginning,
-                                now);
+            ledger.record_crash(content(number), crash_of_engine(upstream),
+                                before_response, now);
             if (number % 2 == 0)
                 ledger.record_crash(content(number),
-                                    end_of((upstream + 1) % 300), beginning,
-                                    now + 200ms);
+                                    crash_of_engine((upstream + 1) % 300),
+                                    before_response, now + 200ms);
         }
     }
     CHECK(ledger.blocked_count() == 0);
@@ -363,71 +377,73 @@
     time_point now{100s};
     const auto bad = content(-1);
     for (int at = 1; at <= 3; ++at)
-        ledger.record_crash(bad, end_of(at), beginning, now);
+        ledger.record_crash(bad, crash_of_engine(at), before_response, now);
 
-    SECTION("a flood of doubted requests pushes out no quarantined one")
+    SECTION("a flood of suspect requests replaces no quarantined one")
     {
         for (int at = 0; at < 10'000; ++at)
-            ledger.record_crash(content(at), end_of(at), beginning,
-                                now + milliseconds(at));
+            ledger.record_crash(content(at), crash_of_engine(at),
+                                before_response, now + milliseconds(at));
         CHECK(ledger.histories().size() == 64);
         CHECK(ledger.status(bad, now + 1s) == crash_status::quarantined);
         CHECK(ledger.status(bad, now + 10s) == crash_status::on_trial);
     }
-    SECTION("one call tells few records, and all come in turn")
+    SECTION("one call reports few records, and all get their turn")
     {
         for (int at = 0; at < 50; ++at)
         {
             for (int end = 0; end < 3; ++end)
-                ledger.record_crash(content(at), end_of(end), beginning, now);
+                ledger.record_crash(content(at), crash_of_engine(end),
+                                    before_response, now);
         }
         crash_ledger fresh;
-        for (int beat = 0; beat < 10; ++beat)
+        for (int heartbeat = 0; heartbeat < 10; ++heartbeat)
         {
-            const auto told = ledger.collect_updates(12, now);
-            CHECK(told.size() <= 12);
-            for (const auto& one : told)
+            const auto received = ledger.collect_updates(12, now);
+            CHECK(received.size() <= 12);
+            for (const auto& one : received)
                 fresh.merge(one, now);
         }
         CHECK(fresh.blocked_count() == 51);
     }
 }
 
-TEST_CASE("ledgers agree in whatever order they hear of each other", "[run]")
+TEST_CASE("ledgers agree whatever the order of their merges", "[run]")
 {
-    rc::prop("after all have told all, they hold the same",
-             []
-             {
-                 const time_point now{100s};
-                 std::vector<crash_ledger> ledgers(3);
-                 const auto steps = *rc::gen::container<std::vector<int>>(
-                     rc::gen::inRange(0, 90));
-                 for (const int step : steps)
-                 {
-                     auto& one = ledgers[static_cast<std::size_t>(step % 3)];
-                     const auto what = content(step / 3 % 2);
-                     if (step % 10 == 9)
-                         one.lift_quarantine(what, now);
-                     else if (step % 10 == 8)
-                         tell(one, ledgers[static_cast<std::size_t>(step / 30)],
-                              now);
-                     else
-                         one.record_crash(what, end_of(step / 6 % 5), beginning,
-                                          now);
-                 }
-                 for (int round = 0; round < 3; ++round)
-                 {
-                     for (auto& from : ledgers)
-                     {
-                         for (auto& to : ledgers)
-                             tell(from, to, now);
-                     }
-                 }
-                 for (int at = 0; at < 2; ++at)
-                 {
-                     const auto first = ledgers[0].status(content(at), now);
-                     RC_ASSERT(ledgers[1].status(content(at), now) == first);
-                     RC_ASSERT(ledgers[2].status(content(at), now) == first);
-                 }
-             });
+    rc::prop(
+        "they are equal after all have reported to all",
+        []
+        {
+            const time_point now{100s};
+            std::vector<crash_ledger> ledgers(3);
+            const auto steps =
+                *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 90));
+            for (const int step : steps)
+            {
+                auto& one = ledgers[static_cast<std::size_t>(step % 3)];
+                const auto requested = content(step / 3 % 2);
+                if (step % 10 == 9)
+                    one.lift_quarantine(requested, now);
+                else if (step % 10 == 8)
+                    report_all(
+                        one, ledgers[static_cast<std::size_t>(step / 30)], now);
+                else
+                    one.record_crash(requested, crash_of_engine(step / 6 % 5),
+                                     before_response, now);
+            }
+            for (int round = 0; round < 3; ++round)
+            {
+                for (auto& from : ledgers)
+                {
+                    for (auto& to : ledgers)
+                        report_all(from, to, now);
+                }
+            }
+            for (int at = 0; at < 2; ++at)
+            {
+                const auto first = ledgers[0].status(content(at), now);
+                RC_ASSERT(ledgers[1].status(content(at), now) == first);
+                RC_ASSERT(ledgers[2].status(content(at), now) == first);
+            }
+        });
 }
--- /dev/null
+++ b/tests/run/crash_simulation.cpp
@@ -0,0 +1,189 @@
+#include "run/crash_simulation.hpp"
+
+#include <algorithm>
+#include <cstdint>
+
+#include <catch2/catch.hpp>
+
+using namespace coursejunction;
+using namespace std::chrono_literals;
+using crash_simulation::scenario;
+using crash_simulation::simulation;
+using crash_simulation::simulation_result;
+
+namespace
+{
+
+/*! @brief Runs a scenario with several seeds.
+ * @return The largest of each figure, except for `answered`: the smallest
+ * number of responses to 1,000 innocent requests. */
+simulation_result worst(scenario config, std::uint32_t seeds)
+{
+    simulation_result result;
+    result.answered = 1000;
+    for (config.seed = 1; config.seed <= seeds; ++config.seed)
+    {
+        const auto run = simulation(config).run();
+        result.crashed = std::max(result.crashed, run.crashed);
+        result.crashed_late = std::max(result.crashed_late, run.crashed_late);
+        result.blocked_innocent =
+            std::max(result.blocked_innocent, run.blocked_innocent);
+        result.refused = std::max(result.refused, run.refused);
+        result.bytes_per_second =
+            std::max(result.bytes_per_second, run.bytes_per_second);
+        result.answered =
+            std::min(result.answered, run.answered * 1000 / run.requests);
+    }
+    UNSCOPED_INFO("crashed "
+                  << result.crashed << " late " << result.crashed_late
+                  << " blocked innocent " << result.blocked_innocent
+                  << " refused " << result.refused << " bytes/s "
+                  << result.bytes_per_second << " answered " << result.answered
+                  << " of 1000");
+    return result;
+}
+
+/*! @brief Crashes that the users allow later than 3 s after the third one. */
+constexpr std::size_t max_late_crashes = 3;
+
+/*! @brief Control traffic that a process may send, in bytes a second. */
+constexpr double max_control_bytes = 19'000;
+
+} // namespace
+
+TEST_CASE("a request that crashes engines among five entries", "[run]")
+{
+    scenario config;
+    config.copy_interval = 300ms;
+
+    SECTION("copies in sequence crash three engines, one more and one trial")
+    {
+        const auto result = worst(config, 5);
+        CHECK(result.crashed <= 5);
+        CHECK(result.crashed_late <= 1);
+        CHECK(result.blocked_innocent == 0);
+    }
+    SECTION("a copy at each entry at once crashes no second engine for each")
+    {
+        config.copies_at_once = 5;
+        const auto result = worst(config, 5);
+        CHECK(result.crashed <= 9);
+        CHECK(result.crashed_late <= 1);
+    }
+    SECTION("four such requests at once crash no more engines each")
+    {
+        config.harmful_contents = 4;
+        const auto result = worst(config, 5);
+        CHECK(result.crashed <= 4 * 5);
+        CHECK(result.crashed_late <= 1);
+        CHECK(result.blocked_innocent <= 1);
+    }
+    SECTION("one that crashes every third engine")
+    {
+        config.crash_probability = 0.34;
+        CHECK(worst(config, 5).crashed_late <= max_late_crashes);
+    }
+    SECTION("a third of the datagrams is lost")
+    {
+        config.datagram_loss = 0.3;
+        const auto result = worst(config, 5);
+        CHECK(result.crashed <= 6);
+        CHECK(result.crashed_late <= 2);
+    }
+}
+
+TEST_CASE("half of all engines crash for other reasons than a request", "[run]")
+{
+    scenario config;
+    config.killed_fraction = 0.5;
+
+    SECTION("at once: no request is blocked")
+    {
+        CHECK(worst(config, 10).blocked_innocent == 0);
+    }
+    SECTION("within two seconds: few of two thousand requests are blocked, and "
+            "only until their trial")
+    {
+        config.kill_duration = 2000ms;
+        const auto result = worst(config, 10);
+        CHECK(result.blocked_innocent <= 1);
+        CHECK(result.refused <= 2);
+    }
+    SECTION("within two seconds, at 53 entries and 120 engines: few of five "
+            "thousand requests are blocked")
+    {
+        config.entries = 53;
+        config.engines = 120;
+        config.slots = 8;
+        config.kill_duration = 2000ms;
+        config.duration = 8000ms;
+        const auto result = worst(config, 2);
+        CHECK(result.blocked_innocent <= 3);
+        CHECK(result.bytes_per_second <= max_control_bytes);
+    }
+}
+
+TEST_CASE("a request that crashes engines among 53 entries", "[run]")
+{
+    scenario config;
+    config.entries = 53;
+    config.engines = 120;
+    config.slots = 8;
+    config.duration = 8000ms;
+
+    SECTION("ten copies a second, each at any entry")
+    {
+        config.copy_interval = 100ms;
+        const auto result = worst(config, 2);
+        CHECK(result.crashed <= 6);
+        CHECK(result.crashed_late <= 1);
+        CHECK(result.bytes_per_second <= max_control_bytes);
+    }
+    SECTION("fifty copies at once crash one engine each, and no second one")
+    {
+        config.copy_interval = 1000ms;
+        config.copies_at_once = 50;
+        const auto result = worst(config, 2);
+        CHECK(result.crashed <= 52);
+        CHECK(result.crashed_late <= 1);
+        CHECK(result.bytes_per_second <= max_control_bytes);
+    }
+}
+
+// Hidden because of its duration; run it with unit_tests "[size]".
+TEST_CASE("a request that crashes engines among 340 entries", "[.][size]")
+{
+    scenario config;
+    config.entries = 340;
+    config.engines = 600;
+    config.slots = 8;
+    config.duration = 8000ms;
+
+    SECTION("twenty copies a second")
+    {
+        config.copy_interval = 50ms;
+        const auto result = worst(config, 1);
+        CHECK(result.crashed <= 6);
+        CHECK(result.crashed_late <= 1);
+        CHECK(result.bytes_per_second <= max_control_bytes);
+    }
+    SECTION("a hundred copies at once")
+    {
+        config.copy_interval = 1000ms;
+        config.copies_at_once = 100;
+        const auto result = worst(config, 1);
+        CHECK(result.crashed <= 102);
+        CHECK(result.crashed_late <= 1);
+        CHECK(result.bytes_per_second <= max_control_bytes);
+    }
+    SECTION("half of all engines crash within two seconds")
+    {
+        config.killed_fraction = 0.5;
+        config.kill_duration = 2000ms;
+        const auto result = worst(config, 1);
+        CHECK(result.blocked_innocent <= 10);
+        // No more in all than the control traffic allowed for half a minute.
+        CHECK(result.bytes_per_second * to_seconds(config.duration) <=
+              30 * max_control_bytes);
+    }
+}
--- /dev/null
+++ b/tests/run/crash_simulation.hpp
@@ -0,0 +1,487 @@
+/*! @file
+ * @brief Simulates entries, engines and callers in virtual time, with requests
+ * that crash the engines that run them: how many crashes the ledgers of all
+ * entries let happen, and how many innocent requests they block.
+ */
+#ifndef COURSEJUNCTION_TESTS_RUN_CRASH_SIMULATION_HPP
+#define COURSEJUNCTION_TESTS_RUN_CRASH_SIMULATION_HPP
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <queue>
+#include <random>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "coursejunction/core/rendezvous.hpp"
+#include "coursejunction/run/crash_ledger.hpp"
+#include "coursejunction/run/lost_attempt_tracker.hpp"
+#include "coursejunction/wire/codec.hpp"
+#include "coursejunction/wire/fleet_message.hpp"
+
+namespace crash_simulation
+{
+
+using namespace coursejunction;
+using namespace std::chrono_literals;
+
+/*! @brief Parameters of a simulation. */
+struct scenario
+{
+    std::size_t entries{5};
+    std::size_t engines{20};
+    std::size_t slots{16}; /*!< Requests that an engine runs at once. */
+    double load{0.5}; /*!< Fraction of slots in use by innocent requests. */
+    double datagram_loss{0.05}; /*!< Fraction of datagrams lost. */
+    /*! @brief Time between harmful copies; 0: none are sent. */
+    milliseconds copy_interval{0};
+    std::size_t copies_at_once{1};
+    std::size_t harmful_contents{1}; /*!< Number of different ones. */
+    double crash_probability{1};     /*!< Of a run of a harmful request. */
+    double killed_fraction{0};       /*!< Of the engines, for other reasons. */
+    milliseconds kill_duration{0};   /*!< From the first to the last of them. */
+    milliseconds resend_delay{25}; /*!< Before a lost request is sent again. */
+    milliseconds duration{12'000};
+    std::uint32_t seed{1};
+    crash_limits limits;
+};
+
+/*! @brief Result of a simulation. */
+struct simulation_result
+{
+    std::size_t crashed{0}; /*!< Engines, by harmful requests. */
+    /*! @brief Crashes more than 3 s after the third one of the same content; of
+     * the content with the most. */
+    std::size_t crashed_late{0};
+    std::size_t blocked_innocent{0}; /*!< Innocent contents, at any entry. */
+    std::size_t requests{0};         /*!< Innocent requests that were sent. */
+    std::size_t answered{0};         /*!< Innocent requests. */
+    std::size_t refused{0};     /*!< Innocent requests, because of a ledger. */
+    double bytes_per_second{0}; /*!< Of records, sent by one entry. */
+};
+
+/*! @brief One run of a scenario. */
+class simulation
+{
+public:
+    explicit simulation(scenario chosen)
+        : config(chosen), generator(chosen.seed)
+    {
+        for (std::size_t at = 0; at < config.entries; ++at)
+            entries.push_back({crash_ledger(config.limits), {}, {}});
+        engines.resize(config.engines);
+    }
+
+    simulation_result run()
+    {
+        for (std::size_t at = 0; at < entries.size(); ++at)
+            schedule(random_duration(0ms, heartbeat_interval),
+                     [this, at] { send_heartbeat(at); });
+        send_innocent();
+        for (std::size_t which = 0; which < config.harmful_contents; ++which)
+        {
+            if (config.copy_interval > 0ms)
+                schedule(1000ms, [this, which] { send_copies(which); });
+        }
+        plan_kills();
+        while (!events.empty() && events.top().at <= start + config.duration)
+        {
+            const auto next = events.top();
+            events.pop();
+            now = next.at;
+            next.action();
+        }
+        return evaluate();
+    }
+
+private:
+    static constexpr milliseconds heartbeat_interval{400};
+    static constexpr milliseconds network_delay{3};
+    static constexpr milliseconds probe_delay{6};
+    static constexpr milliseconds containment_time{3000};
+    static constexpr milliseconds restart_time{3000};
+    static constexpr milliseconds first_event_time{250};
+    static constexpr milliseconds run_time{900};
+    static constexpr milliseconds crash_time{70};
+    static constexpr time_point start{100s};
+
+    struct attempt
+    {
+        request_content content;
+        std::size_t entry{0};
+        std::size_t engine{0};
+        std::uint64_t incarnation_number{0};
+        time_point started_at{};
+        bool trial{false};
+        std::size_t resends{0};        /*!< Earlier attempts of the request. */
+        std::size_t client_retries{0}; /*!< Earlier requests of the caller. */
+        int harmful{-1};
+    };
+
+    using attempt_pointer = std::shared_ptr<attempt>;
+
+    struct engine_state
+    {
+        std::uint64_t incarnation_number{1};
+        bool is_up{true};
+        std::vector<attempt_pointer> running;
+    };
+
+    struct entry_state
+    {
+        crash_ledger ledger;
+        lost_attempt_tracker tracker;
+        std::map<request_content, std::size_t> in_flight;
+    };
+
+    struct event
+    {
+        time_point at;
+        std::uint64_t number;
+        std::function<void()> action;
+        bool operator<(const event& other) const
+        {
+            return std::pair(other.at, other.number) < std::pair(at, number);
+        }
+    };
+
+    void schedule(milliseconds pause, std::function<void()> action)
+    {
+        events.push({now + pause, ++last_event, std::move(action)});
+    }
+
+    milliseconds random_duration(milliseconds from, milliseconds to)
+    {
+        return milliseconds(std::uniform_int_distribution<std::int64_t>(
+            from.count(), to.count())(generator));
+    }
+
+    std::size_t random_index(std::size_t count)
+    {
+        return std::uniform_int_distribution<std::size_t>(0,
+                                                          count - 1)(generator);
+    }
+
+    bool random_bool(double probability)
+    {
+        return std::uniform_real_distribution<double>(0, 1)(generator) <
+               probability;
+    }
+
+    // Callers.
+
+    void send_innocent()
+    {
+        const double slots = static_cast<double>(config.engines) *
+                             static_cast<double>(config.slots);
+        const double rate = config.load * slots / to_seconds(run_time);
+        const double pause =
+            std::exponential_distribution<double>(rate)(generator);
+        events.push({now + from_seconds(pause), ++last_event,
+                     [this]
+                     {
+                         send_innocent();
+                         const auto body = std::to_string(++innocent_count);
+                         request(request_content::of("school", "/", body), -1,
+                                 0);
+                     }});
+    }
+
+    void send_copies(std::size_t which)
+    {
+        const auto content =
+            request_content::of("bad", "/", std::to_string(which));
+        for (std::size_t at = 0; at < config.copies_at_once; ++at)
+            request(content, static_cast<int>(which), 0);
+        schedule(config.copy_interval, [this, which] { send_copies(which); });
+    }
+
+    void request(const request_content& content, int harmful,
+                 std::size_t client_retries)
+    {
+        auto one = std::make_shared<attempt>();
+        one->content = content;
+        one->entry = random_index(entries.size());
+        one->harmful = harmful;
+        one->client_retries = client_retries;
+        if (harmful < 0 && client_retries == 0)
+            ++counters.requests;
+        dispatch(one);
+    }
+
+    /*! @brief Fails a request; its caller retries once. */
+    void fail(const attempt_pointer& one)
+    {
+        if (one->harmful < 0 && one->client_retries == 0)
+            schedule(300ms, [this, one] { request(one->content, -1, 1); });
+    }
+
+    // Entries; a simplified copy of the logic of the service.
+
+    void dispatch(const attempt_pointer& one)
+    {
+        auto& entry = entries[one->entry];
+        const auto status = entry.ledger.status(one->content, now);
+        const bool trial = status == crash_status::on_trial;
+        const auto limit = entry.ledger.max_running(
+            one->content, trial && trial_owner(one->content) == one->entry,
+            now);
+        if (limit == 0 || (trial && one->resends > 0))
+        {
+            counters.refused += one->harmful < 0 ? 1 : 0;
+            return fail(one);
+        }
+        if (entry.in_flight[one->content] >= limit)
+            return fail(one);
+        one->trial = trial;
+        send(one);
+    }
+
+    std::size_t trial_owner(const request_content& content) const
+    {
+        std::size_t best = 0;
+        std::uint64_t max_weight = 0;
+        for (std::size_t at = 0; at < entries.size(); ++at)
+        {
+            const auto weight =
+                rendezvous_weight(content.hex(), std::to_string(at));
+            if (weight >= max_weight)
+            {
+                max_weight = weight;
+                best = at;
+            }
+        }
+        return best;
+    }
+
+    void send(const attempt_pointer& one)
+    {
+        const bool suspect = is_suspect(*one);
+        for (int draws = 0; draws < 40; ++draws)
+        {
+            const auto at = random_index(engines.size());
+            auto& engine = engines[at];
+            const bool avoid =
+                suspect && draws < 20 &&
+                std::any_of(engine.running.begin(), engine.running.end(),
+                            [&](const auto& other) {
+                                return other->entry == one->entry &&
+                                       is_suspect(*other);
+                            });
+            if (!engine.is_up || engine.running.size() >= config.slots || avoid)
+                continue;
+            start_attempt(one, at);
+            return;
+        }
+        fail(one);
+    }
+
+    bool is_suspect(const attempt& one) const
+    {
+        const auto& entry = entries[one.entry];
+        return entry.ledger.status(one.content, now) != crash_status::clear ||
+               entry.tracker.has_unexplained_loss(one.content, now);
+    }
+
+    void start_attempt(const attempt_pointer& one, std::size_t at)
+    {
+        one->engine = at;
+        one->incarnation_number = engines[at].incarnation_number;
+        one->started_at = now;
+        engines[at].running.push_back(one);
+        ++entries[one->entry].in_flight[one->content];
+        const bool crashes =
+            one->harmful >= 0 && random_bool(config.crash_probability);
+        schedule(crashes ? crash_time : run_time,
+                 [this, one, crashes]
+                 {
+                     auto& engine = engines[one->engine];
+                     if (!engine.is_up ||
+                         engine.incarnation_number != one->incarnation_number)
+                         return;
+                     if (crashes)
+                         count_crash(one->harmful), crash(one->engine);
+                     else
+                         finish(one);
+                 });
+    }
+
+    void finish(const attempt_pointer& one)
+    {
+        std::erase(engines[one->engine].running, one);
+        remove_in_flight(*one);
+        counters.answered += one->harmful < 0 ? 1 : 0;
+        auto& entry = entries[one->entry];
+        if (entry.ledger.record_response(one->content, now))
+            report_to_all(one->entry);
+    }
+
+    void remove_in_flight(const attempt& one)
+    {
+        auto& in_flight = entries[one.entry].in_flight;
+        if (--in_flight[one.content] == 0)
+            in_flight.erase(one.content);
+    }
+
+    // Crashes of engines.
+
+    void count_crash(int harmful)
+    {
+        ++counters.crashed;
+        crashes_by_content[harmful].push_back(now);
+    }
+
+    void plan_kills()
+    {
+        const auto count = static_cast<std::size_t>(
+            config.killed_fraction * static_cast<double>(config.engines));
+        for (std::size_t at = 0; at < count; ++at)
+            schedule(2000ms + random_duration(0ms, config.kill_duration),
+                     [this, at]
+                     {
+                         if (engines[at].is_up)
+                             crash(at);
+                     });
+    }
+
+    void crash(std::size_t at)
+    {
+        auto& engine = engines[at];
+        engine.is_up = false;
+        const auto lost = std::exchange(engine.running, {});
+        schedule(restart_time,
+                 [this, at]
+                 {
+                     engines[at].is_up = true;
+                     ++engines[at].incarnation_number;
+                 });
+        for (const auto& one : lost)
+            schedule(network_delay, [this, one] { lose_attempt(one); });
+    }
+
+    void lose_attempt(const attempt_pointer& one)
+    {
+        remove_in_flight(*one);
+        auto& entry = entries[one->entry];
+        const instance_id engine(std::to_string(one->engine));
+        const auto evidence = one->trial ? crash_evidence::trial
+                              : now - one->started_at >= first_event_time
+                                  ? crash_evidence::mid_response
+                                  : crash_evidence::before_response;
+        const auto crash =
+            crash_id_of(engine, incarnation(one->incarnation_number));
+        if (entry.tracker.add_lost_attempt(
+                {engine, "", {one->content, crash, evidence}}, now))
+            schedule(probe_delay, [this, at = one->entry, engine]
+                     { report_crash(at, engine); });
+        if (one->resends > 0)
+            return fail(one);
+        auto next = std::make_shared<attempt>(*one);
+        ++next->resends;
+        schedule(config.resend_delay, [this, next] { dispatch(next); });
+    }
+
+    void report_crash(std::size_t at, const instance_id& engine)
+    {
+        auto& entry = entries[at];
+        for (const auto& one :
+             entry.tracker.confirm_crash(engine, crash_proof::confirmed, now))
+            entry.ledger.record_crash(one.content, one.crash, one.evidence,
+                                      now);
+        report_to_all(at);
+    }
+
+    // Heartbeats.
+
+    void send_heartbeat(std::size_t at)
+    {
+        report_to_all(at);
+        schedule(heartbeat_interval, [this, at] { send_heartbeat(at); });
+    }
+
+    void report_to_all(std::size_t from)
+    {
+        auto records = std::make_shared<std::vector<message::crash_record>>(
+            entries[from].ledger.collect_updates(
+                crash_ledger::max_records_per_datagram, now));
+        if (records->empty())
+            return;
+        message::fleet_heartbeat heartbeat;
+        heartbeat.entry = true;
+        heartbeat.crashes = *records;
+        bytes_sent += (encode(heartbeat).size() - encode(empty()).size()) *
+                      (entries.size() - 1);
+        for (std::size_t to = 0; to < entries.size(); ++to)
+        {
+            if (to == from || random_bool(config.datagram_loss))
+                continue;
+            schedule(network_delay,
+                     [this, to, records]
+                     {
+                         for (const auto& one : *records)
+                             entries[to].ledger.merge(one, now);
+                     });
+        }
+    }
+
+    static message::fleet_heartbeat empty()
+    {
+        message::fleet_heartbeat made;
+        made.entry = true;
+        return made;
+    }
+
+    simulation_result evaluate()
+    {
+        std::map<request_content, bool> blocked;
+        for (const auto& entry : entries)
+        {
+            for (const auto& [content, one] : entry.ledger.histories())
+            {
+                const auto status = entry.ledger.status(content, now);
+                if (status == crash_status::quarantined ||
+                    status == crash_status::on_trial)
+                    blocked[content] = true;
+            }
+        }
+        for (std::size_t which = 0; which < config.harmful_contents; ++which)
+            blocked.erase(
+                request_content::of("bad", "/", std::to_string(which)));
+        counters.blocked_innocent = blocked.size();
+        for (const auto& [which, crashes] : crashes_by_content)
+        {
+            const auto late = std::count_if(
+                crashes.begin(), crashes.end(),
+                [&, first = crashes](time_point at) {
+                    return first.size() > 3 && at > first[2] + containment_time;
+                });
+            counters.crashed_late =
+                std::max(counters.crashed_late, static_cast<std::size_t>(late));
+        }
+        counters.bytes_per_second = static_cast<double>(bytes_sent) /
+                                    static_cast<double>(entries.size()) /
+                                    to_seconds(config.duration);
+        return counters;
+    }
+
+    scenario config;
+    std::mt19937 generator;
+    time_point now{start};
+    std::vector<entry_state> entries;
+    std::vector<engine_state> engines;
+    std::priority_queue<event> events;
+    std::uint64_t last_event{0};
+    std::uint64_t innocent_count{0};
+    std::uint64_t bytes_sent{0};
+    std::map<int, std::vector<time_point>> crashes_by_content;
+    simulation_result counters;
+};
+
+} // namespace crash_simulation
+
+#endif
--- a/tests/run/lost_attempt_tracker.cpp
+++ b/tests/run/lost_attempt_tracker.cpp
@@ -5,110 +5,111 @@
 using namespace coursejunction;
 using namespace std::chrono_literals;
 
-TEST_CASE("a lost attempt accuses nobody by itself", "[run]")
+TEST_CASE("a lost attempt counts as a crash only with a proof", "[run]")
 {
-    lost_attempt_tracker witness;
+    lost_attempt_tracker tracker;
     const time_point now{100s};
     const instance_id engine("a");
-    const auto end = crash_id_of(engine, incarnation(1));
+    const auto crash = crash_id_of(engine, incarnation(1));
     const auto first = request_content::of("x", "/", "1");
     const auto second = request_content::of("x", "/", "2");
-    const auto lost =
-        [&](const request_content& what, loss_cause how = loss_cause::closed)
+    const auto attempt_of = [&](const request_content& content,
+                                loss_cause cause = loss_cause::closed)
     {
         return lost_attempt{engine,
                             "here:1",
-                            {what, end, crash_evidence::before_response},
-                            how};
+                            {content, crash, crash_evidence::before_response},
+                            cause};
     };
 
-    SECTION("an upstream that lives on: a reset, or a spoilt answer")
+    SECTION("the crash of another upstream is no proof")
     {
-        witness.add_lost_attempt(lost(first), now);
-        CHECK(witness
+        tracker.add_lost_attempt(attempt_of(first), now);
+        CHECK(tracker
                   .confirm_crash(instance_id("b"), crash_proof::confirmed,
                                  now + 1s)
                   .empty());
     }
-    SECTION("an upstream that ended takes all its requests along, once")
+    SECTION("a crash is reported once for each request that ran there")
     {
-        CHECK(witness.add_lost_attempt(lost(first), now));
-        CHECK_FALSE(witness.add_lost_attempt(lost(second), now));
-        const auto accused = witness.confirm_crash(
+        CHECK(tracker.add_lost_attempt(attempt_of(first), now));
+        CHECK_FALSE(tracker.add_lost_attempt(attempt_of(second), now));
+        const auto reports = tracker.confirm_crash(
             engine, crash_proof::record_expired, now + 5ms);
-        REQUIRE(accused.size() == 2);
-        CHECK(accused[0].content == first);
-        CHECK(accused[1].content == second);
-        CHECK(accused[0].crash == end);
-        CHECK(witness.confirm_crash(engine, crash_proof::confirmed, now + 6ms)
+        REQUIRE(reports.size() == 2);
+        CHECK(reports[0].content == first);
+        CHECK(reports[1].content == second);
+        CHECK(reports[0].crash == crash);
+        CHECK(tracker.confirm_crash(engine, crash_proof::confirmed, now + 6ms)
                   .empty());
     }
-    SECTION("an end long after it is another matter")
+    SECTION("a proof that comes too late does not count")
     {
-        witness.add_lost_attempt(lost(first), now);
-        CHECK(witness.confirm_crash(engine, crash_proof::confirmed, now + 4s)
+        tracker.add_lost_attempt(attempt_of(first), now);
+        CHECK(tracker.confirm_crash(engine, crash_proof::confirmed, now + 4s)
                   .empty());
-        CHECK_FALSE(witness.has_unexplained_loss(first, now + 4s));
+        CHECK_FALSE(tracker.has_unexplained_loss(first, now + 4s));
     }
-    SECTION("an attempt that was silent")
+    SECTION("an attempt that timed out")
     {
-        CHECK(
-            witness.add_lost_attempt(lost(first, loss_cause::timed_out), now));
-        CHECK(witness.has_unexplained_loss(first, now + 3s));
-        CHECK_FALSE(witness.has_unexplained_loss(second, now + 3s));
+        CHECK(tracker.add_lost_attempt(attempt_of(first, loss_cause::timed_out),
+                                       now));
+        CHECK(tracker.has_unexplained_loss(first, now + 3s));
+        CHECK_FALSE(tracker.has_unexplained_loss(second, now + 3s));
 
-        SECTION("its upstream may stand still where only its record is gone")
+        SECTION("an expired record is no proof: the upstream may be suspended")
         {
-            CHECK(witness
+            CHECK(tracker
                       .confirm_crash(engine, crash_proof::record_expired,
                                      now + 3s)
                       .empty());
-            CHECK(witness.address_of(engine) == "here:1");
+            CHECK(tracker.address_of(engine) == "here:1");
         }
-        SECTION("its upstream ended where the address refuses")
+        SECTION("a confirmed crash is a proof")
         {
             CHECK(
-                witness.confirm_crash(engine, crash_proof::confirmed, now + 3s)
+                tracker.confirm_crash(engine, crash_proof::confirmed, now + 3s)
                     .size() == 1);
-            CHECK_FALSE(witness.address_of(engine));
+            CHECK_FALSE(tracker.address_of(engine));
         }
-        SECTION("its upstream ended where another one has the address")
+        SECTION("the previous upstream at a reused address is found")
         {
             const instance_id next("b");
-            CHECK(witness.previous_upstream_at(next, "here:1") == engine);
-            CHECK_FALSE(witness.previous_upstream_at(next, "here:2"));
-            CHECK_FALSE(witness.previous_upstream_at(engine, "here:1"));
+            CHECK(tracker.previous_upstream_at(next, "here:1") == engine);
+            CHECK_FALSE(tracker.previous_upstream_at(next, "here:2"));
+            CHECK_FALSE(tracker.previous_upstream_at(engine, "here:1"));
         }
     }
-    SECTION("an attempt that was taken back goes on for half a second at most")
+    SECTION("a cancelled attempt may still run for half a second")
     {
-        CHECK_FALSE(
-            witness.add_lost_attempt(lost(first, loss_cause::cancelled), now));
+        CHECK_FALSE(tracker.add_lost_attempt(
+            attempt_of(first, loss_cause::cancelled), now));
 
-        SECTION("an end within that is told to be under it")
+        SECTION("a crash within that time counts")
         {
             CHECK(
-                witness
+                tracker
                     .confirm_crash(engine, crash_proof::confirmed, now + 400ms)
                     .size() == 1);
         }
-        SECTION("an end after that is not")
+        SECTION("a later crash does not count")
         {
             CHECK(
-                witness
+                tracker
                     .confirm_crash(engine, crash_proof::confirmed, now + 500ms)
                     .empty());
         }
-        SECTION("who loses it next still has the address asked")
+        SECTION(
+            "the next lost attempt still makes the caller probe the address")
         {
-            CHECK(witness.add_lost_attempt(lost(second), now + 1ms));
+            CHECK(tracker.add_lost_attempt(attempt_of(second), now + 1ms));
         }
     }
-    SECTION("a suspension ages what waits")
+    SECTION("attempts expire during a suspension of the entry")
     {
-        // The clock of ages goes on while an instance is suspended.
-        witness.add_lost_attempt(lost(first), now);
-        CHECK(witness.confirm_crash(engine, crash_proof::confirmed, now + 60s)
+        // The clock that gives the ages goes on during a suspension.
+        tracker.add_lost_attempt(attempt_of(first), now);
+        CHECK(tracker.confirm_crash(engine, crash_proof::confirmed, now + 60s)
                   .empty());
     }
 }
--- a/tests/run/recent_responses.cpp
+++ b/tests/run/recent_responses.cpp
@@ -7,38 +7,38 @@
 using namespace coursejunction;
 using namespace std::chrono_literals;
 
-TEST_CASE("answers of the last while are counted by content", "[run]")
+TEST_CASE("recent responses are counted by content", "[run]")
 {
-    recent_responses answers;
+    recent_responses responses;
     time_point now{100s};
-    const auto asked = request_content::of("x", "/", "1");
+    const auto repeated = request_content::of("x", "/", "1");
 
-    SECTION("they count for ten seconds")
+    SECTION("a response counts for ten seconds")
     {
-        answers.record(asked, now);
-        answers.record(asked, now + 5s);
-        CHECK(answers.count(asked, now + 9s) == 2);
-        CHECK(answers.count(asked, now + 10s) == 1);
-        CHECK(answers.count(asked, now + 15s) == 0);
+        responses.record(repeated, now);
+        responses.record(repeated, now + 5s);
+        CHECK(responses.count(repeated, now + 9s) == 2);
+        CHECK(responses.count(repeated, now + 10s) == 1);
+        CHECK(responses.count(repeated, now + 15s) == 0);
     }
-    SECTION("some are spent")
+    SECTION("consumed responses no longer count")
     {
-        answers.record(asked, now);
-        answers.record(request_content::of("x", "/", "2"), now);
-        answers.record(asked, now + 1s);
-        answers.consume(asked, 1);
-        CHECK(answers.count(asked, now + 2s) == 1);
-        CHECK(answers.count(request_content::of("x", "/", "2"), now) == 1);
-        answers.consume(asked, 5);
-        CHECK(answers.count(asked, now + 2s) == 0);
-        CHECK(answers.count(asked, now + 20s) == 0);
+        responses.record(repeated, now);
+        responses.record(request_content::of("x", "/", "2"), now);
+        responses.record(repeated, now + 1s);
+        responses.consume(repeated, 1);
+        CHECK(responses.count(repeated, now + 2s) == 1);
+        CHECK(responses.count(request_content::of("x", "/", "2"), now) == 1);
+        responses.consume(repeated, 5);
+        CHECK(responses.count(repeated, now + 2s) == 0);
+        CHECK(responses.count(repeated, now + 20s) == 0);
     }
-    SECTION("a flood of others pushes the oldest out")
+    SECTION("above the capacity the oldest is dropped")
     {
-        answers.record(asked, now);
+        responses.record(repeated, now);
         for (std::size_t at = 0; at < recent_responses::capacity; ++at)
-            answers.record(
+            responses.record(
                 request_content::of("x", "/", std::to_string(at) + "y"), now);
-        CHECK(answers.count(asked, now) == 0);
+        CHECK(responses.count(repeated, now) == 0);
     }
 }
--- a/tests/run/retry_budget.cpp
+++ b/tests/run/retry_budget.cpp
@@ -5,9 +5,9 @@
 
 namespace cj = coursejunction;
 
-TEST_CASE("retries stay a portion of requests", "[run]")
+TEST_CASE("retries stay a fixed fraction of the requests", "[run]")
 {
-    rc::prop("however many fail",
+    rc::prop("if all requests and retries fail",
              [](std::uint16_t requests)
              {
                  cj::retry_budget budget(0.1, 10);
--- a/tests/run/retry_window.cpp
+++ b/tests/run/retry_window.cpp
@@ -9,25 +9,25 @@
 using namespace coursejunction;
 using namespace std::chrono_literals;
 
-TEST_CASE("a window of retries", "[run]")
+TEST_CASE("retries in a sliding window", "[run]")
 {
     retry_window window({10'000ms, 0.2, 5});
     time_point now{100s};
 
-    SECTION("begins with its reserve")
+    SECTION("without requests the reserve may be used")
     {
         int spent = 0;
         while (window.try_spend(now))
             ++spent;
         REQUIRE(spent == 5);
 
-        SECTION("which comes back when the window has passed")
+        SECTION("it is available again after the window")
         {
             REQUIRE_FALSE(window.try_spend(now + 9s));
             REQUIRE(window.try_spend(now + 11s));
         }
     }
-    SECTION("lets a burst spend what ten seconds of requests earned")
+    SECTION("a burst may use what the requests of the whole window allow")
     {
         for (int at = 0; at < 100; ++at)
             window.record_request(now + at * 90ms);
@@ -36,7 +36,7 @@
             ++spent;
         REQUIRE(spent == 25);
     }
-    SECTION("does not count a request from exactly a window ago")
+    SECTION("a request from exactly a window ago does not count")
     {
         for (int at = 0; at < 5; ++at)
             window.record_request(now);
@@ -45,7 +45,7 @@
             ++spent;
         REQUIRE(spent == 5);
     }
-    SECTION("forgets requests that are past")
+    SECTION("requests before the window do not count")
     {
         for (int at = 0; at < 100; ++at)
             window.record_request(now);
@@ -56,9 +56,9 @@
     }
 }
 
-TEST_CASE("no window holds more retries than it may", "[run]")
+TEST_CASE("no window holds more retries than its limit", "[run]")
 {
-    rc::prop("whenever requests and failures come",
+    rc::prop("for any times of requests and failures",
              [](const std::vector<std::uint16_t>& gaps)
              {
                  constexpr double portion = 0.2;
--- a/tests/run/run_registry.cpp
+++ b/tests/run/run_registry.cpp
@@ -6,33 +6,33 @@
 namespace cj = coursejunction;
 using cj::start_decision;
 
-SCENARIO("a request starts at most once at a side", "[run]")
+SCENARIO("a request starts at most once at a sidecar", "[run]")
 {
     cj::run_registry registry(100);
     const cj::request_id id("unlock-7");
     REQUIRE(registry.begin_claim(id) == start_decision::start);
 
-    GIVEN("a claim on its way")
+    GIVEN("a pending claim")
     {
         CHECK(registry.begin_claim(id) == start_decision::claim_pending);
-        WHEN("the caller leaves first")
+        WHEN("the caller cancels it first")
         {
             CHECK(registry.forbid(id));
-            THEN("a claim that is won later does not start it")
+            THEN("winning the claim later does not start it")
             {
                 CHECK_FALSE(registry.start_claimed(id));
                 CHECK(registry.begin_claim(id) == start_decision::forbidden);
             }
         }
-        WHEN("nobody knows who holds the claim")
+        WHEN("the owner of the claim is unknown")
         {
             registry.release_claim(id);
-            THEN("a later try may claim again")
+            THEN("a later attempt may claim it again")
             {
                 CHECK(registry.begin_claim(id) == start_decision::start);
             }
         }
-        WHEN("another side holds it")
+        WHEN("another sidecar holds the claim")
         {
             registry.claim_lost(id);
             CHECK(registry.begin_claim(id) ==
@@ -44,10 +44,10 @@
         REQUIRE(registry.start_claimed(id));
         CHECK_FALSE(registry.forbid(id));
         CHECK(registry.begin_claim(id) == start_decision::running);
-        WHEN("it has ended")
+        WHEN("it has finished")
         {
             registry.finish(id, {200, "text/plain", "unlocked"});
-            THEN("its answer is given again, not its effect")
+            THEN("its response is returned again without another run")
             {
                 CHECK(registry.begin_claim(id) == start_decision::finished);
                 REQUIRE(registry.find_response(id) != nullptr);
@@ -62,16 +62,16 @@
     }
 }
 
-TEST_CASE("started and promised not to start exclude each other", "[run]")
+TEST_CASE("a request is never both started and forbidden", "[run]")
 {
-    rc::prop("whatever is done in whatever order",
+    rc::prop("for any sequence of calls",
              [](const std::vector<std::uint8_t>& steps)
              {
                  cj::run_registry registry(1000);
                  const cj::request_id id("x");
                  bool claiming = false;
                  bool started = false;
-                 bool promised = false;
+                 bool is_forbidden = false;
                  for (const auto step : steps)
                  {
                      switch (step % 4)
@@ -80,7 +80,7 @@
                          if (registry.begin_claim(id) == start_decision::start)
                          {
                              RC_ASSERT(!started);
-                             RC_ASSERT(!promised);
+                             RC_ASSERT(!is_forbidden);
                              claiming = true;
                          }
                          break;
@@ -88,7 +88,7 @@
                          if (claiming && registry.start_claimed(id))
                          {
                              RC_ASSERT(!started);
-                             RC_ASSERT(!promised);
+                             RC_ASSERT(!is_forbidden);
                              started = true;
                          }
                          claiming = false;
@@ -97,7 +97,7 @@
                          if (registry.forbid(id))
                          {
                              RC_ASSERT(!started);
-                             promised = true;
+                             is_forbidden = true;
                          }
                          break;
                      default:
