--- a/src/coursejunction/rollout/permit_table.hpp
+++ b/src/coursejunction/rollout/permit_table.hpp
@@ -18,8 +18,8 @@
 /*! @brief Permits to close a replica, kept in the memory of the hall's first
  * entry. It needs no external service: an entry grants permits only after it
  * has received reports for a settling time, so that it knows of the replicas
- * that its predecessor let close. Two entries that both take themselves for the
- * first close at most twice the limit. */
+ * that its predecessor let close. If two entries both act as the first one, at
+ * most twice the limit is closed. */
 class permit_table
 {
 public:
--- a/src/coursejunction/rollout/replica.hpp
+++ b/src/coursejunction/rollout/replica.hpp
@@ -28,7 +28,7 @@
     loading,  /*!< The load command was sent. */
     checking, /*!< Reads back the version that the upstream serves. */
     serving,  /*!< Serves the target version. */
-    failed    /*!< Waits for the next attempt. */
+    failed    /*!< Staging or loading failed; waits to try again. */
 };
 
 /*! @brief Returns the name of a phase, as status reports and logs have it. */
@@ -87,9 +87,13 @@
 class replica
 {
 public:
+    /*! @brief Delay after a failed attempt; it doubles with each further one.
+     */
     static constexpr milliseconds min_retry_delay{500};
     static constexpr milliseconds max_retry_delay{30'000};
+    /*! @brief Between requests for a permit. */
     static constexpr milliseconds permit_interval{200};
+    /*! @brief Between attempts to read the served version. */
     static constexpr milliseconds read_interval{500};
 
     /*! @brief Sets the target, or none. A changed version ends the update to
@@ -141,7 +145,8 @@
             enter_failed(std::move(reason), now);
     }
 
-    /*! @brief Notes a permit to close for a version. */
+    /*! @brief Notes a permit to close for a version; the replica then closes.
+     */
     void permit_granted(const digest& version, time_point)
     {
         if (desired_target && desired_target->version == version &&
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -1,6 +1,10 @@
 /*! @file
  * @brief The sidecar's control loop: brings the upstream on its instance to the
  * newest published version and reports its state to the entries.
+ *
+ * The weights of a version are fetched as chunks from other sidecars and from
+ * the origin, written to the upstream's staging area and verified there. The
+ * upstream then closes to new requests, drains, and loads them.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_UPSTREAM_AGENT_HPP
 #define COURSEJUNCTION_ROLLOUT_UPSTREAM_AGENT_HPP
@@ -238,8 +242,8 @@
     }
 
     /*! @brief Fetches versions one after another, the oldest first: what has
-     * begun to spread is complete soonest, and each version is enforced
-     * separately. A stalled transfer lets the next one start beside it. */
+     * begun to spread is complete soonest, and each version is enforced at
+     * its own time. A stalled transfer lets the next one start beside it. */
     void fetch_in_order(std::uint64_t served)
     {
         const auto now = event_loop::now();
@@ -271,11 +275,9 @@
         log::state("staging_assigned",
                    {{"version", std::to_string(chosen)},
                     {"instead_of", std::to_string(staged_version)}});
-        std::erase_if(transfers,
-                      [&](const auto& transfer) {
-                          return transfer.first < chosen ||
-                                 transfer.first == staged_version;
-                      });
+        std::erase_if(
+            transfers, [&](const auto& item)
+            { return item.first < chosen || item.first == staged_version; });
         staged_version = chosen;
         transfers.at(chosen)->stage();
         return chosen;
@@ -356,6 +358,8 @@
                 recently_published(fleet.newest(last_report->model)));
     }
 
+    /*! @brief Tells whether a version was published within the fetch window.
+     */
     [[nodiscard]] bool recently_published(std::uint64_t version) const
     {
         return version > 1 && last_report &&
@@ -397,6 +401,7 @@
         node.announce();
     }
 
+    /*! @brief Handles a report of the upstream, unless it is outdated. */
     void report_received(engine_report report)
     {
         const auto relation =
@@ -483,9 +488,11 @@
             });
     }
 
+    /*! @brief Applies `may_close` to the live sidecars of this hall. */
     [[nodiscard]] bool may_close_now(const transfer_type& transfer,
                                      time_point now) const
     {
+        // Nothing is served, so that closing costs no capacity.
         if (last_report->version == 0)
             return true;
         const auto& wanted = transfer.version();
@@ -617,6 +624,8 @@
         }
     }
 
+    /*! @brief Takes published versions from an entry, or the held chunks from
+     * another sidecar. */
     void heartbeat_received(const std::string& from,
                             const message::fleet_heartbeat& heartbeat)
     {
@@ -661,6 +670,8 @@
         return value;
     }
 
+    /*! @brief Answers a peer's request for the manifest or a chunk of a
+     * version. */
     void serve_peer(const stream_request& request, stream_reply reply)
     {
         const model_version requested{
@@ -697,8 +708,8 @@
     std::optional<engine_report> last_report;
     std::uint64_t status_sequence{0};
     std::uint64_t restart_count{0}; /*!< Detected restarts of the upstream. */
-    time_point closed_at{};
-    std::uint64_t load_version{0};
+    time_point closed_at{}; /*!< When the upstream last closed for a load. */
+    std::uint64_t load_version{0};   /*!< Of the last load command; 0: none. */
     std::uint64_t staged_version{0}; /*!< Owns the staging area; 0: none. */
     bool reachable{false};
     bool poll_pending{false};
--- a/src/coursejunction/rollout/upstream_engine.hpp
+++ b/src/coursejunction/rollout/upstream_engine.hpp
@@ -22,7 +22,7 @@
 /*! @brief An upstream's report of its state. */
 struct engine_report
 {
-    incarnation life;
+    incarnation life; /*!< Empty if the upstream reports none. */
     std::string model;
     /*! @brief Of the weights in all layers; 0 if a layer is missing or
      * differs. */
@@ -70,8 +70,11 @@
                            const model_version&) = default;
 };
 
-/*! @brief Calls of the upstream on the same instance. Every callback is called
- * once, on the thread of the event loop. */
+/*! @brief Calls of the upstream on the same instance. `report` reads its state,
+ * `staged` lists the chunks in its staging area, `staged_chunk` reads one back
+ * and `stage` writes one. `load` sends a load command, which the upstream
+ * refuses unless `sequence` is that of its latest report. Every callback is
+ * called once, on the thread of the event loop. */
 template <typename Engine>
 concept Staging_engine = requires(
     Engine& engine, const std::string& model, chunk_index chunk,
@@ -89,8 +92,9 @@
     engine.load(version_id, sequence, load_method::drain, on_outcome);
 };
 
-/*! @brief Calls of the origin of weights at an address. Callbacks as for
- * `Staging_engine`. */
+/*! @brief Calls of the origin of weights at an address. `chunks` fetches the
+ * manifest of a version and `chunk` one chunk. Every callback is called once,
+ * on the thread of the event loop. */
 template <typename Origin>
 concept Weight_origin = requires(
     Origin& origin, const std::string& address, const model_version& version_id,
--- a/src/coursejunction/rollout/version_order.hpp
+++ b/src/coursejunction/rollout/version_order.hpp
@@ -73,7 +73,7 @@
  *
  * This is the newest one once it is complete. Until then it is the oldest one
  * that is newer than the served one and not stalled, since it will be complete
- * soonest and each version is enforced separately. An upstream stages one
+ * soonest and each version is enforced at its own time. An upstream stages one
  * version only, and staging another one discards the chunks of the first.
  * Therefore a stalled version is given up only for one that makes progress.
  * @param candidates In rising order, at least one.
--- a/src/coursejunction/run/crash_evidence.hpp
+++ b/src/coursejunction/run/crash_evidence.hpp
@@ -33,8 +33,9 @@
  * later value is stronger evidence against the request. */
 enum class crash_evidence : std::uint8_t
 {
-    /*! @brief Its response had begun. A bystander that is moved from one killed
-     * upstream to the next loses most of them in this state. */
+    /*! @brief Its response had begun. A request that did not cause the crashes,
+     * but is moved from one killed upstream to the next, loses most of them in
+     * this state. */
     mid_response,
     /*! @brief No part of its response had arrived. */
     before_response,
--- a/src/coursejunction/run/crash_ledger.hpp
+++ b/src/coursejunction/run/crash_ledger.hpp
@@ -4,7 +4,8 @@
  *
  * Each entry keeps a ledger and reports its own observations to the others. A
  * record is a set of crash ids, so that ledgers may be merged in any order and
- * repeatedly.
+ * repeatedly. A request that ran on an upstream when it crashed, but did not
+ * cause the crash, is called a bystander.
  */
 #ifndef COURSEJUNCTION_RUN_CRASH_LEDGER_HPP
 #define COURSEJUNCTION_RUN_CRASH_LEDGER_HPP
@@ -27,9 +28,9 @@
 enum class crash_status : std::uint8_t
 {
     clear,       /*!< No crash counts against it. */
-    suspect,     /*!< Some do; few copies of it run at once. */
+    suspect,     /*!< Some crashes count; few copies run at once. */
     quarantined, /*!< It is not sent to upstreams. */
-    on_trial     /*!< Its quarantine is over; one entry tries it. */
+    on_trial     /*!< After a quarantine: one entry runs one copy. */
 };
 
 /*! @brief Limits of a ledger. */
@@ -37,8 +38,9 @@
 {
     /*! @brief Total weight of crashes that quarantines a request, which is
      * three crashes before any response. Under one crash most requests are
-     * bystanders, 15 of 16 where an upstream runs 16 at once. Two crashes may
-     * hit a bystander and its one client retry. Three are no coincidence. */
+     * bystanders, 15 of 16 where an upstream runs 16 at once. A
+     * bystander can still be under two crashes because of its one client retry.
+     * Three are no coincidence. */
     std::size_t quarantine_threshold{6};
     /*! @brief Duration of a quarantine, from the last crash, unless a trial has
      * failed; after it a trial tells bystanders from causes. It is short
--- a/src/coursejunction/run/lost_attempt_tracker.hpp
+++ b/src/coursejunction/run/lost_attempt_tracker.hpp
@@ -1,10 +1,11 @@
 /*! @file
- * @brief Tells a crash of an upstream from the loss of a connection; pure.
+ * @brief Distinguishes crashes of upstreams from lost connections; pure.
  *
- * An attempt that is lost before its response is complete is no proof of a
- * crash: the connection may have been reset, or the upstream may be suspended.
- * The upstream crashed under the request only if it is known to be gone or to
- * have restarted. A lost link and a planned shutdown are no evidence.
+ * An attempt to run a request that is lost before the response is complete is
+ * no proof of a crash: the connection may have been reset, or the upstream may
+ * be suspended. The upstream crashed under the request only if it is known to
+ * be gone or to have restarted. A lost link and a planned shutdown are no
+ * evidence.
  */
 #ifndef COURSEJUNCTION_RUN_LOST_ATTEMPT_TRACKER_HPP
 #define COURSEJUNCTION_RUN_LOST_ATTEMPT_TRACKER_HPP
@@ -50,7 +51,7 @@
 {
     instance_id upstream;
     std::string address; /*!< `IP:port` of the upstream. */
-    crash_report report;
+    crash_report report; /*!< To be recorded if the upstream crashed. */
     loss_cause cause{loss_cause::closed};
 };
 
@@ -122,8 +123,8 @@
         return std::nullopt;
     }
 
-    /*! @brief Returns another upstream with unexplained lost attempts at an
-     * address. */
+    /*! @brief Returns another upstream than the given one that has unexplained
+     * lost attempts at an address. */
     [[nodiscard]] std::optional<instance_id>
     previous_upstream_at(const instance_id& upstream,
                          const std::string& address) const
