--- a/tests/rollout/replica.cpp
+++ b/tests/rollout/replica.cpp
@@ -91,7 +91,7 @@
         THEN("a load command whose response was lost is settled by the read")
         {
             REQUIRE(replica.next_action(0, now) == action::send_load_command);
-            replica.load_finished(false, "answer lost", now);
+            replica.load_finished(false, "response lost", now);
             replica.version_read(second, now);
             CHECK(replica.phase() == phase::serving);
         }
--- a/tests/run/claim_quorum.cpp
+++ b/tests/run/claim_quorum.cpp
@@ -131,8 +131,8 @@
 /*! @brief Runs random steps: each sends a request, backs the service up, or
  * restores the backup.
  * @param silent_voters Returns the voters that don't answer at a step. */
-template <typename Disturb>
-installation run_steps(Disturb silent_voters)
+template <typename SilentVoters>
+installation run_steps(SilentVoters silent_voters)
 {
     installation system;
     const auto steps =
--- a/tests/run/crash_ledger.cpp
+++ b/tests/run/crash_ledger.cpp
@@ -276,7 +276,7 @@
         CHECK(other.status(repeated, now) == crash_status::clear);
     }
     SECTION(
-        "a crash after the first response of a trial counts as none in a trial")
+        "a crash after the first response of a trial weighs as an ordinary one")
     {
         for (int at = 1; at <= 3; ++at)
             ledger.record_crash(repeated, crash_of_engine(at), before_response,
