--- a/src/coursejunction/run/crash_evidence.hpp
+++ b/src/coursejunction/run/crash_evidence.hpp
@@ -34,7 +34,7 @@
 enum class crash_evidence : std::uint8_t
 {
     /*! @brief Its response had begun. A request that did not cause the crashes,
-     * but is moved from one killed upstream to the next, loses most of them in
+     * but is moved from one killed upstream to the next, loses most of these in
      * this state. */
     mid_response,
     /*! @brief No part of its response had arrived. */
