--- a/src/coursejunction/rollout/agent_state.hpp
+++ b/src/coursejunction/rollout/agent_state.hpp
@@ -31,7 +31,7 @@
     std::optional<engine_report> upstream;
     bool reachable{false}; /*!< The last report could be read. */
     bool closing{false};   /*!< Closed to requests in order to load. */
-    std::uint64_t ordered_version{0}; /*!< Of the last load command; 0: none. */
+    std::uint64_t ordered_version{0}; /*!< Last closed for; 0: none. */
     std::uint64_t staged_version{0};  /*!< Owns the staging area; 0: none. */
     std::size_t uploads_waiting{0};
     std::vector<version_progress> versions;
--- a/src/coursejunction/rollout/close_policy.hpp
+++ b/src/coursejunction/rollout/close_policy.hpp
@@ -19,7 +19,8 @@
 /*! @brief Limits of a rolling update within one hall. */
 struct close_limits
 {
-    /*! @brief Fraction of a hall's upstreams that may be closed at once. */
+    /*! @brief Fraction of a hall's upstreams that may be closed at once; their
+     * number is rounded and at least 1. */
     double max_closed_fraction{0.34};
     /*! @brief Time since a version was published after which an upstream
      * closes whatever the others do: `version_deadlines::close_deadline`. */
@@ -39,12 +40,13 @@
  * and the rendezvous rank for the version decides who goes first. Sidecars that
  * don't hear from each other may close together, which costs capacity for a
  * moment but breaks no guarantee.
- * @param version Key by which sidecars are ranked, `model_version::rank_key`.
+ * @param rank_key Key by which sidecars are ranked, `model_version::rank_key`;
+ * the greatest rendezvous weight goes first.
  * @param since_published Time since the version was published. */
 [[nodiscard]] inline bool may_close(const close_limits& limits,
                                     const instance_id& own,
                                     const std::vector<hall_peer>& others,
-                                    const std::string& version,
+                                    const std::string& rank_key,
                                     std::chrono::microseconds since_published)
 {
     if (since_published >= limits.close_deadline)
@@ -55,13 +57,13 @@
         static_cast<std::size_t>(hall_size * limits.max_closed_fraction + 0.5));
     std::size_t closed = 0;
     std::size_t ahead = 0;
-    const auto own_rank = rendezvous_weight(version, own.value());
+    const auto own_weight = rendezvous_weight(rank_key, own.value());
     for (const auto& peer : others)
     {
         if (peer.closed)
             ++closed;
         else if (peer.ready &&
-                 rendezvous_weight(version, peer.id.value()) > own_rank)
+                 rendezvous_weight(rank_key, peer.id.value()) > own_weight)
             ++ahead;
     }
     // Those ranked ahead close first; this one closes if there is room for it
--- a/src/coursejunction/rollout/fence.hpp
+++ b/src/coursejunction/rollout/fence.hpp
@@ -35,8 +35,12 @@
     /*! @brief A longer gap between two ticks counts as a suspension. */
     static constexpr milliseconds suspension_gap{1500};
 
-    /*! @param checked Whether the upstream refuses old tokens by itself. */
-    explicit fence(bool checked) : upstream_checks(checked) {}
+    /*! @param upstream_checks_tokens Whether the upstream refuses old tokens by
+     * itself. */
+    explicit fence(bool upstream_checks_tokens)
+        : upstream_checks(upstream_checks_tokens)
+    {
+    }
 
     /*! @brief Detects suspensions; must be called at intervals well below
      * `suspension_gap`.
@@ -51,7 +55,8 @@
         return suspended;
     }
 
-    /*! @brief Notes a token that was acquired from the service. */
+    /*! @brief Notes a token that was acquired from the service. Once a later
+     * holder is known, only a token above the own one counts. */
     void token_acquired(fencing_token token)
     {
         if (superseded && token <= own_token)
--- a/src/coursejunction/rollout/permit_table.hpp
+++ b/src/coursejunction/rollout/permit_table.hpp
@@ -15,11 +15,11 @@
 namespace coursejunction
 {
 
-/*! @brief Permits to close a replica, kept in the memory of the hall's first
- * entry. It needs no external service: an entry grants permits only after it
- * has received reports for a settling time, so that it knows of the replicas
- * that its predecessor let close. If two entries both act as the first one, at
- * most twice the limit is closed. */
+/*! @brief Permits to close a replica, kept in the memory of the entry that
+ * is in charge of the hall. It needs no external service: an entry grants
+ * permits only after it has received reports for a settling time, so that it
+ * knows of the replicas that its predecessor let close. If two entries both act
+ * as the one in charge, at most twice the limit is closed. */
 class permit_table
 {
 public:
@@ -53,8 +53,8 @@
     }
 
     /*! @brief Applies a report. A closed replica counts, whichever entry
-     * granted the permit; an open one no longer counts unless it still waits
-     * for its permit.
+     * granted the permit; an open one gives its permit back, unless it is
+     * waiting: its permit may still be on the way to it.
      * @param waiting The replica waits for a permit. */
     void update_replica(const deployment_name& deployment,
                         const instance_id& instance, bool is_closed,
@@ -74,7 +74,8 @@
         grants_from = std::max(grants_from, when);
     }
 
-    /*! @brief Returns how many replicas count as closed. */
+    /*! @brief Returns how many replicas count as closed, expired permits
+     * included until the next request. */
     [[nodiscard]] std::size_t
     closed_count(const deployment_name& deployment) const
     {
--- a/src/coursejunction/rollout/replica.hpp
+++ b/src/coursejunction/rollout/replica.hpp
@@ -91,9 +91,9 @@
      */
     static constexpr milliseconds min_retry_delay{500};
     static constexpr milliseconds max_retry_delay{30'000};
-    /*! @brief Between requests for a permit. */
+    /*! @brief Time between two requests for a permit. */
     static constexpr milliseconds permit_interval{200};
-    /*! @brief Between attempts to read the served version. */
+    /*! @brief Time between two attempts to read the served version. */
     static constexpr milliseconds read_interval{500};
 
     /*! @brief Sets the target, or none. A changed version ends the update to
@@ -138,7 +138,8 @@
             current_phase = replica_phase::staging;
     }
 
-    /*! @brief Notes that the target version can't be fetched for now. */
+    /*! @brief Notes that the target version can't be fetched; it is tried again
+     * after the retry delay. Ignored unless staging. */
     void staging_failed(std::string reason, time_point now)
     {
         if (current_phase == replica_phase::staging)
@@ -192,8 +193,9 @@
         }
     }
 
-    /*! @brief Notes that the served version could not be read and is unknown.
-     */
+    /*! @brief Notes that the served version could not be read. The phase
+     * becomes `unknown`, or stays `checking`, and the read is repeated after
+     * `read_interval`. */
     void version_read_failed(std::string reason, time_point now)
     {
         last_error = std::move(reason);
@@ -202,7 +204,8 @@
         next_action_at = now + read_interval;
     }
 
-    /*! @brief Forgets the served version, so that it is read again at once. */
+    /*! @brief Makes the served version be read again at once, unless a load
+     * command was sent. Until then no requests are accepted. */
     void invalidate()
     {
         if (current_phase != replica_phase::loading)
@@ -267,6 +270,8 @@
     {
         return served_version;
     }
+    /*! @brief Returns the last error of staging, loading or reading; empty if
+     * none. */
     [[nodiscard]] const std::string& failure_reason() const noexcept
     {
         return last_error;
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -53,13 +53,14 @@
     /*! @brief Time between the announcement that the upstream closes and the
      * load command, so that requests already sent arrive before the command. */
     milliseconds close_propagation_delay{30};
-    /*! @brief How long running requests may finish before the load command
-     * aborts the others, which entries resume elsewhere. Two thirds of the
-     * streams end within 800 ms. A complete drain takes 2 s and more, and the
-     * three rounds of a rolling update would not fit into the 8 s of a version.
-     */
+    /*! @brief Time after the close for running requests to finish. The load
+     * command then aborts the rest, which entries resume elsewhere. Two thirds
+     * of the streams end within 800 ms. A complete drain takes 2 s and more,
+     * and the three rounds of a rolling update would not fit into the 8 s until
+     * a version is enforced. */
     milliseconds drain_timeout{800};
-    /*! @brief A load command that had no effect for this long is sent again. */
+    /*! @brief A load that has no effect this long after the upstream closed is
+     * given up; the next update starts it again. */
     milliseconds load_timeout{5000};
     /*! @brief Rate of the instance's link, by which uploads are paced; zero for
      * no limit. */
@@ -107,7 +108,7 @@
         { fill_heartbeat(into, detail); };
         hooks.request = [this](stream_request request, stream_reply reply)
         { serve_peer(request, std::move(reply)); };
-        hooks.spreading = [this] { return transfers_active(); };
+        hooks.spreading = [this] { return may_serve_chunks(); };
         node.start(std::move(hooks));
         poll_timer = loop.every(options.poll_interval, [this] { poll(); });
         announce_timer = loop.every(options.announce_interval,
@@ -185,7 +186,7 @@
         {
             if (served == load_version)
                 load_completed();
-            return check_load_timeout();
+            return abandon_timed_out_load();
         }
         if (served == newest)
             return;
@@ -194,8 +195,9 @@
     }
 
     /*! @brief Drops the transfers of versions that are of another model or
-     * older than the served one, and of incomplete ones that the newest version
-     * makes useless. */
+     * older than the served one. Drops incomplete ones also if they are
+     * superseded, would be loaded too late, or if the newest version is
+     * complete. */
     void drop_transfers(const std::string& model_name, std::uint64_t served,
                         std::uint64_t newest)
     {
@@ -259,7 +261,8 @@
 
     /*! @brief Assigns the staging area of the upstream, which holds one version
      * only, to the version that is to be loaded next. Chunks of another version
-     * in it are lost.
+     * in it are lost, and the transfers of that version and of older ones are
+     * dropped.
      * @return The version that owns the staging area. */
     std::uint64_t assign_staging(std::uint64_t served)
     {
@@ -319,7 +322,7 @@
         made.peer_port = [this](const instance_id& id)
         { return node.peer_port(id.value()); };
         made.uploads = &uploads;
-        made.window = window;
+        made.window = peer_call_window;
         return made;
     }
 
@@ -351,7 +354,7 @@
 
     /*! @brief Tells whether sidecars of other halls may fetch from this one and
      * therefore need its heartbeats. */
-    [[nodiscard]] bool transfers_active() const
+    [[nodiscard]] bool may_serve_chunks() const
     {
         return has_incomplete() ||
                (last_report &&
@@ -418,16 +421,16 @@
                         {"sequence", std::to_string(report.sequence)}});
         if (relation == report_order::restarted)
             upstream_restarted(report);
-        const bool load_changed = !reachable || !last_report ||
-                                  report.running != last_report->running ||
-                                  report.waiting != last_report->waiting ||
-                                  report.version != last_report->version ||
-                                  report.loading != last_report->loading;
+        const bool status_changed = !reachable || !last_report ||
+                                    report.running != last_report->running ||
+                                    report.waiting != last_report->waiting ||
+                                    report.version != last_report->version ||
+                                    report.loading != last_report->loading;
         reachable = true;
         last_report = std::move(report);
         ++status_sequence;
         update();
-        if (load_changed)
+        if (status_changed)
             node.announce_load();
     }
 
@@ -459,8 +462,9 @@
 
     // --- Loading ---------------------------------------------------------
 
-    /*! @brief Lets the load command be sent again once it has timed out. */
-    void check_load_timeout()
+    /*! @brief Gives a load up that has timed out; the next update starts it
+     * again. */
+    void abandon_timed_out_load()
     {
         if (!closing || event_loop::now() - closed_at <= options.load_timeout)
             return;
@@ -470,7 +474,8 @@
     }
 
     /*! @brief Verifies the staged chunks of a version when all are staged and
-     * this sidecar may close, then closes the upstream to load it. */
+     * this sidecar may close, then closes the upstream to load it. If a chunk
+     * is corrupt, the transfer stages it again and a later update retries. */
     void verify_and_close(std::uint64_t version)
     {
         const auto now = event_loop::now();
@@ -563,6 +568,9 @@
                            });
     }
 
+    /*! @brief Sends the load command. If it is refused or conflicts, the
+     * upstream opens again; otherwise the next reports or the timeout decide.
+     */
     void send_load_command()
     {
         const auto transfer = transfers.find(load_version);
@@ -702,14 +710,17 @@
     fleet_view<Platform> fleet;
     paced_uploads uploads;
     chunk_transfer_options transfer_options;
-    std::shared_ptr<call_window> window{std::make_shared<call_window>(
+    /*! @brief Limits the chunks that all transfers together request from peers
+     * at once. */
+    std::shared_ptr<call_window> peer_call_window{std::make_shared<call_window>(
         transfer_options.holder_calls, transfer_options.slow_chunk)};
     std::map<std::uint64_t, std::shared_ptr<transfer_type>> transfers;
     std::optional<engine_report> last_report;
     std::uint64_t status_sequence{0};
     std::uint64_t restart_count{0}; /*!< Detected restarts of the upstream. */
     time_point closed_at{}; /*!< When the upstream last closed for a load. */
-    std::uint64_t load_version{0};   /*!< Of the last load command; 0: none. */
+    /*! @brief The version that the upstream last closed for; 0: none. */
+    std::uint64_t load_version{0};
     std::uint64_t staged_version{0}; /*!< Owns the staging area; 0: none. */
     bool reachable{false};
     bool poll_pending{false};
--- a/src/coursejunction/rollout/upstream_engine.hpp
+++ b/src/coursejunction/rollout/upstream_engine.hpp
@@ -32,8 +32,8 @@
     std::uint32_t running{0};  /*!< Requests in progress. */
     std::uint32_t waiting{0};  /*!< Requests in its queue. */
     std::uint64_t memory_used{0}; /*!< KV cache in use. */
-    std::uint64_t memory_size{0}; /*!< KV cache in all. */
-    double pace{1};               /*!< Slowdown factor; 1: nominal. */
+    std::uint64_t memory_size{0}; /*!< KV cache, in the same unit. */
+    double pace{1};               /*!< How many times slower than nominal. */
 };
 
 /*! @brief Outcome of a load command. */
@@ -42,7 +42,7 @@
     accepted,        /*!< Loading has begun. */
     already_applied, /*!< The upstream already serves the version. */
     conflict,        /*!< Another command was accepted since the report. */
-    refused,         /*!< The upstream rejected it or was not reached. */
+    refused,         /*!< It was rejected, or certainly not received. */
     unknown          /*!< No response; it may have been accepted. */
 };
 
--- a/src/coursejunction/rollout/version_order.hpp
+++ b/src/coursejunction/rollout/version_order.hpp
@@ -19,9 +19,10 @@
 inline constexpr milliseconds supersede_window{500};
 
 /*! @brief Tells whether a version is skipped in favour of the newest one,
- * because both were published at nearly the same time. Both are enforced
- * equally long after their publication, so that fetching the older one would
- * only take bandwidth from the one that is needed: a store that was unreachable
+ * because both were published at nearly the same time. A version
+ * is enforced a fixed time after its publication: from then on no request may
+ * begin on older weights. Fetching the older one would therefore only take
+ * bandwidth from the one that is needed: a store that was unreachable
  * reports several versions at once, and all but the last would cost a copy from
  * the origin each. All sidecars know the same publish times and therefore skip
  * the same versions.
@@ -45,7 +46,7 @@
 /*! @brief Time from the arrival of the last chunk from the origin until half of
  * the upstreams serve a version: the chunk spreads, staged chunks are verified,
  * the load command is sent and the weights are loaded. */
-inline constexpr milliseconds rollout_time{900};
+inline constexpr milliseconds spread_and_load_time{900};
 
 /*! @brief Tells whether a version can't be loaded before the newer one takes
  * all requests. Its chunks would then only take the origin's bandwidth from the
@@ -57,7 +58,7 @@
 {
     const auto count =
         static_cast<std::chrono::microseconds::rep>(remaining.missing_chunks);
-    return now + remaining.origin_chunk_time * count + rollout_time >=
+    return now + remaining.origin_chunk_time * count + spread_and_load_time >=
            retired_at;
 }
 
@@ -66,16 +67,18 @@
 {
     std::uint64_t version{0};
     bool complete{false}; /*!< All chunks have arrived. */
-    bool stalled{false};  /*!< No chunk has arrived for long. */
+    bool stalled{false};  /*!< No chunk for `chunk_transfer_options::still`. */
 };
 
 /*! @brief Returns the version to stage and load next.
  *
  * This is the newest one once it is complete. Until then it is the oldest one
- * that is newer than the served one and not stalled, since it will be complete
- * soonest and each version is enforced at its own time. An upstream stages one
- * version only, and staging another one discards the chunks of the first.
- * Therefore a stalled version is given up only for one that makes progress.
+ * that is newer than the served one and complete or not stalled, since it will
+ * be complete soonest and each version is enforced at its own time. An upstream
+ * stages one version only, and staging another one discards the chunks of the
+ * first. Therefore a stalled version is given up only for one that makes
+ * progress. If all are stalled, it is the staged one if still a candidate, or
+ * else the newest.
  * @param candidates In rising order, at least one.
  * @param served The version that the upstream serves.
  * @param staged The version that owns the staging area, or 0. */
--- a/src/coursejunction/run/claim_quorum.hpp
+++ b/src/coursejunction/run/claim_quorum.hpp
@@ -23,9 +23,9 @@
     no_quorum /*!< Too few voters answered. */
 };
 
-/*! @brief Collects the votes on one claim. One "taken" decides; "free" needs
- * that no vote is pending and that at least half of the voters have answered.
- * Of three voters each of two claimants gets the votes of two, so that one
+/*! @brief Collects the answers of the voters on one claim. One "taken" decides;
+ * "free" needs that no answer is pending and that at least half of the voters
+ * have answered. Of three voters two answer each of two claimants, so that one
  * voter knows both claims. */
 class claim_quorum
 {
@@ -35,8 +35,8 @@
     {
     }
 
-    /*! @brief Adds a vote; ignored from those that were not asked or voted
-     * before.
+    /*! @brief Adds an answer; ignored from those that were not asked or have
+     * answered before.
      * @param taken Whether the voter knows another claim. */
     void add_answer(const instance_id& voter, bool taken)
     {
@@ -49,10 +49,10 @@
     /*! @brief Notes that a voter will not answer. */
     void drop_voter(const instance_id& voter) { pending.erase(voter); }
 
-    /*! @brief Ends the vote with the answers so far. */
+    /*! @brief Stops waiting; the answers so far decide. */
     void stop_waiting() { pending.clear(); }
 
-    /*! @brief Returns the verdict, or nothing while votes are pending. */
+    /*! @brief Returns the verdict, or nothing while it is open. */
     [[nodiscard]] std::optional<claim_verdict> verdict() const
     {
         if (claimed_by_other)
--- a/src/coursejunction/run/crash_evidence.hpp
+++ b/src/coursejunction/run/crash_evidence.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Crashes of upstreams that ran one request, and how strongly they speak
- * against it; pure.
+ * @brief Crashes of upstreams that ran one request, and their weight as
+ * evidence that it caused them; pure.
  */
 #ifndef COURSEJUNCTION_RUN_CRASH_EVIDENCE_HPP
 #define COURSEJUNCTION_RUN_CRASH_EVIDENCE_HPP
@@ -34,8 +34,8 @@
 enum class crash_evidence : std::uint8_t
 {
     /*! @brief Its response had begun. A request that did not cause the crashes,
-     * but is moved from one killed upstream to the next, loses most of these in
-     * this state. */
+     * but is moved from one killed upstream to the next, is mostly in this
+     * state when they crash. */
     mid_response,
     /*! @brief No part of its response had arrived. */
     before_response,
@@ -63,10 +63,12 @@
 struct crash_history
 {
     std::map<crash_id, crash_evidence> crashes;
-    std::set<crash_id> cleared;     /*!< Those that no longer count. */
-    time_point last_crash{};        /*!< When the last one happened. */
-    std::uint64_t change_number{0}; /*!< Ledger's count at the last change. */
-    time_point changed_at{};        /*!< When that change happened. */
+    std::set<crash_id> cleared; /*!< Those that no longer count. */
+    time_point last_crash{};    /*!< When the last one happened. */
+    /*! @brief Number of the record's last change to report, counted over all
+     * records of the ledger; 0: none. */
+    std::uint64_t change_number{0};
+    time_point changed_at{}; /*!< When that change happened. */
     /*! @brief Complete responses at this entry since a crash was last added. */
     std::size_t responses_since_crash{0};
 
@@ -80,7 +82,7 @@
     }
 
     /*! @brief Returns the total weight of the crashes that count. */
-    [[nodiscard]] std::size_t suspicion() const
+    [[nodiscard]] std::size_t total_weight() const
     {
         std::size_t sum = 0;
         for (const auto& [crash, evidence] : crashes)
--- a/src/coursejunction/run/crash_ledger.cpp
+++ b/src/coursejunction/run/crash_ledger.cpp
@@ -18,9 +18,9 @@
  * that is later by no more than this is the same one. */
 constexpr milliseconds max_age_error{1000};
 
-/*! @brief A change is reported repeatedly for this long: datagrams get lost,
- * and entries of other halls receive only every second heartbeat. Each entry is
- * sent the change three times. */
+/*! @brief A change is reported repeatedly for this long, since datagrams get
+ * lost. There is a heartbeat every 200 ms, and entries of other halls receive
+ * every second one, so that even these are sent a change three times. */
 constexpr milliseconds repeat_duration{1000};
 
 /*! @brief Interval between two blocked records that are reported in turn: 90
@@ -269,7 +269,7 @@
 
 bool crash_ledger::blocked(const crash_history& history) const
 {
-    return history.suspicion() >= limits.quarantine_threshold;
+    return history.total_weight() >= limits.quarantine_threshold;
 }
 
 bool crash_ledger::quarantined(const crash_history& history,
@@ -312,25 +312,25 @@
     if (found != records.end())
         return found->second;
     if (records.size() >= limits.max_records)
-        drop_least_suspect();
+        drop_oldest_unblocked();
     auto& history = records[content];
     history.last_crash = last_crash;
     return history;
 }
 
 /*! @brief Drops the oldest record that is not blocked, or the oldest one if all
- * are. A new record takes a crash, which bounds how fast a flood of
- * requests can replace old ones. */
-void crash_ledger::drop_least_suspect()
+ * are. Each new record needs the crash of an upstream, which bounds how
+ * fast a flood of requests can replace old ones. */
+void crash_ledger::drop_oldest_unblocked()
 {
-    const auto least_suspect = std::min_element(
+    const auto oldest = std::min_element(
         records.begin(), records.end(),
         [&](const auto& left, const auto& right)
         {
             return std::pair(blocked(left.second), left.second.last_crash) <
                    std::pair(blocked(right.second), right.second.last_crash);
         });
-    records.erase(least_suspect);
+    records.erase(oldest);
 }
 
 std::map<std::uint64_t, request_content>
--- a/src/coursejunction/run/crash_ledger.hpp
+++ b/src/coursejunction/run/crash_ledger.hpp
@@ -37,20 +37,20 @@
 struct crash_limits
 {
     /*! @brief Total weight of crashes that quarantines a request, which is
-     * three crashes before any response. Under one crash most requests are
-     * bystanders, 15 of 16 where an upstream runs 16 at once. A
-     * bystander can still be under two crashes because of its one client retry.
-     * Three are no coincidence. */
+     * three crashes before any response. Of the
+     * requests on a crashed upstream all but one are bystanders, 15 of 16 where
+     * it runs 16 at once. A bystander can meet a second crash, because its
+     * caller retries once. A third one is no coincidence. */
     std::size_t quarantine_threshold{6};
     /*! @brief Duration of a quarantine, from the last crash, unless a trial has
      * failed; after it a trial tells bystanders from causes. It is short
      * because a popular request is a bystander of whatever crashes three
-     * upstreams: with ten minutes it was refused 629 to 898 times in a soak
-     * test of 35 s. Reports of crashes reach all entries within 0.4 s, and
-     * upstreams restart within some seconds. */
+     * upstreams: with ten minutes it would be refused some 20 times a second
+     * (629 to 898 times in 35 s of a soak test). Reports of crashes reach all
+     * entries within 0.4 s, and upstreams restart within some seconds. */
     milliseconds first_quarantine{2'000};
     /*! @brief Duration of a quarantine after a failed trial: a request that
-     * always crashes costs one upstream in ten minutes. */
+     * always crashes its upstream costs one upstream every ten minutes. */
     milliseconds repeat_quarantine{600'000};
     /*! @brief Consecutive responses that pass a trial. A request that crashes
      * every third upstream passes with a probability of 0.3. */
@@ -91,15 +91,17 @@
      * @return Whether that cleared the request now. */
     bool record_response(const request_content& content, time_point now);
 
-    /*! @brief Clears all crashes of a request.
+    /*! @brief Clears all crashes of a request, quarantined or not. Called for
+     * an operator, and once the responses clear the request.
      * @return Whether there were any to clear. */
     bool lift_quarantine(const request_content& content, time_point now);
 
     [[nodiscard]] crash_status status(const request_content& content,
                                       time_point now) const;
 
-    /*! @brief Returns how many copies of a request may run at once. Each
-     * response allows one more, so that a bystander is soon served as before.
+    /*! @brief Returns how many copies of a request this entry may run at once.
+     * Each response allows one more, so that a bystander is soon served as
+     * before.
      * @param runs_trials Whether this entry runs the trials of the request. */
     [[nodiscard]] std::size_t max_running(const request_content& content,
                                           bool runs_trials,
@@ -109,7 +111,8 @@
     [[nodiscard]] milliseconds quarantine_left(const request_content& content,
                                                time_point now) const;
 
-    /*! @brief Merges a record of another ledger.
+    /*! @brief Merges a record of another ledger; ignores one without crashes or
+     * with a last crash longer ago than the retention.
      * @return Whether the request is quarantined by it. */
     bool merge(const message::crash_record& received, time_point now);
 
@@ -158,7 +161,7 @@
     void note_change(crash_history& history, time_point now);
     crash_history& find_or_create(const request_content& content,
                                   time_point last_crash);
-    void drop_least_suspect();
+    void drop_oldest_unblocked();
     [[nodiscard]] std::map<std::uint64_t, request_content>
     unreported_changes() const;
     void add_recent_changes(std::vector<message::crash_record>& selected,
--- a/src/coursejunction/run/lost_attempt_tracker.hpp
+++ b/src/coursejunction/run/lost_attempt_tracker.hpp
@@ -42,7 +42,7 @@
 /*! @brief How it is known that an upstream is gone. */
 enum class crash_proof : std::uint8_t
 {
-    record_expired, /*!< Its record expired; it may only be suspended. */
+    record_expired, /*!< Its record expired; it may merely be suspended. */
     confirmed       /*!< Its address refuses connections or was reused. */
 };
 
@@ -67,7 +67,7 @@
 
     /*! @brief How long a cancelled attempt may still run: the cancellation has
      * to arrive, and upstreams stop within half a second. */
-    static constexpr milliseconds max_cancel_delay{500};
+    static constexpr milliseconds max_run_after_cancel{500};
 
     /*! @brief Adds a lost attempt.
      * @return Whether the caller should probe the upstream: it is the first
@@ -83,15 +83,15 @@
                        other.lost.cause != loss_cause::cancelled;
             });
         const auto expires_at =
-            now + (one.cause == loss_cause::cancelled ? max_cancel_delay
+            now + (one.cause == loss_cause::cancelled ? max_run_after_cancel
                                                       : max_proof_delay);
         pending.push_back({std::move(one), expires_at});
         return first && pending.back().lost.cause != loss_cause::cancelled;
     }
 
     /*! @brief Notes that an upstream is gone.
-     * @return The requests that it ran, as far as the proof covers how their
-     * attempts were lost; their attempts are removed. */
+     * @return The reports of its lost attempts that the proof covers, see
+     * `proves`. These attempts are removed, and the others stay. */
     [[nodiscard]] std::vector<crash_report>
     confirm_crash(const instance_id& upstream, crash_proof proof,
                   time_point now)
--- a/src/coursejunction/run/recent_responses.hpp
+++ b/src/coursejunction/run/recent_responses.hpp
@@ -24,7 +24,8 @@
 {
 public:
     /*! @brief Length of the window. A request that begins to crash upstreams,
-     * for example with new weights, may not count as a bystander for longer. */
+     * for example with new weights, counts as a bystander for at most this
+     * long. */
     static constexpr milliseconds retention{10'000};
 
     /*! @brief Responses kept, 100 bytes each; the oldest are dropped first. An
@@ -52,7 +53,7 @@
     }
 
     /*! @brief Removes some responses of a content, the oldest first: each
-     * counts for a request only once. */
+     * may outweigh a crash only once. */
     void consume(const request_content& content, std::size_t count)
     {
         std::size_t remaining = count;
--- a/src/coursejunction/run/retry_budget.hpp
+++ b/src/coursejunction/run/retry_budget.hpp
@@ -15,34 +15,34 @@
 class retry_budget
 {
 public:
-    /*! @param retry_ratio Tokens added by each request.
-     * @param max_saved Size of the bucket. */
-    retry_budget(double retry_ratio, double max_saved)
-        : earned_per_request(retry_ratio), max_level(max_saved),
-          level(max_saved)
+    /*! @param tokens_per_request Added by each request.
+     * @param bucket_size Tokens that the bucket holds at most. */
+    retry_budget(double tokens_per_request, double bucket_size)
+        : added_per_request(tokens_per_request), capacity(bucket_size),
+          tokens(bucket_size)
     {
     }
 
-    /*! @brief Adds the share of one request. */
+    /*! @brief Adds the tokens of one request. */
     void record_request()
     {
-        level = std::min(max_level, level + earned_per_request);
+        tokens = std::min(capacity, tokens + added_per_request);
     }
 
     /*! @brief Takes a token for a retry.
      * @return Whether one was left. */
     [[nodiscard]] bool try_spend()
     {
-        if (level < 1)
+        if (tokens < 1)
             return false;
-        level -= 1;
+        tokens -= 1;
         return true;
     }
 
 private:
-    double earned_per_request;
-    double max_level;
-    double level;
+    double added_per_request;
+    double capacity;
+    double tokens;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/run/run_registry.hpp
+++ b/src/coursejunction/run/run_registry.hpp
@@ -46,6 +46,8 @@
 public:
     using size_type = std::size_t;
 
+    /*! @param max_records Records kept; more while the oldest one is running or
+     * being claimed. */
     explicit run_registry(size_type max_records) : capacity(max_records) {}
 
     /*! @brief Decides whether a request may start. If so, the caller must claim
--- a/tests/rollout/fence.cpp
+++ b/tests/rollout/fence.cpp
@@ -27,7 +27,7 @@
                                             ? cj::fence_state::held
                                             : cj::fence_state::unconfirmed));
             }
-            THEN("a later token that is read ends its right for good")
+            THEN("after a later token was read it never sends again")
             {
                 guard.newest_token_read(cj::fencing_token(8));
                 CHECK(guard.state() == cj::fence_state::lost);
--- a/tests/rollout/replica.cpp
+++ b/tests/rollout/replica.cpp
@@ -122,7 +122,7 @@
     }
 }
 
-TEST_CASE("requests are accepted only while one whole version is served",
+TEST_CASE("requests are accepted only while one complete version is served",
           "[rollout]")
 {
     rc::prop(
--- a/tests/rollout/version_order.cpp
+++ b/tests/rollout/version_order.cpp
@@ -14,7 +14,7 @@
     THEN("until then an older one that makes progress keeps the staging area")
     {
         // Chunks of both versions in one staging area would be loaded as a
-        // mixture, which a search over random test days found.
+        // mixture.
         CHECK(cj::select_next_version({{2, false, false}, {3, false, false}}, 1,
                                       2) == 2);
         CHECK(cj::select_next_version({{2, true, false}, {3, false, false}}, 1,
@@ -39,11 +39,12 @@
     }
 }
 
-SCENARIO("versions published at nearly the same time", "[rollout]")
+SCENARIO("of versions published at nearly the same time the older is skipped",
+         "[rollout]")
 {
     using namespace std::chrono_literals;
     const coursejunction::time_point published{100s};
-    THEN("the older one is skipped")
+    THEN("within the window it is skipped")
     {
         CHECK(coursejunction::superseded(published, published));
         CHECK(coursejunction::superseded(published, published + 100ms));
@@ -54,10 +55,9 @@
     }
 }
 
-// While the origin was unreachable, two versions were published 2 s apart.
-// Sidecars then fetched the rest of the older one first, which no upstream
-// could serve any more, so that the newer one was complete 0.6 s later than
-// possible.
+// When the origin is reachable again after two versions were published, the
+// rest of the older one must not delay the newer one if no upstream could serve
+// it any more. With versions 2 s apart the delay was 0.6 s.
 SCENARIO("a version that can't be loaded in time is skipped", "[rollout]")
 {
     using namespace std::chrono_literals;
--- a/tests/run/claim_quorum.cpp
+++ b/tests/run/claim_quorum.cpp
@@ -88,12 +88,12 @@
     static constexpr std::size_t voter_count = 3;
 
     /*! @brief Runs a request at a sidecar if it wins the claim.
-     * @param side Incarnation of the sidecar.
+     * @param sidecar_incarnation Name of one incarnation of a sidecar.
      * @param silent One bit for each voter that does not answer. */
-    void request(const std::string& id, const std::string& side,
+    void request(const std::string& id, const std::string& sidecar_incarnation,
                  unsigned silent)
     {
-        if (!claims.emplace(id, side).second)
+        if (!claims.emplace(id, sidecar_incarnation).second)
             return;
         std::set<cj::instance_id> voters;
         for (std::size_t index = 0; index < voter_count; ++index)
@@ -102,9 +102,10 @@
         for (std::size_t index = 0; index < voter_count; ++index)
         {
             if ((silent >> index & 1U) == 0)
-                quorum.add_answer(voter(index), !registries[index].try_claim(
-                                                    cj::digest::of(id), side,
-                                                    cj::time_point()));
+                quorum.add_answer(voter(index),
+                                  !registries[index].try_claim(
+                                      cj::digest::of(id), sidecar_incarnation,
+                                      cj::time_point()));
         }
         quorum.stop_waiting();
         runs[id] += quorum.verdict() == claim_verdict::free ? 1 : 0;
@@ -130,7 +131,8 @@
 
 /*! @brief Runs random steps: each sends a request, backs the service up, or
  * restores the backup.
- * @param silent_voters Returns the voters that don't answer at a step. */
+ * @param silent_voters Returns the voters that don't answer at a step; may
+ * change the installation first. */
 template <typename SilentVoters>
 installation run_steps(SilentVoters silent_voters)
 {
--- a/tests/run/crash_ledger.cpp
+++ b/tests/run/crash_ledger.cpp
@@ -83,7 +83,7 @@
             CHECK(ledger.record_crash(bad, crash_of_engine(5), trial, now));
             CHECK(ledger.status(bad, now + 599s) == crash_status::quarantined);
         }
-        SECTION("a crash in a trial does so also after many crashes")
+        SECTION("a failed trial after many crashes quarantines it for as long")
         {
             now += 2s;
             for (int at = 4; at < 40; ++at)
@@ -100,7 +100,7 @@
             ledger.record_crash(bad, crash_of_engine(4), before_response, now);
             CHECK(ledger.quarantine_left(bad, now) == 2s);
         }
-        SECTION("an operator can lift it at all entries")
+        SECTION("an operator can lift the quarantine at all entries")
         {
             crash_ledger other;
             report_all(ledger, other, now);
@@ -135,8 +135,8 @@
     }
     SECTION("a crash after a part of the response has half the weight")
     {
-        // A bystander that is moved from one killed upstream to the next loses
-        // them in this state.
+        // A bystander that is moved from one killed upstream to the next is
+        // mostly in this state when they crash.
         for (int at = 1; at <= 3; ++at)
             ledger.record_crash(bad, crash_of_engine(at), mid_response, now);
         CHECK(ledger.status(bad, now) == crash_status::suspect);
@@ -198,7 +198,7 @@
         CHECK(second.status(bad, now) == crash_status::quarantined);
         CHECK(third.status(bad, now) == crash_status::quarantined);
     }
-    SECTION("an entry that has just started learns it from any other one")
+    SECTION("an entry that has just started receives it from any other one")
     {
         for (int at = 1; at <= 3; ++at)
             ledger.record_crash(bad, crash_of_engine(at), before_response, now);
@@ -392,8 +392,8 @@
     {
         for (int at = 0; at < 50; ++at)
         {
-            for (int end = 0; end < 3; ++end)
-                ledger.record_crash(content(at), crash_of_engine(end),
+            for (int engine = 0; engine < 3; ++engine)
+                ledger.record_crash(content(at), crash_of_engine(engine),
                                     before_response, now);
         }
         crash_ledger fresh;
--- a/tests/run/crash_simulation.cpp
+++ b/tests/run/crash_simulation.cpp
@@ -43,11 +43,11 @@
     return result;
 }
 
-/*! @brief Crashes that the users allow later than 3 s after the third one. */
+/*! @brief Crashes of one content allowed later than 3 s after the third one. */
 constexpr std::size_t max_late_crashes = 3;
 
 /*! @brief Control traffic that a process may send, in bytes a second. */
-constexpr double max_control_bytes = 19'000;
+constexpr double max_control_bytes_per_second = 19'000;
 
 } // namespace
 
@@ -56,21 +56,21 @@
     scenario config;
     config.copy_interval = 300ms;
 
-    SECTION("copies in sequence crash three engines, one more and one trial")
+    SECTION("copies one after another crash at most five engines")
     {
         const auto result = worst(config, 5);
         CHECK(result.crashed <= 5);
         CHECK(result.crashed_late <= 1);
         CHECK(result.blocked_innocent == 0);
     }
-    SECTION("a copy at each entry at once crashes no second engine for each")
+    SECTION("five copies at once crash at most nine engines")
     {
         config.copies_at_once = 5;
         const auto result = worst(config, 5);
         CHECK(result.crashed <= 9);
         CHECK(result.crashed_late <= 1);
     }
-    SECTION("four such requests at once crash no more engines each")
+    SECTION("four such requests crash at most five engines each")
     {
         config.harmful_contents = 4;
         const auto result = worst(config, 5);
@@ -78,12 +78,12 @@
         CHECK(result.crashed_late <= 1);
         CHECK(result.blocked_innocent <= 1);
     }
-    SECTION("one that crashes every third engine")
+    SECTION("one that crashes every third engine crashes at most three late")
     {
         config.crash_probability = 0.34;
         CHECK(worst(config, 5).crashed_late <= max_late_crashes);
     }
-    SECTION("a third of the datagrams is lost")
+    SECTION("with 30 % of the datagrams lost at most six engines crash")
     {
         config.datagram_loss = 0.3;
         const auto result = worst(config, 5);
@@ -119,7 +119,7 @@
         config.duration = 8000ms;
         const auto result = worst(config, 2);
         CHECK(result.blocked_innocent <= 3);
-        CHECK(result.bytes_per_second <= max_control_bytes);
+        CHECK(result.bytes_per_second <= max_control_bytes_per_second);
     }
 }
 
@@ -131,13 +131,13 @@
     config.slots = 8;
     config.duration = 8000ms;
 
-    SECTION("ten copies a second, each at any entry")
+    SECTION("ten copies a second crash at most six engines")
     {
         config.copy_interval = 100ms;
         const auto result = worst(config, 2);
         CHECK(result.crashed <= 6);
         CHECK(result.crashed_late <= 1);
-        CHECK(result.bytes_per_second <= max_control_bytes);
+        CHECK(result.bytes_per_second <= max_control_bytes_per_second);
     }
     SECTION("fifty copies at once crash one engine each, and no second one")
     {
@@ -146,7 +146,7 @@
         const auto result = worst(config, 2);
         CHECK(result.crashed <= 52);
         CHECK(result.crashed_late <= 1);
-        CHECK(result.bytes_per_second <= max_control_bytes);
+        CHECK(result.bytes_per_second <= max_control_bytes_per_second);
     }
 }
 
@@ -159,24 +159,26 @@
     config.slots = 8;
     config.duration = 8000ms;
 
-    SECTION("twenty copies a second")
+    SECTION("twenty copies a second crash at most six engines")
     {
         config.copy_interval = 50ms;
         const auto result = worst(config, 1);
         CHECK(result.crashed <= 6);
         CHECK(result.crashed_late <= 1);
-        CHECK(result.bytes_per_second <= max_control_bytes);
+        CHECK(result.bytes_per_second <= max_control_bytes_per_second);
     }
-    SECTION("a hundred copies at once")
+    SECTION("a hundred copies at once crash at most 102 engines")
     {
         config.copy_interval = 1000ms;
         config.copies_at_once = 100;
         const auto result = worst(config, 1);
         CHECK(result.crashed <= 102);
         CHECK(result.crashed_late <= 1);
-        CHECK(result.bytes_per_second <= max_control_bytes);
+        CHECK(result.bytes_per_second <= max_control_bytes_per_second);
     }
-    SECTION("half of all engines crash within two seconds")
+    SECTION(
+        "half of all engines crash within two seconds: at most ten requests "
+        "are blocked")
     {
         config.killed_fraction = 0.5;
         config.kill_duration = 2000ms;
@@ -184,6 +186,6 @@
         CHECK(result.blocked_innocent <= 10);
         // No more in all than the control traffic allowed for half a minute.
         CHECK(result.bytes_per_second * to_seconds(config.duration) <=
-              30 * max_control_bytes);
+              30 * max_control_bytes_per_second);
     }
 }
--- a/tests/run/crash_simulation.hpp
+++ b/tests/run/crash_simulation.hpp
@@ -103,10 +103,14 @@
     static constexpr milliseconds heartbeat_interval{400};
     static constexpr milliseconds network_delay{3};
     static constexpr milliseconds probe_delay{6};
+    /*! @brief After the third crash of a content; later crashes count as late.
+     */
     static constexpr milliseconds containment_time{3000};
     static constexpr milliseconds restart_time{3000};
+    /*! @brief From the start of an attempt until its response begins. */
     static constexpr milliseconds first_event_time{250};
     static constexpr milliseconds run_time{900};
+    /*! @brief From the start of a harmful attempt until its engine crashes. */
     static constexpr milliseconds crash_time{70};
     static constexpr time_point start{100s};
 
@@ -120,7 +124,7 @@
         bool trial{false};
         std::size_t resends{0};        /*!< Earlier attempts of the request. */
         std::size_t client_retries{0}; /*!< Earlier requests of the caller. */
-        int harmful{-1};
+        int harmful_index{-1};         /*!< -1: an innocent request. */
     };
 
     using attempt_pointer = std::shared_ptr<attempt>;
@@ -201,15 +205,15 @@
         schedule(config.copy_interval, [this, which] { send_copies(which); });
     }
 
-    void request(const request_content& content, int harmful,
+    void request(const request_content& content, int harmful_index,
                  std::size_t client_retries)
     {
         auto one = std::make_shared<attempt>();
         one->content = content;
         one->entry = random_index(entries.size());
-        one->harmful = harmful;
+        one->harmful_index = harmful_index;
         one->client_retries = client_retries;
-        if (harmful < 0 && client_retries == 0)
+        if (harmful_index < 0 && client_retries == 0)
             ++counters.requests;
         dispatch(one);
     }
@@ -217,7 +221,7 @@
     /*! @brief Fails a request; its caller retries once. */
     void fail(const attempt_pointer& one)
     {
-        if (one->harmful < 0 && one->client_retries == 0)
+        if (one->harmful_index < 0 && one->client_retries == 0)
             schedule(300ms, [this, one] { request(one->content, -1, 1); });
     }
 
@@ -233,7 +237,7 @@
             now);
         if (limit == 0 || (trial && one->resends > 0))
         {
-            counters.refused += one->harmful < 0 ? 1 : 0;
+            counters.refused += one->harmful_index < 0 ? 1 : 0;
             return fail(one);
         }
         if (entry.in_flight[one->content] >= limit)
@@ -296,7 +300,7 @@
         engines[at].running.push_back(one);
         ++entries[one->entry].in_flight[one->content];
         const bool crashes =
-            one->harmful >= 0 && random_bool(config.crash_probability);
+            one->harmful_index >= 0 && random_bool(config.crash_probability);
         schedule(crashes ? crash_time : run_time,
                  [this, one, crashes]
                  {
@@ -305,7 +309,7 @@
                          engine.incarnation_number != one->incarnation_number)
                          return;
                      if (crashes)
-                         count_crash(one->harmful), crash(one->engine);
+                         count_crash(one->harmful_index), crash(one->engine);
                      else
                          finish(one);
                  });
@@ -315,7 +319,7 @@
     {
         std::erase(engines[one->engine].running, one);
         remove_in_flight(*one);
-        counters.answered += one->harmful < 0 ? 1 : 0;
+        counters.answered += one->harmful_index < 0 ? 1 : 0;
         auto& entry = entries[one->entry];
         if (entry.ledger.record_response(one->content, now))
             report_to_all(one->entry);
@@ -330,10 +334,10 @@
 
     // Crashes of engines.
 
-    void count_crash(int harmful)
+    void count_crash(int harmful_index)
     {
         ++counters.crashed;
-        crashes_by_content[harmful].push_back(now);
+        crashes_by_content[harmful_index].push_back(now);
     }
 
     void plan_kills()
--- a/tests/run/retry_window.cpp
+++ b/tests/run/retry_window.cpp
@@ -9,7 +9,7 @@
 using namespace coursejunction;
 using namespace std::chrono_literals;
 
-TEST_CASE("retries in a sliding window", "[run]")
+TEST_CASE("the requests of the window and the reserve limit retries", "[run]")
 {
     retry_window window({10'000ms, 0.2, 5});
     time_point now{100s};
@@ -58,36 +58,36 @@
 
 TEST_CASE("no window holds more retries than its limit", "[run]")
 {
-    rc::prop("for any times of requests and failures",
-             [](const std::vector<std::uint16_t>& gaps)
-             {
-                 constexpr double portion = 0.2;
-                 constexpr double reserve = 3;
-                 retry_window window({10'000ms, portion, reserve});
-                 std::vector<time_point> requests;
-                 std::vector<time_point> retries;
-                 time_point now{50s};
-                 for (const auto gap : gaps)
-                 {
-                     now += milliseconds(gap % 800);
-                     window.record_request(now);
-                     requests.push_back(now);
-                     while (gap % 3 == 0 && window.try_spend(now))
-                         retries.push_back(now);
-                 }
-                 for (const auto end : retries)
-                 {
-                     const auto inside = [&](const std::vector<time_point>& all)
-                     {
-                         return std::count_if(all.begin(), all.end(),
-                                              [&](time_point at) {
-                                                  return at <= end &&
-                                                         at > end - 10s;
-                                              });
-                     };
-                     RC_ASSERT(static_cast<double>(inside(retries)) <=
-                               portion * static_cast<double>(inside(requests)) +
-                                   reserve + 1e-9);
-                 }
-             });
+    rc::prop(
+        "for any times of requests and failures",
+        [](const std::vector<std::uint16_t>& gaps)
+        {
+            constexpr double retry_ratio = 0.2;
+            constexpr double reserve = 3;
+            retry_window window({10'000ms, retry_ratio, reserve});
+            std::vector<time_point> requests;
+            std::vector<time_point> retries;
+            time_point now{50s};
+            for (const auto gap : gaps)
+            {
+                now += milliseconds(gap % 800);
+                window.record_request(now);
+                requests.push_back(now);
+                while (gap % 3 == 0 && window.try_spend(now))
+                    retries.push_back(now);
+            }
+            for (const auto end : retries)
+            {
+                const auto inside = [&](const std::vector<time_point>& all)
+                {
+                    return std::count_if(all.begin(), all.end(),
+                                         [&](time_point at) {
+                                             return at <= end && at > end - 10s;
+                                         });
+                };
+                RC_ASSERT(static_cast<double>(inside(retries)) <=
+                          retry_ratio * static_cast<double>(inside(requests)) +
+                              reserve + 1e-9);
+            }
+        });
 }
