--- a/src/coursejunction/run/retry_budget.hpp
+++ b/src/coursejunction/run/retry_budget.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Keeps retries from multiplying load.
+ * @brief Limits retries to a fraction of the requests.
  */
 #ifndef COURSEJUNCTION_RUN_RETRY_BUDGET_HPP
 #define COURSEJUNCTION_RUN_RETRY_BUDGET_HPP
@@ -9,35 +9,40 @@
 namespace coursejunction
 {
 
-/*! @brief Every first attempt earns a part of a retry; a retry spends one. So
- * retries stay a fixed portion of the requests whatever fails. */
+/*! @brief Token bucket for retries: each request adds a fraction of a token,
+ * and each retry takes one, so that failures can't multiply the load. It starts
+ * full. */
 class retry_budget
 {
 public:
-    /*! @param portion Retries earned by each request.
-     * @param most Retries that may be saved up. */
-    retry_budget(double portion, double most)
-        : earned(portion), depth(most), level(most)
+    /*! @param tokens_per_request Added by each request.
+     * @param bucket_size Tokens that the bucket holds at most. */
+    retry_budget(double tokens_per_request, double bucket_size)
+        : added_per_request(tokens_per_request), capacity(bucket_size),
+          tokens(bucket_size)
     {
     }
 
-    /*! @brief A request came. */
-    void record_request() { level = std::min(depth, level + earned); }
+    /*! @brief Adds the tokens of one request. */
+    void record_request()
+    {
+        tokens = std::min(capacity, tokens + added_per_request);
+    }
 
-    /*! @brief Spends one retry.
+    /*! @brief Takes a token for a retry.
      * @return Whether one was left. */
     [[nodiscard]] bool try_spend()
     {
-        if (level < 1)
+        if (tokens < 1)
             return false;
-        level -= 1;
+        tokens -= 1;
         return true;
     }
 
 private:
-    double earned;
-    double depth;
-    double level;
+    double added_per_request;
+    double capacity;
+    double tokens;
 };
 
 } // namespace coursejunction
