--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -369,7 +369,7 @@
         wanted.bypasses_limits = one.streaming;
         wanted.excluded = one.tried;
         wanted.avoided = with_suspects(one, now);
-        wanted.may_retry_excluded = one.answered_failure;
+        wanted.may_reuse_excluded = one.answered_failure;
         if (!one.asked.model.empty())
             wanted.min_version = floor.minimum(one.asked.model, now);
         return wanted;
--- a/src/coursejunction/route/admission.hpp
+++ b/src/coursejunction/route/admission.hpp
@@ -1,11 +1,11 @@
 /*! @file
- * @brief Decides how loaded an upstream may be for a request to be admitted,
- * and when a refused caller may come back; pure.
- *
- * Load pattern: more is asked for than the engines can end, for seconds or for
- * a whole day. Who is admitted then is a choice between callers: one that is
- * in time earns all, one that comes back is late whatever happens, and one
- * kind's longer target must not crowd out another's shorter one.
+ * @brief Admission control: decides how loaded an upstream may be to accept a
+ * request, and when a refused client should retry; pure.
+ * Load pattern: demand exceeds the engines' capacity, for seconds or for a
+ * whole day, so that admitting one client means refusing another. A request
+ * counts fully if its first event arrives within its target. A client that
+ * retries is past its target whatever happens, and requests of a kind with a
+ * long target must not crowd out those with a shorter one.
  */
 #ifndef COURSEJUNCTION_ROUTE_ADMISSION_HPP
 #define COURSEJUNCTION_ROUTE_ADMISSION_HPP
@@ -21,67 +21,78 @@
 namespace coursejunction
 {
 
-/*! @brief Parts and times of the decision. */
+/*! @brief Thresholds of admission control. Fractions are of 1. */
 struct admission_options
 {
-    /*! @brief Part of the target that a predicted first event may take: the
-     * prediction is a mean, half of those come sooner. */
+    /*! @brief Fraction of the target that the predicted time of the first event
+     * may take. Above 1 because the prediction is a mean: half of the requests
+     * are faster. */
     double target_fraction{1.15};
-    /*! @brief Under overload, part of the tightest target that the first event
-     * of a usual request may take, whatever is asked: kinds with a longer
-     * target would fill the engines before one with a shorter. */
+    /*! @brief Under overload, the first event of a typical request must be
+     * predicted within this fraction of the tightest target in use, whatever
+     * the target of the request itself. Otherwise kinds with a longer target
+     * fill the engines before those with a shorter one. */
     double common_target_fraction{1.0};
-    /*! @brief Under overload, part of an engine's places that requests which
-     * can't be in time any more may fill; without it, all places. The rest is
-     * for callers that can be. */
+    /*! @brief Under overload, fraction of an engine's slots that requests past
+     * their target may fill; all slots without overload. The rest is left to
+     * requests that can still meet theirs. */
     double late_fraction{0.5};
-    /*! @brief Share of refusals at which the limits of an overload hold in
-     * full. It is that of all entries, which one refusal by chance does not
-     * move; with a larger one the worst entry's callers are refused before the
-     * others hold back. */
+    /*! @brief Ratio of refused to new requests at which the overload limits
+     * apply in full; below it they apply in proportion. The ratio is that of
+     * all entries together, which a single refusal hardly changes. With a
+     * larger value the clients of the most loaded entry are refused before the
+     * other entries admit less. */
     double full_refusal_ratio{0.05};
-    /*! @brief Part of `full_pressure` from which on an entry fills only its own
-     * share of each engine (`engine_shares`): many entries would otherwise fill
-     * one engine unseen by each other. */
+    /*! @brief Fraction of `full_refusal_ratio` above which an entry fills only
+     * its own share of each engine (see `engine_shares.hpp`). Otherwise many
+     * entries fill one engine at once, since none sees the requests of the
+     * others in time. */
     double own_share_threshold{0.5};
-    /*! @brief Part of its places up to which an engine takes requests of
-     * entries that have no share of it left: what is that empty is nobody's
-     * need. Without it a rollout refuses callers beside free places; with much
-     * more, whoever refuses nobody takes the places of the others. */
+    /*! @brief Fraction of its slots up to which an engine accepts requests of
+     * entries that hold no share of it, or have used theirs: nobody needs the
+     * slots of an engine that empty. Without it, clients are refused beside
+     * free slots during a rollout; with a much larger value, entries that
+     * refuse nobody take the slots of the others. */
     double unowned_fraction{0.4};
-    /*! @brief Told where upstreams are short for a moment only. */
+    /*! @brief Retry-After without overload, where upstreams are busy only for a
+     * moment. */
     milliseconds min_retry_after{200};
-    /*! @brief A caller heeds a time to come back up to this part of what is
-     * left of its deadline. Under overload, the later it comes, the likelier it
-     * is served. */
+    /*! @brief Largest Retry-After, as a fraction of what is left of the
+     * client's deadline: clients follow it up to here. Under overload, the
+     * later a client retries, the likelier it is served. */
     double retry_deadline_fraction{1.0 / 3};
 };
 
-/*! @brief What an upstream must be able to do to take a request. */
+/*! @brief Limits within which an upstream may accept a request. */
 struct admission_limits
 {
-    /*! @brief Predicted ms of the request's own first event. */
+    /*! @brief Largest predicted time in ms to the first event of the request.
+     */
     double first_event_ms{std::numeric_limits<double>::infinity()};
-    /*! @brief Predicted ms of a usual request's first event there. */
+    /*! @brief Largest predicted time in ms to the first event of a request with
+     * a prompt of typical length. */
     double typical_first_event_ms{std::numeric_limits<double>::infinity()};
-    /*! @brief Requests that may be inside already. */
+    /*! @brief Largest number of requests already at the upstream. */
     double max_in_flight{std::numeric_limits<double>::infinity()};
-    /*! @brief Only places of the entry's own part of an engine. */
+    /*! @brief Whether only slots of this entry's share of the engine may be
+     * used. */
     bool own_share_only{false};
-    /*! @brief Part of an engine's places up to which others' may be used. */
+    /*! @brief Fraction of an engine's slots up to which requests outside this
+     * entry's share are accepted. */
     double unowned_fraction{1};
 };
 
-/*! @brief New requests a second at one or several entries. */
+/*! @brief Requests a second at one or several entries, without client retries.
+ */
 struct request_rates
 {
     double arrived{0};
     double refused{0};
-    double demand{0}; /*!< As `asked`, over `admission::demand_span`. */
+    double demand{0}; /*!< Arrivals over `admission::demand_window`. */
 };
 
-/*! @brief Returns the ms of a usual request's first event at an engine whose
- * last free place it takes. */
+/*! @brief Returns the predicted ms to the first event of a typical request that
+ * takes the last free slot of an engine. */
 [[nodiscard]] inline double last_slot_ms(const engine_profile& engine)
 {
     engine_load load;
@@ -89,139 +100,155 @@
     return first_event_ms(engine, load, engine.usual_prompt);
 }
 
-/*! @brief Admission to the engines of one service. */
+/*! @brief Admission control of one service that runs on engines. */
 class admission
 {
 public:
-    explicit admission(admission_options set = {}) : weights(set) {}
+    explicit admission(admission_options configured = {}) : options(configured)
+    {
+    }
 
-    /*! @brief Tells whether a caller that has waited this long can't have its
-     * first event within its target any more. */
+    /*! @brief Returns whether a request can no longer have its first event
+     * within its target.
+     * @param waited Time since the client's first request; zero for a new
+     * request. */
     [[nodiscard]] bool misses_target(const engine_profile& engine,
                                      milliseconds target,
                                      milliseconds waited) const
     {
         return waited.count() > 0 &&
                static_cast<double>(waited.count()) + last_slot_ms(engine) >
-                   weights.target_fraction *
+                   options.target_fraction *
                        static_cast<double>(target.count());
     }
 
-    /*! @brief Notes a new request with its target. */
+    /*! @brief Records a new request with its target. */
     void record_arrival(milliseconds target, time_point now)
     {
         smoothed_demand.record(now);
-        all_asked.record(now);
-        asked_by_target[target].record(now);
+        arrivals.record(now);
+        arrivals_by_target[target].record(now);
     }
 
-    /*! @brief Notes that a new request was refused. */
-    void record_refusal(time_point now) { all_refused.record(now); }
+    /*! @brief Records that a new request was refused. */
+    void record_refusal(time_point now) { refusals.record(now); }
 
-    /*! @brief Returns what this entry is asked for and refuses. */
+    /*! @brief Returns the rates of requests and refusals at this entry. */
     [[nodiscard]] request_rates rates(time_point now) const
     {
-        return {all_asked.per_second(now), all_refused.per_second(now),
+        return {arrivals.per_second(now), refusals.per_second(now),
                 smoothed_demand.per_second_since_start(now)};
     }
 
-    /*! @brief Takes what all other entries together are asked for and refuse.
-     */
-    void set_other_entries_rates(const request_rates& told) { others = told; }
+    /*! @brief Sets the rates of all other entries together. */
+    void set_other_entries_rates(const request_rates& reported)
+    {
+        other_entries = reported;
+    }
 
-    /*! @brief Time over which refusals are smoothed. They are those of all
-     * entries, hundreds a second under load, so that a short time has enough
-     * of them; and a caller that comes back after a burst is not refused for
-     * what the burst was. */
+    /*! @brief Time over which refusals are smoothed. Short, so that clients
+     * that retry after a burst are not refused because of it. It still covers
+     * enough refusals, as those of all entries count: hundreds a second under
+     * load. */
     static constexpr milliseconds refusal_window{250};
 
     /*! @brief Time over which the demand is smoothed by which engines are
-     * divided: an entry with 14 requests a second counts 40 in it, so that its
-     * share moves by a sixth by chance. */
+     * divided between entries. An entry with 14 requests a second counts about
+     * 40 of them, so that chance changes its share by a sixth. */
     static constexpr milliseconds demand_window{3000};
 
-    /*! @brief Returns the share of new requests that all entries refused
-     * lately; a lone refusal counts as none. Where each goes by its own
-     * refusals, whoever refuses nobody fills the engines, and whoever refuses
-     * many refuses ever more. */
+    /*! @brief Returns the ratio of refused to new requests at all entries
+     * recently. One refusal is subtracted, so that a single one counts as none.
+     * If each entry used its own ratio, an entry that refuses nobody would
+     * fill the engines, and one that refuses many would refuse ever more. */
     [[nodiscard]] double refusal_ratio(time_point now) const
     {
-        const auto one = 1 / to_seconds(refusal_window);
-        return std::max(all_refused.per_second(now) + others.refused - one,
+        const auto single_refusal = 1 / to_seconds(refusal_window);
+        return std::max(refusals.per_second(now) + other_entries.refused -
+                            single_refusal,
                         0.0) /
-               std::max(all_asked.per_second(now) + others.arrived, one);
+               std::max(arrivals.per_second(now) + other_entries.arrived,
+                        single_refusal);
     }
 
-    /*! @brief Returns what an upstream must be able to do for a request. */
+    /*! @brief Returns the limits within which an upstream may accept a request.
+     * @param waited Time since the client's first request; zero for a new
+     * request. */
     [[nodiscard]] admission_limits limits(const engine_profile& engine,
                                           milliseconds target,
                                           milliseconds waited,
                                           time_point now) const
     {
-        admission_limits made;
-        const auto strict = strictness(now);
-        made.unowned_fraction = weights.unowned_fraction;
-        made.own_share_only = strict >= weights.own_share_threshold;
+        admission_limits result;
+        const auto overload = strictness(now);
+        result.unowned_fraction = options.unowned_fraction;
+        result.own_share_only = overload >= options.own_share_threshold;
         if (misses_target(engine, target, waited))
         {
-            const auto part = 1 - (1 - weights.late_fraction) * strict;
-            made.max_in_flight = static_cast<double>(engine.slots) * part - 1;
-            return made;
+            const auto slot_fraction =
+                1 - (1 - options.late_fraction) * overload;
+            result.max_in_flight =
+                static_cast<double>(engine.slots) * slot_fraction - 1;
+            return result;
         }
-        made.first_event_ms =
-            weights.target_fraction * static_cast<double>(target.count()) -
+        result.first_event_ms =
+            options.target_fraction * static_cast<double>(target.count()) -
             static_cast<double>(waited.count());
-        const auto common =
+        const auto common_limit_ms =
             std::max(last_slot_ms(engine),
-                     weights.common_target_fraction *
-                         static_cast<double>(tightest(now).count()));
-        const auto loose =
-            weights.target_fraction * static_cast<double>(target.count());
-        made.typical_first_event_ms =
-            loose - (loose - std::min(common, loose)) * strict;
-        return made;
+                     options.common_target_fraction *
+                         static_cast<double>(tightest_target(now).count()));
+        const auto own_limit_ms =
+            options.target_fraction * static_cast<double>(target.count());
+        result.typical_first_event_ms =
+            own_limit_ms -
+            (own_limit_ms - std::min(common_limit_ms, own_limit_ms)) * overload;
+        return result;
     }
 
-    /*! @brief Returns when a refused caller should come back. One that met a
-     * short shortage finds a place soon; in an overload its target is lost, and
-     * the later it comes, the likelier the overload is over.
-     * @param left What is left of the caller's deadline. */
+    /*! @brief Returns when a refused client should retry: soon without
+     * overload, as a slot becomes free shortly; late under overload, as its
+     * target is missed anyway and a later retry is likelier to be served.
+     * @param left What is left of the client's deadline. */
     [[nodiscard]] milliseconds retry_after(milliseconds left,
                                            time_point now) const
     {
-        const auto soon = static_cast<double>(weights.min_retry_after.count());
-        const auto heeded =
-            static_cast<double>(left.count()) * weights.retry_deadline_fraction;
+        const auto min_ms =
+            static_cast<double>(options.min_retry_after.count());
+        const auto max_ms =
+            static_cast<double>(left.count()) * options.retry_deadline_fraction;
         return milliseconds(static_cast<std::int64_t>(
-            soon + std::max(heeded - soon, 0.0) * strictness(now)));
+            min_ms + std::max(max_ms - min_ms, 0.0) * strictness(now)));
     }
 
 private:
-    /*! @brief Returns how much of the limits of an overload holds, 0 to 1. */
+    /*! @brief Returns the fraction, 0 to 1, to which the overload limits apply.
+     */
     [[nodiscard]] double strictness(time_point now) const
     {
-        return std::min(refusal_ratio(now) / weights.full_refusal_ratio, 1.0);
+        return std::min(refusal_ratio(now) / options.full_refusal_ratio, 1.0);
     }
 
-    /*! @brief Part of the requests that a target must have to count. */
-    static constexpr double least_part{0.05};
+    /*! @brief Smallest fraction of the requests that must have a target for it
+     * to count as in use. */
+    static constexpr double min_target_fraction{0.05};
 
-    /*! @brief Returns the tightest target that a part of the requests has. */
-    [[nodiscard]] milliseconds tightest(time_point now) const
+    /*! @brief Returns the tightest target that is in use. */
+    [[nodiscard]] milliseconds tightest_target(time_point now) const
     {
-        const auto all = all_asked.per_second(now);
-        for (const auto& [target, rate] : asked_by_target)
-            if (rate.per_second(now) >= all * least_part)
+        const auto total_rate = arrivals.per_second(now);
+        for (const auto& [target, rate] : arrivals_by_target)
+            if (rate.per_second(now) >= total_rate * min_target_fraction)
                 return target;
         return milliseconds(std::numeric_limits<std::int32_t>::max());
     }
 
-    admission_options weights;
-    smoothed_rate all_asked{refusal_window};
-    smoothed_rate all_refused{refusal_window};
-    request_rates others;
+    admission_options options;
+    smoothed_rate arrivals{refusal_window};
+    smoothed_rate refusals{refusal_window};
+    request_rates other_entries;
     smoothed_rate smoothed_demand{demand_window};
-    std::map<milliseconds, smoothed_rate> asked_by_target;
+    std::map<milliseconds, smoothed_rate> arrivals_by_target;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/deadline_floor.hpp
+++ b/src/coursejunction/route/deadline_floor.hpp
@@ -1,10 +1,9 @@
 /*! @file
- * @brief Learns the shortest deadline with which new callers of a route begin;
+ * @brief Learns the shortest deadline with which new clients of a route begin;
  * pure.
- *
- * Load pattern: callers that come back where nobody was told of their refusal,
- * since they moved to another hall or their entry ended. What is left of their
- * deadline still tells, where it is shorter than any new caller's.
+ * Load pattern: client retries that match no known refusal, because the client
+ * moved to another hall or its entry ended. The rest of their deadline still
+ * shows them if it is shorter than that of any new client.
  */
 #ifndef COURSEJUNCTION_ROUTE_DEADLINE_FLOOR_HPP
 #define COURSEJUNCTION_ROUTE_DEADLINE_FLOOR_HPP
@@ -19,61 +18,63 @@
 namespace coursejunction
 {
 
-/*! @brief The lower end of the deadlines seen lately on one route. */
+/*! @brief The lower end of the deadlines seen recently on one route. */
 class deadline_floor
 {
 public:
-    /*! @brief Deadlines remembered. */
+    /*! @brief Number of recent deadlines that are kept. */
     static constexpr std::size_t max_samples = 128;
 
-    /*! @brief Deadlines below the floor that are taken for chance: returns that
-     * nobody recognised stand among the remembered ones. */
+    /*! @brief Number of the lowest samples that are ignored: client retries
+     * that nothing recognised are among the samples. */
     static constexpr std::size_t ignored_lowest = 3;
 
-    /*! @brief Differences below this are no earlier try: of new callers with
-     * spread deadlines, few lie further below all but `passed_over` of `most`
-     * others. */
+    /*! @brief A deadline at most this much below the floor does not count as a
+     * client retry. Few of the new clients with spread deadlines are further
+     * below all but `ignored_lowest` of `max_samples` others. */
     static constexpr milliseconds tolerance{50};
 
-    /*! @brief When no deadline of a new caller has come for so long, callers
-     * begin with less than before. */
+    /*! @brief If no deadline of a new client came for this long, clients begin
+     * with shorter deadlines than before, and learning starts again. */
     static constexpr milliseconds max_age{30'000};
 
-    /*! @brief Notes the deadline of a caller that is not known to return.
-     * @param calm Whether nobody was refused lately: a shorter deadline is then
-     * what new callers bring.
-     * @return How long its caller has waited at least; zero while too little is
-     * known. */
-    milliseconds observe(milliseconds deadline, bool calm, time_point now)
+    /*! @brief Records the deadline of a request that matches no refusal.
+     * @param no_recent_refusals Whether nobody was refused recently: a shorter
+     * deadline then belongs to a new client.
+     * @return How long its client has waited at least; zero if it is new or too
+     * little is known. */
+    milliseconds observe(milliseconds deadline, bool no_recent_refusals,
+                         time_point now)
     {
-        const auto gone = below(deadline);
-        if (gone > milliseconds(0) && !calm && now - fits_at < max_age)
-            return gone;
-        if (now - fits_at >= max_age)
+        const auto waited = distance_below(deadline);
+        if (waited > milliseconds(0) && !no_recent_refusals &&
+            now - last_new_at < max_age)
+            return waited;
+        if (now - last_new_at >= max_age)
             count = 0;
-        fits_at = now;
-        seen[next] = static_cast<std::uint32_t>(deadline.count());
+        last_new_at = now;
+        samples[next] = static_cast<std::uint32_t>(deadline.count());
         next = (next + 1) % max_samples;
         count = std::min(count + 1, max_samples);
         return milliseconds(0);
     }
 
 private:
-    [[nodiscard]] milliseconds below(milliseconds deadline) const
+    [[nodiscard]] milliseconds distance_below(milliseconds deadline) const
     {
         if (count < max_samples)
             return milliseconds(0);
-        std::array<std::uint32_t, ignored_lowest + 1> least{};
-        std::partial_sort_copy(seen.begin(), seen.end(), least.begin(),
-                               least.end());
-        const auto gone = milliseconds(least.back()) - deadline;
-        return gone > tolerance ? gone : milliseconds(0);
+        std::array<std::uint32_t, ignored_lowest + 1> lowest{};
+        std::partial_sort_copy(samples.begin(), samples.end(), lowest.begin(),
+                               lowest.end());
+        const auto waited = milliseconds(lowest.back()) - deadline;
+        return waited > tolerance ? waited : milliseconds(0);
     }
 
-    std::array<std::uint32_t, max_samples> seen{};
+    std::array<std::uint32_t, max_samples> samples{};
     std::size_t next{0};
     std::size_t count{0};
-    time_point fits_at{}; /*!< When a new caller's deadline was last seen. */
+    time_point last_new_at{}; /*!< Last deadline of a new client. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/dispatcher.hpp
+++ b/src/coursejunction/route/dispatcher.hpp
@@ -1,10 +1,10 @@
 /*! @file
  * @brief Decides for each request whether it is sent, waits or is refused;
- * pure. Entries ask it for every arrival and again while a request waits.
- *
- * Load pattern: any, from a lone request to hours in which more is asked for
- * than the upstreams can end. `admission` says what an upstream must be able
- * to do for a request, `placer` finds the one that does it best.
+ * pure. Entries call it for every request that arrives, and again while a
+ * request waits.
+ * Load pattern: any, from a single request to hours of overload. `admission`
+ * sets the limits within which an upstream may accept a request, `placer`
+ * selects the best upstream within them.
  */
 #ifndef COURSEJUNCTION_ROUTE_DISPATCHER_HPP
 #define COURSEJUNCTION_ROUTE_DISPATCHER_HPP
@@ -28,226 +28,239 @@
 namespace coursejunction
 {
 
-/*! @brief Times of the decisions, with where they come from. */
+/*! @brief Durations that the decisions use. */
 struct dispatch_options
 {
-    /*! @brief Part of the target for which a request may wait for a place: of
-     * 400 ms one interval of load reports, by which a place that comes free is
-     * known. Longer waits serve nobody more. */
+    /*! @brief Fraction of the target for which a request may wait for a slot.
+     * Of a target of 400 ms this is one interval between load reports, after
+     * which a slot that became free is known. Longer waits do not serve more
+     * requests. */
     double wait_fraction{0.125};
-    /*! @brief A stream that goes on waits for as long as its caller bears the
-     * pause; the longest pause that counts as in time is 400 ms. */
+    /*! @brief How long a stream that must be resumed waits for a slot: as long
+     * as its client tolerates the pause. Pauses up to 400 ms still count as in
+     * time. */
     milliseconds max_stream_pause{900};
-    /*! @brief When no upstream is usable at all: times without any lasted 1.3
-     * to 6 s, and callers of 6 s wait for 2 s at most. */
+    /*! @brief Retry-After where no upstream is usable at all. Such times lasted
+     * 1.3 to 6 s, and clients with a deadline of 6 s wait 2 s at most. */
     milliseconds no_upstream_retry_after{2000};
     admission_options admission;
 };
 
-/*! @brief A request goes to an upstream. */
+/*! @brief The request is sent to an upstream. */
 struct send_to
 {
     upstream_choice choice;
-    urgency rank{usual_urgency}; /*!< Among those that wait there. */
+    urgency rank{usual_urgency}; /*!< Its order among the requests that wait at
+                                    the upstream. */
 };
 
-/*! @brief A request waits for a place. */
+/*! @brief The request waits for a slot; ask again later. */
 struct wait_for_slot
 {
     placement_failure reason;
 };
 
-/*! @brief A request is refused; it has not run. */
+/*! @brief The request is refused; no upstream has received it. */
 struct refuse_request
 {
     placement_failure reason;
     milliseconds retry_after{0};
 };
 
-/*! @brief What becomes of a request now. */
+/*! @brief The decision for one request. */
 using dispatch = std::variant<send_to, wait_for_slot, refuse_request>;
 
-/*! @brief The decisions of one entry. */
+/*! @brief Decides for all requests of one entry. */
 class dispatcher
 {
 public:
-    dispatcher(const upstream_registry& known, placer choice,
-               dispatch_options set)
-        : book(known), places(std::move(choice)), options(set)
+    dispatcher(const upstream_registry& upstreams, placer choice,
+               dispatch_options configured)
+        : registry(upstreams), placement(std::move(choice)), options(configured)
     {
     }
 
-    /*! @brief Takes a new configuration: what is known of routes that it
-     * lacks is forgotten. */
+    /*! @brief Applies a new configuration: drops the state of routes that it
+     * does not contain. */
     void configure(const installation& rules)
     {
-        std::set<std::string_view> names;
-        for (const auto& one : rules.routes)
-            names.insert(one.name);
-        tries.retain_routes([&](const std::string& name)
-                            { return names.count(name) > 0; });
+        std::set<std::string_view> route_names;
+        for (const auto& route : rules.routes)
+            route_names.insert(route.name);
+        client_retries.retain_routes([&](const std::string& name)
+                                     { return route_names.count(name) > 0; });
     }
 
-    /*! @brief Notes a request's arrival.
-     * @param what Zero when it has nothing by which it is known again.
-     * @param deadline What its caller will wait from now on. */
+    /*! @brief Records the arrival of a request.
+     * @param fingerprint Zero when the request has nothing by which a client
+     * retry could be recognised.
+     * @param deadline How long the client waits from now on. */
     arrival_state record_arrival(const route_rule& route,
                                  const service_profile& service,
-                                 request_fingerprint what,
+                                 request_fingerprint fingerprint,
                                  std::optional<milliseconds> deadline,
                                  time_point now)
     {
-        arrival_state made;
-        made.history = tries.record_arrival(route.name, what, deadline, now);
-        auto& gate = gate_of(service);
-        if (!made.is_retry())
-            gate.record_arrival(route.target, now);
+        arrival_state state;
+        state.history = client_retries.record_arrival(route.name, fingerprint,
+                                                      deadline, now);
+        auto& control = admission_of(service);
+        if (!state.is_retry())
+            control.record_arrival(route.target, now);
         if (service.engine)
-            engines.insert(service.name);
-        made.late =
-            service.engine && gate.misses_target(*service.engine, route.target,
-                                                 made.history.waited);
-        return made;
+            engine_services.insert(service.name);
+        state.late = service.engine &&
+                     control.misses_target(*service.engine, route.target,
+                                           state.history.waited);
+        return state;
     }
 
-    /*! @brief Notes that a caller was sent away and may come back, here or at
+    /*! @brief Records that a client was refused and may retry, here or at
      * another entry. */
-    void record_refusal(const refusal_record& one, time_point now)
+    void record_refusal(const refusal_record& refusal, time_point now)
     {
-        tries.record_refusal(one, now);
+        client_retries.record_refusal(refusal, now);
     }
 
-    /*! @brief Takes in that another entry sent a caller away. */
-    void record_remote_refusal(const refusal_record& one, time_point now)
+    /*! @brief Records a refusal that another entry reported. */
+    void record_remote_refusal(const refusal_record& refusal, time_point now)
     {
-        tries.record_remote_refusal(one, now);
+        client_retries.record_remote_refusal(refusal, now);
     }
 
-    /*! @brief Returns callers sent away that other entries were not told of,
-     * and takes them for told. */
+    /*! @brief Returns refusals not yet sent to the other entries, and marks
+     * them as sent. */
     [[nodiscard]] std::vector<refusal_record>
-    take_unsent_refusals(std::size_t most)
+    take_unsent_refusals(std::size_t max_count)
     {
-        return tries.take_unsent(most);
+        return client_retries.take_unsent(max_count);
     }
 
-    /*! @brief Tells whether other entries were not told of some. */
+    /*! @brief Returns whether there are refusals not yet sent to the other
+     * entries. */
     [[nodiscard]] bool has_unsent_refusals() const
     {
-        return tries.has_unsent();
+        return client_retries.has_unsent();
     }
 
-    /*! @brief Forgets what is over; called now and then. */
-    void expire(time_point now) { tries.expire(now); }
+    /*! @brief Drops expired state; called periodically. */
+    void expire(time_point now) { client_retries.expire(now); }
 
-    /*! @brief Returns what this entry's callers ask of all engines. */
+    /*! @brief Returns the rates of this entry's requests for all services that
+     * run on engines. */
     [[nodiscard]] request_rates rates(time_point now) const
     {
         request_rates sum;
-        for (const auto& name : engines)
+        for (const auto& name : engine_services)
         {
-            const auto one = gates.at(name).rates(now);
-            sum.arrived += one.arrived;
-            sum.refused += one.refused;
-            sum.demand += one.demand;
+            const auto rates = admissions.at(name).rates(now);
+            sum.arrived += rates.arrived;
+            sum.refused += rates.refused;
+            sum.demand += rates.demand;
         }
         return sum;
     }
 
-    /*! @brief Takes what the other entries' callers ask of all engines. */
-    void set_other_entries_rates(const request_rates& told, time_point now)
+    /*! @brief Sets the rates of such requests at all other entries together. */
+    void set_other_entries_rates(const request_rates& reported, time_point now)
     {
-        constexpr double least_rate = 0.1;
-        if (told.refused > least_rate)
-            tries.note_other_entries_refusals(now);
-        for (const auto& name : engines)
-            gates.at(name).set_other_entries_rates(told);
+        constexpr double min_rate = 0.1;
+        if (reported.refused > min_rate)
+            client_retries.note_other_entries_refusals(now);
+        for (const auto& name : engine_services)
+            admissions.at(name).set_other_entries_rates(reported);
     }
 
-    /*! @brief Decides; a request that waits is asked for again. */
+    /*! @brief Decides what to do with a request; called again while it waits.
+     */
     [[nodiscard]] dispatch decide(const service_profile& service,
-                                  placement_request wanted, time_point now)
+                                  placement_request request, time_point now)
     {
-        auto& gate = gate_of(service);
+        auto& control = admission_of(service);
         if (service.engine)
-            wanted.limits = gate.limits(*service.engine, wanted.target,
-                                        wanted.arrival.history.waited, now);
-        placement_failure why;
-        auto found = places.choose(book, service, wanted, now, why);
+            request.limits =
+                control.limits(*service.engine, request.target,
+                               request.arrival.history.waited, now);
+        placement_failure failure;
+        auto found = placement.choose(registry, service, request, now, failure);
         if (found)
-            return send_to{std::move(*found), rank_of(service, wanted, now)};
-        const auto waits_until = wanted.waiting_since + longest_wait(wanted);
-        const bool in_vain =
-            why.next_send_at && *why.next_send_at > waits_until;
-        if (now < waits_until && !in_vain)
-            return wait_for_slot{why};
-        if (!wanted.arrival.is_retry())
-            gate.record_refusal(now);
-        return refuse_request{why, retry_after(gate, why, wanted, now)};
+            return send_to{std::move(*found),
+                           urgency_for(service, request, now)};
+        const auto wait_deadline = request.waiting_since + max_wait(request);
+        const bool opens_too_late =
+            failure.next_send_at && *failure.next_send_at > wait_deadline;
+        if (now < wait_deadline && !opens_too_late)
+            return wait_for_slot{failure};
+        if (!request.arrival.is_retry())
+            control.record_refusal(now);
+        return refuse_request{failure,
+                              retry_after(control, failure, request, now)};
     }
 
 private:
-    admission& gate_of(const service_profile& service)
+    admission& admission_of(const service_profile& service)
     {
-        return gates.try_emplace(service.name, options.admission).first->second;
+        return admissions.try_emplace(service.name, options.admission)
+            .first->second;
     }
 
     [[nodiscard]] std::chrono::microseconds
-    longest_wait(const placement_request& wanted) const
+    max_wait(const placement_request& request) const
     {
-        if (wanted.bypasses_limits)
+        if (request.bypasses_limits)
             return options.max_stream_pause;
         constexpr double microseconds = 1000;
         return std::chrono::microseconds(static_cast<std::int64_t>(
-            static_cast<double>(wanted.target.count()) * options.wait_fraction *
-            microseconds));
+            static_cast<double>(request.target.count()) *
+            options.wait_fraction * microseconds));
     }
 
-    [[nodiscard]] static urgency rank_of(const service_profile& service,
-                                         const placement_request& wanted,
-                                         time_point now)
+    [[nodiscard]] static urgency urgency_for(const service_profile& service,
+                                             const placement_request& request,
+                                             time_point now)
     {
-        if (wanted.bypasses_limits)
+        if (request.bypasses_limits)
             return stream_urgency;
         if (!service.engine)
             return usual_urgency;
-        if (wanted.arrival.late)
+        if (request.arrival.late)
             return late_urgency;
-        const auto gone = std::chrono::duration_cast<milliseconds>(
-            now - wanted.waiting_since + wanted.arrival.history.waited);
-        return urgency_of(wanted.target - gone);
+        const auto elapsed = std::chrono::duration_cast<milliseconds>(
+            now - request.waiting_since + request.arrival.history.waited);
+        return urgency_of(request.target - elapsed);
     }
 
-    [[nodiscard]] milliseconds retry_after(const admission& gate,
-                                           const placement_failure& why,
-                                           const placement_request& wanted,
+    [[nodiscard]] milliseconds retry_after(const admission& control,
+                                           const placement_failure& failure,
+                                           const placement_request& request,
                                            time_point now) const
     {
-        if (why.usable == 0)
-            return none_usable_until(why, now);
+        if (failure.usable == 0)
+            return retry_after_outage(failure, now);
         const auto left =
-            std::chrono::duration_cast<milliseconds>(wanted.deadline - now);
-        return gate.retry_after(left, now);
+            std::chrono::duration_cast<milliseconds>(request.deadline - now);
+        return control.retry_after(left, now);
     }
 
-    /*! @brief Returns the wait of a caller that no upstream could serve. Where
-     * only other entries may send, the next one may do so. */
-    [[nodiscard]] milliseconds none_usable_until(const placement_failure& why,
-                                                 time_point now) const
+    /*! @brief Returns the Retry-After of a client that no upstream could serve.
+     * Where only other entries may send to the upstreams, the retry may reach
+     * one of them. */
+    [[nodiscard]] milliseconds
+    retry_after_outage(const placement_failure& failure, time_point now) const
     {
-        if (!why.next_send_at || *why.next_send_at == time_point::max())
+        if (!failure.next_send_at || *failure.next_send_at == time_point::max())
             return options.no_upstream_retry_after;
         return std::max(
-            std::chrono::ceil<milliseconds>(*why.next_send_at - now),
+            std::chrono::ceil<milliseconds>(*failure.next_send_at - now),
             options.admission.min_retry_after);
     }
 
-    const upstream_registry& book;
-    placer places;
+    const upstream_registry& registry;
+    placer placement;
     dispatch_options options;
-    retry_detector tries;
-    std::map<service_name, admission> gates;
-    std::set<service_name> engines; /*!< Services of them that have engines. */
+    retry_detector client_retries;
+    std::map<service_name, admission> admissions;
+    std::set<service_name> engine_services; /*!< Those run by engines. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/engine_estimate.hpp
+++ b/src/coursejunction/route/engine_estimate.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Predicts when a batching engine gives the first event of a request.
+ * @brief Predicts when a batching inference engine emits the first event of a
+ * request, which is the first streamed part of its response.
  */
 #ifndef COURSEJUNCTION_ROUTE_ENGINE_ESTIMATE_HPP
 #define COURSEJUNCTION_ROUTE_ENGINE_ESTIMATE_HPP
@@ -12,18 +13,18 @@
 namespace coursejunction
 {
 
-/*! @brief What an engine is believed to be doing. */
+/*! @brief Estimated load of an engine. */
 struct engine_load
 {
-    double running{0};       /*!< Requests that have a place. */
-    double waiting{0};       /*!< Requests that wait for a place. */
-    double unread_tokens{0}; /*!< Prompt tokens that wait to be read. */
-    double pace{1};          /*!< How many times slower than its figures. */
-    double age_ms{0};        /*!< Since this was told. */
-    double expected{0}; /*!< Sent since then by others, beyond the usual. */
+    double running{0};       /*!< Requests that have a slot. */
+    double waiting{0};       /*!< Requests that wait for a slot. */
+    double unread_tokens{0}; /*!< Prompt tokens that await prefill. */
+    double pace{1};          /*!< Factor by which it is slower than profiled. */
+    double age_ms{0};        /*!< Since the load was reported. */
+    double expected{0};      /*!< Sent since by others beyond an equal share. */
 };
 
-/*! @brief Returns the ms of one token for each of the running requests. */
+/*! @brief Returns the ms of one decode step of the running requests. */
 [[nodiscard]] inline double step_ms(const engine_profile& engine,
                                     double running)
 {
@@ -32,7 +33,7 @@
            engine.step_per_kilo * running * context / 1000;
 }
 
-/*! @brief Returns the ms that reading a prompt alone takes. */
+/*! @brief Returns the ms that the prefill of a prompt takes alone. */
 [[nodiscard]] inline double prefill_ms(const engine_profile& engine,
                                        double prompt)
 {
@@ -41,9 +42,9 @@
            engine.pairs_per_million * prompt * prompt / 2 / million;
 }
 
-/*! @brief Returns the ms for which a usual request holds its place on a full
- * engine: it writes its answer, and meanwhile the engine reads one prompt for
- * each place that changes hands. */
+/*! @brief Returns the ms for which a typical request occupies its slot on a
+ * full engine: it decodes its answer, and meanwhile the engine reads one new
+ * prompt per slot. */
 [[nodiscard]] inline double slot_occupancy_ms(const engine_profile& engine)
 {
     const auto slots = static_cast<double>(engine.slots);
@@ -51,34 +52,36 @@
            slots * prefill_ms(engine, engine.usual_prompt);
 }
 
-/*! @brief Returns the ms until an engine gives the first event of a request
- * that arrives now.
+/*! @brief Returns the predicted ms until an engine emits the first event of a
+ * request that arrives now.
  *
- * The pass under way ends; prompts that wait are read, a chunk a pass, with
- * the writers' strides in between; then the first stride is written. What
- * others send meanwhile, or have sent since the load was told, is read in the
- * same pass: as many as the engine usually takes in that time. When every
- * place is taken, one frees after the holding time over the places. */
+ * The current pass ends; then the waiting prompts are read, one chunk a pass,
+ * each pass also decoding some tokens of the running requests; then the first
+ * tokens of the request are decoded. Prompts that others have sent since the
+ * load was reported, or send meanwhile, are read in the same passes: as many as
+ * the engine usually takes in that time. If every slot is taken, one becomes
+ * free after the occupancy of a slot divided by the number of slots. */
 [[nodiscard]] inline double first_event_ms(const engine_profile& engine,
                                            const engine_load& load,
                                            double prompt)
 {
     const auto slots = static_cast<double>(engine.slots);
-    const auto inside = load.running + load.waiting;
-    const auto writers = std::min(inside, slots);
-    const auto stride =
-        engine.stride * step_ms(engine, std::min(writers + 1, slots));
+    const auto in_flight = load.running + load.waiting;
+    const auto decoding = std::min(in_flight, slots);
+    const auto pass_ms =
+        engine.stride * step_ms(engine, std::min(decoding + 1, slots));
     const auto tokens = load.unread_tokens + prompt;
     const auto passes =
         std::max(1.0, std::ceil(tokens / std::max(engine.read_chunk, 1.0)));
-    const auto reading =
+    const auto prefill =
         prefill_ms(engine, prompt) + load.unread_tokens / engine.read_per_ms;
-    const auto arrivals = inside / slot_occupancy_ms(engine);
-    const auto companions = arrivals * (stride / 2 + reading + load.age_ms) *
-                            prefill_ms(engine, engine.usual_prompt);
-    auto total = stride / 2 + reading + companions + passes * stride;
-    if (inside >= slots)
-        total += (inside - slots + 1) * slot_occupancy_ms(engine) / slots;
+    const auto arrivals = in_flight / slot_occupancy_ms(engine);
+    const auto others_prefill = arrivals *
+                                (pass_ms / 2 + prefill + load.age_ms) *
+                                prefill_ms(engine, engine.usual_prompt);
+    auto total = pass_ms / 2 + prefill + others_prefill + passes * pass_ms;
+    if (in_flight >= slots)
+        total += (in_flight - slots + 1) * slot_occupancy_ms(engine) / slots;
     return total * std::max(load.pace, 1.0);
 }
 
--- a/src/coursejunction/route/engine_shares.hpp
+++ b/src/coursejunction/route/engine_shares.hpp
@@ -1,12 +1,10 @@
 /*! @file
- * @brief Divides engines between the entries that use them; pure.
- *
- * Load pattern: more is asked for than the engines can end, at many entries,
- * each of which is blind for what the others have sent since an engine's last
- * report. Where all choose among all, a place that comes free is taken by
- * several at once, and whoever refuses nobody takes the places of those that
- * do. Each entry works the same division out for itself, from what all entries
- * tell of their callers; nobody grants anything.
+ * @brief Divides the engines between the entries that use them; pure.
+ * Load pattern: overload at many entries, none of which sees what the others
+ * have sent since an engine's last report. If all choose among all engines,
+ * several of them send to the same free slot, and an entry that refuses nobody
+ * takes the slots of those that do. Every entry computes the same division from
+ * the demand that all of them report; no central process grants shares.
  */
 #ifndef COURSEJUNCTION_ROUTE_ENGINE_SHARES_HPP
 #define COURSEJUNCTION_ROUTE_ENGINE_SHARES_HPP
@@ -22,7 +20,7 @@
 namespace coursejunction
 {
 
-/*! @brief An entry and the requests for engines that its callers make. */
+/*! @brief An entry and the demand of its clients for engines. */
 struct entry_demand
 {
     hall_id hall;
@@ -30,24 +28,26 @@
     double per_second{0};
 };
 
-/*! @brief Entries in the order in which all of them lay them on a line. */
+/*! @brief The order of the entries for the division; the same at all entries.
+ */
 [[nodiscard]] inline bool operator<(const entry_demand& left,
                                     const entry_demand& right)
 {
     return std::tie(left.hall, left.entry) < std::tie(right.hall, right.entry);
 }
 
-/*! @brief A stretch of a line. */
+/*! @brief A part of the interval from 0 to 1. */
 struct demand_interval
 {
     double from{0};
     double to{0};
 };
 
-/*! @brief Returns an entry's stretch of a line of length 1, on which each entry
- * has a part as long as its part of the demand.
+/*! @brief Returns the part of the interval from 0 to 1 that belongs to an
+ * entry. The interval is divided between the entries in proportion to their
+ * demand.
  * @param own Address of the entry.
- * @param entries All of them, this one included, in any order. */
+ * @param entries All entries including this one, in any order. */
 [[nodiscard]] inline demand_interval
 demand_interval_of(const std::string& own,
                    const std::vector<entry_demand>& entries)
@@ -69,30 +69,32 @@
     return {before / all, (before + self->per_second) / all};
 }
 
-/*! @brief Returns which part of each engine lies on a stretch.
+/*! @brief Returns the fraction of each engine that lies within an interval.
  *
- * Engines lie on a line of length 1 as well, hall after hall as the entries do,
- * so that an entry has whole engines of its own hall but for two, and those of
- * a neighbouring hall where its own has less room than callers.
- * @param places Places of each engine, in the common order.
- * @return A part, 0 to 1, for each engine. */
+ * The engines divide the interval from 0 to 1 as well, hall by hall like the
+ * entries. So an entry has whole engines of its own hall except for two at
+ * most, and engines of the next hall where its own has less capacity than
+ * demand.
+ * @param slots Slots of each engine, in the common order.
+ * @return Fractions from 0 to 1, one for each engine. */
 [[nodiscard]] inline std::vector<double>
-engine_fractions(const demand_interval& own, const std::vector<double>& places)
+engine_fractions(const demand_interval& own, const std::vector<double>& slots)
 {
     double all = 0;
-    for (const auto one : places)
+    for (const auto one : slots)
         all += one;
-    std::vector<double> parts;
-    parts.reserve(places.size());
-    double at = 0;
-    for (const auto one : places)
+    std::vector<double> fractions;
+    fractions.reserve(slots.size());
+    double offset = 0;
+    for (const auto one : slots)
     {
-        const auto covered =
-            std::min(own.to * all, at + one) - std::max(own.from * all, at);
-        parts.push_back(one > 0 ? std::clamp(covered / one, 0.0, 1.0) : 0.0);
-        at += one;
+        const auto covered = std::min(own.to * all, offset + one) -
+                             std::max(own.from * all, offset);
+        fractions.push_back(one > 0 ? std::clamp(covered / one, 0.0, 1.0)
+                                    : 0.0);
+        offset += one;
     }
-    return parts;
+    return fractions;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/route/fair_queue.hpp
+++ b/src/coursejunction/route/fair_queue.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Requests that wait for an upstream: fair between organisations,
- * refused early when they cannot be served in time.
+ * @brief Queue of requests that wait for an upstream: shares service fairly
+ * between organisations and refuses early what cannot be served in time.
  */
 #ifndef COURSEJUNCTION_ROUTE_FAIR_QUEUE_HPP
 #define COURSEJUNCTION_ROUTE_FAIR_QUEUE_HPP
@@ -20,7 +20,7 @@
 namespace coursejunction
 {
 
-/*! @brief One waiting request. */
+/*! @brief A waiting request. */
 struct queued_request
 {
     std::uint64_t number{0};
@@ -29,41 +29,41 @@
     time_point deadline{};
 };
 
-/*! @brief Whether a request may wait. */
+/*! @brief Whether a request was queued. */
 struct offer_result
 {
     bool accepted{false};
-    milliseconds retry_after{0}; /*!< When refused: when room is expected. */
+    milliseconds retry_after{0}; /*!< If refused. */
 };
 
-/*! @brief Queues by organisation, served by virtual start time (start-time
- * fair queueing, Goyal, Vin and Cheng, 1996), higher priorities first within
- * an organisation. */
+/*! @brief One flow per organisation, served in the order of virtual start times
+ * (start-time fair queueing; Goyal, Vin and Cheng, 1996). Within an
+ * organisation higher priorities come first. */
 class fair_queue
 {
 public:
     using value_type = queued_request;
     using size_type = std::size_t;
 
-    /*! @param most Requests that may wait in all. */
-    explicit fair_queue(size_type most) : limit(most) {}
+    /*! @param most Largest number of waiting requests in total. */
+    explicit fair_queue(size_type max_waiting) : max_total(max_waiting) {}
 
-    /*! @brief Sets the weight of an organisation; 1 unless set. */
+    /*! @brief Sets the weight of an organisation; the default is 1. */
     void set_weight(const organisation_id& organisation, double weight)
     {
         flows[organisation].weight = weight;
     }
 
-    /*! @brief Notes that a request ended, for the rate of service. */
+    /*! @brief Records that a request completed, to measure the service rate. */
     void record_completion(time_point now)
     {
-        if (completions.size() == rate_window)
+        if (completions.size() == completion_samples)
             completions.pop_front();
         completions.push_back(now);
     }
 
-    /*! @brief Returns how long a request queued now would wait, by the rate
-     * at which requests ended lately; zero when nothing is known. */
+    /*! @brief Returns how long a request queued now is expected to wait, at the
+     * recent service rate; zero when that is not known. */
     [[nodiscard]] std::chrono::microseconds
     expected_wait(const organisation_id& organisation, time_point now) const
     {
@@ -73,29 +73,30 @@
         return wait_at(organisation, own, now);
     }
 
-    /*! @brief Offers a request.
-     * @param service Time that the request itself is expected to take. */
-    [[nodiscard]] offer_result
-    offer(queued_request one, std::chrono::microseconds service, time_point now)
+    /*! @brief Queues a request if it can be served before its deadline.
+     * @param service Expected duration of the request itself. */
+    [[nodiscard]] offer_result offer(queued_request request,
+                                     std::chrono::microseconds service,
+                                     time_point now)
     {
-        const auto wait = expected_wait(one.organisation, now);
-        if (total >= limit || now + wait + service > one.deadline)
+        const auto wait = expected_wait(request.organisation, now);
+        if (total >= max_total || now + wait + service > request.deadline)
             return {false, retry_after(wait)};
         forget_idle();
-        auto& flow = flows[one.organisation];
+        auto& flow = flows[request.organisation];
         if (flow.waiting.empty())
             flow.start = std::max(flow.start, virtual_now);
-        const auto place = std::upper_bound(
-            flow.waiting.begin(), flow.waiting.end(), one.priority,
+        const auto position = std::upper_bound(
+            flow.waiting.begin(), flow.waiting.end(), request.priority,
             [](std::int32_t priority, const queued_request& other)
             { return priority > other.priority; });
-        flow.waiting.insert(place, std::move(one));
+        flow.waiting.insert(position, std::move(request));
         ++total;
         return {true, milliseconds(0)};
     }
 
-    /*! @brief Returns organisations with waiting requests in the order in
-     * which they are due. */
+    /*! @brief Returns the organisations that have waiting requests, next to be
+     * served first. */
     [[nodiscard]] std::vector<organisation_id> service_order() const
     {
         std::vector<std::pair<double, organisation_id>> due;
@@ -112,7 +113,8 @@
         return ids;
     }
 
-    /*! @brief Returns the first waiting request of an organisation. */
+    /*! @brief Returns the first waiting request of an organisation; null if
+     * there is none. */
     [[nodiscard]] const queued_request*
     front(const organisation_id& organisation) const
     {
@@ -122,28 +124,30 @@
         return &found->second.waiting.front();
     }
 
-    /*! @brief Takes the first waiting request of an organisation. */
+    /*! @brief Removes and returns the first waiting request of an organisation,
+     * which must have one. */
     queued_request pop(const organisation_id& organisation)
     {
         auto& flow = flows.at(organisation);
-        auto one = std::move(flow.waiting.front());
+        auto request = std::move(flow.waiting.front());
         flow.waiting.pop_front();
         --total;
         charge(flow);
-        return one;
+        return request;
     }
 
-    /*! @brief Notes that a request of an organisation left the queue for an
-     * upstream, for the organisation's own rate. */
+    /*! @brief Records that a request of an organisation left the queue for an
+     * upstream, to measure the organisation's own rate. */
     void record_dispatch(const organisation_id& organisation, time_point now)
     {
         auto& flow = flows[organisation];
-        if (flow.dispatches.size() == flow_window)
+        if (flow.dispatches.size() == dispatch_samples)
             flow.dispatches.pop_front();
         flow.dispatches.push_back(now);
     }
 
-    /*! @brief Charges an organisation for a request that did not wait. */
+    /*! @brief Charges an organisation for a request that was sent without
+     * waiting. */
     void charge(const organisation_id& organisation)
     {
         forget_idle();
@@ -152,50 +156,51 @@
         charge(flow);
     }
 
-    /*! @brief Takes out requests whose deadline cannot be met any more: those
-     * that are late already, and those behind so many others that they clearly
-     * will be. They are told at once, not when their time is over. */
+    /*! @brief Removes and returns the requests that can't meet their deadline
+     * any more, or that clearly won't because of the requests before them, so
+     * that their callers can be refused at once. */
     [[nodiscard]] std::vector<queued_request>
     remove_late(std::chrono::microseconds service, time_point now)
     {
-        std::vector<queued_request> late;
+        std::vector<queued_request> removed;
         for (auto& [id, flow] : flows)
         {
             auto& waiting = flow.waiting;
-            std::size_t place = 0;
+            std::size_t position = 0;
             for (auto it = waiting.begin(); it != waiting.end();)
             {
                 const auto left = it->deadline - now - service;
-                const auto wait = wait_at(id, place, now);
+                const auto wait = wait_at(id, position, now);
                 if (left.count() >= 0 &&
-                    to_seconds(wait) <= to_seconds(left) * clearly_late)
+                    to_seconds(wait) <= to_seconds(left) * late_factor)
                 {
                     ++it;
-                    ++place;
+                    ++position;
                     continue;
                 }
-                late.push_back(std::move(*it));
+                removed.push_back(std::move(*it));
                 it = waiting.erase(it);
                 --total;
             }
         }
-        return late;
+        return removed;
     }
 
-    /*! @brief Takes out one request, when its caller has left. */
+    /*! @brief Removes one request whose caller has disconnected.
+     * @return Whether it was queued. */
     bool remove(const organisation_id& organisation, std::uint64_t number)
     {
         const auto found = flows.find(organisation);
         if (found == flows.end())
             return false;
-        const auto gone =
+        const auto erased =
             std::erase_if(found->second.waiting, [&](const queued_request& one)
                           { return one.number == number; });
-        total -= gone;
-        return gone > 0;
+        total -= erased;
+        return erased > 0;
     }
 
-    /*! @brief Returns how many organisations are remembered. */
+    /*! @brief Returns the number of organisations with state. */
     [[nodiscard]] size_type organisation_count() const noexcept
     {
         return flows.size();
@@ -204,24 +209,24 @@
     [[nodiscard]] size_type size() const noexcept { return total; }
     [[nodiscard]] bool empty() const noexcept { return total == 0; }
 
-    /*! @brief Returns when a refused caller should come back. */
+    /*! @brief Returns the Retry-After for an expected wait, within bounds. */
     [[nodiscard]] static milliseconds
     retry_after(std::chrono::microseconds wait)
     {
         const auto rounded =
             std::chrono::duration_cast<milliseconds>(wait) + milliseconds(1);
-        return std::clamp(rounded, retry_least, retry_most);
+        return std::clamp(rounded, min_retry_after, max_retry_after);
     }
 
 private:
-    static constexpr size_type rate_window = 64;
+    static constexpr size_type completion_samples = 64;
     static constexpr size_type max_flows = 1024;
-    static constexpr size_type flow_window = 32;
-    static constexpr size_type flow_least = 8;
-    static constexpr std::chrono::seconds flow_age{2};
-    static constexpr double clearly_late = 1.3;
-    static constexpr milliseconds retry_least{100};
-    static constexpr milliseconds retry_most{60'000};
+    static constexpr size_type dispatch_samples = 32;
+    static constexpr size_type min_flow_samples = 8;
+    static constexpr std::chrono::seconds max_flow_age{2};
+    static constexpr double late_factor = 1.3;
+    static constexpr milliseconds min_retry_after{100};
+    static constexpr milliseconds max_retry_after{60'000};
 
     struct flow_state
     {
@@ -231,8 +236,9 @@
         std::deque<time_point> dispatches;
     };
 
-    /*! @brief Names of organisations come from outside: when there are many,
-     * those are forgotten that wait for nothing and have no weight. */
+    /*! @brief Bounds the memory for organisations, whose names come from
+     * requests: above `max_flows`, drops those without waiting requests and
+     * with the default weight. */
     void forget_idle()
     {
         if (flows.size() < max_flows)
@@ -256,18 +262,18 @@
         return span <= 0 ? 0 : static_cast<double>(times.size() - 1) / span;
     }
 
-    /*! @brief Returns the wait behind a number of requests of the same
-     * organisation: by the rate at which its own left the queue lately or,
-     * when too few did, by its fair share of all that ended. */
+    /*! @brief Returns the expected wait behind a number of requests of the same
+     * organisation: at the rate at which its requests left the queue recently
+     * or, when too few did, at its fair share of the total service rate. */
     [[nodiscard]] std::chrono::microseconds
-    wait_at(const organisation_id& organisation, size_type place,
+    wait_at(const organisation_id& organisation, size_type position,
             time_point now) const
     {
         const auto found = flows.find(organisation);
-        const auto ahead = static_cast<double>(place + 1);
+        const auto ahead = static_cast<double>(position + 1);
         if (found != flows.end() &&
-            found->second.dispatches.size() >= flow_least &&
-            now - found->second.dispatches.front() < flow_age)
+            found->second.dispatches.size() >= min_flow_samples &&
+            now - found->second.dispatches.front() < max_flow_age)
             return from_seconds(ahead / rate_of(found->second.dispatches, now));
         const auto rate = rate_of(completions, now);
         if (rate <= 0)
@@ -297,7 +303,7 @@
         return own / (counted ? all : all + own);
     }
 
-    size_type limit;
+    size_type max_total;
     size_type total{0};
     double virtual_now{0};
     std::map<organisation_id, flow_state> flows;
--- a/src/coursejunction/route/known_upstream.hpp
+++ b/src/coursejunction/route/known_upstream.hpp
@@ -19,52 +19,53 @@
 namespace coursejunction
 {
 
-/*! @brief One attempt of this entry that is in progress. */
+/*! @brief An attempt of this entry that is in progress. */
 struct open_attempt
 {
     time_point sent_at{};
     double prompt_tokens{0};
-    bool first_event_seen{false}; /*!< Its first event came. */
+    bool first_event_seen{false}; /*!< The first event arrived. */
 };
 
-/*! @brief What an attempt says of its upstream. */
+/*! @brief What the end of an attempt says of its upstream. */
 enum class attempt_result : std::uint8_t
 {
     succeeded,
-    answered_failure, /*!< A whole answer that tells of its own failure. */
-    failed            /*!< No whole answer. */
+    answered_failure, /*!< A complete response with an error of the upstream. */
+    failed            /*!< No complete response. */
 };
 
-/*! @brief One upstream and what was seen of it. */
+/*! @brief An upstream and what was observed of it. */
 struct known_upstream
 {
     upstream_record record;
-    incarnation life; /*!< The latest that its record or its side told. */
+    incarnation life; /*!< Latest that its record or sidecar reported. */
     std::optional<message::upstream_status> status;
     time_point status_at{};
     std::map<std::uint64_t, open_attempt> attempts;
-    std::size_t ended_since_status{0};
-    unsigned failures{0};  /*!< In a row. */
-    double fault_share{0}; /*!< Smoothed share of attempts that failed. */
-    double lateness{1};    /*!< Smoothed seen over predicted time. */
+    std::size_t ended_since_status{0}; /*!< Attempts. */
+    unsigned failures{0};              /*!< Consecutive. */
+    double fault_share{0}; /*!< Smoothed fraction of attempts that failed. */
+    double lateness{1};    /*!< Smoothed ratio of observed to predicted time. */
     time_point avoid_until{};
-    std::optional<time_point> lapses_at; /*!< Its record went in an outage. */
-    double share{0}; /*!< Part of it that is this entry's; `engine_shares`. */
+    std::optional<time_point> lapses_at; /*!< Set if its record may return. */
+    double share{0}; /*!< Fraction of it that belongs to this entry. */
     upstream_terms terms;
 
-    /*! @brief Tells whether it gets no new work any more, by its record or by
-     * its answers: either may be the first to say so. */
+    /*! @brief Returns whether it accepts no new requests, according to its
+     * record or its responses; either may say so first. */
     [[nodiscard]] bool leaving() const
     {
         return record.leaving || terms.leaving();
     }
 };
 
-/*! @brief A life of an upstream that ended, since another one has begun. */
+/*! @brief An incarnation of an upstream that ended because a later one started.
+ */
 struct ended_incarnation
 {
     std::string address;
-    std::vector<std::uint64_t> attempts; /*!< It will not answer any more. */
+    std::vector<std::uint64_t> attempts; /*!< They get no response any more. */
     instance_id upstream;
     incarnation life; /*!< The one that ended. */
 };
--- a/src/coursejunction/route/placement.hpp
+++ b/src/coursejunction/route/placement.hpp
@@ -1,6 +1,7 @@
 /*! @file
- * @brief Decides which upstream a request goes to, or that none takes it now;
- * pure. "Why did this request go there" and "why was it refused" end here.
+ * @brief Selects the upstream that a request is sent to, or reports why there
+ * is none; pure. To find out why a request went to an upstream, or why it was
+ * refused, start here.
  */
 #ifndef COURSEJUNCTION_ROUTE_PLACEMENT_HPP
 #define COURSEJUNCTION_ROUTE_PLACEMENT_HPP
@@ -22,117 +23,127 @@
 namespace coursejunction
 {
 
-/*! @brief Weights of the choice, in ms of a first event. */
+/*! @brief Costs of a candidate, added to its predicted time to the first event,
+ * in ms. */
 struct placement_weights
 {
-    /*! @brief What another hall costs: its delay there and back, and bytes
-     * between regions, which the installations price highest. */
+    /*! @brief Cost of an upstream in another hall: the round trip to it, and
+     * the traffic between regions, which the platform prices highest. */
     double other_hall_ms{60};
-    /*! @brief Entries prefer different upstreams by up to this much, so that
-     * those that learn of a free one at once do not all choose it. */
+    /*! @brief Range of the fixed cost that differs by entry and upstream, so
+     * that entries that learn of a free upstream at the same time do not all
+     * choose it. */
     double spread_ms{60};
-    /*! @brief Upstreams whose predictions differ by this much are e times as
-     * likely to be chosen by other entries; about half of `spread_ms`. */
+    /*! @brief Scale of the softmax by which other entries are expected to
+     * choose: an upstream predicted this much faster is chosen e times as
+     * often. About half of `spread_ms`. */
     double softmax_scale_ms{40};
-    /*! @brief What a share of failed attempts costs. */
+    /*! @brief Cost of an upstream all of whose attempts failed recently; less
+     * in proportion. */
     double failure_ms{600};
-    /*! @brief What it costs that an upstream's side is silent: its instance may
-     * stand still, and a request that waits there is lost. Half a target. */
+    /*! @brief Cost of an upstream whose sidecar is silent: its instance may be
+     * suspended, and a request that waits there is lost. Half of a 400 ms
+     * target. */
     double silent_ms{200};
-    /*! @brief What an engine costs that is no part of this entry's share: where
-     * an entry has sent most of what is inside, it knows best what is. */
+    /*! @brief Cost of an engine outside this entry's share. An entry knows the
+     * load of an engine best if it sent most of the requests there. */
     double unowned_ms{150};
-    /*! @brief Requests a plain upstream may have waiting beyond its slots. */
+    /*! @brief Largest number of requests that may wait at a plain upstream (one
+     * without an engine model) beyond its slots. */
     double max_plain_queue{4};
 };
 
-/*! @brief How a request stands to its target when it arrives. */
+/*! @brief What is known of a request when it arrives. */
 struct arrival_state
 {
     caller_history history;
-    bool late{false}; /*!< It can't be in time any more. */
+    bool late{false}; /*!< Its target can no longer be met. */
 
-    /*! @brief Tells whether its caller tried before. */
+    /*! @brief Returns whether it is a client retry. */
     [[nodiscard]] bool is_retry() const
     {
         return history.known_by != retry_evidence::none;
     }
 };
 
-/*! @brief What is to be placed. */
+/*! @brief A request to place, with its constraints. */
 struct placement_request
 {
     service_name service;
-    std::string model;            /*!< Empty for plain requests. */
-    std::uint64_t min_version{0}; /*!< Older weights may not be used. */
+    std::string model;            /*!< Empty for services without a model. */
+    std::uint64_t min_version{0}; /*!< Lowest version of the weights allowed. */
     double prompt_tokens{0};
     milliseconds target{0};
     arrival_state arrival;
     time_point waiting_since{}; /*!< Arrival, or the end of the last attempt. */
-    time_point deadline{};      /*!< Its deadline. */
+    time_point deadline{};      /*!< Deadline of the client. */
     admission_limits limits;
-    bool bypasses_limits{
-        false}; /*!< A stream that goes on: late is better than never. */
+    bool bypasses_limits{false}; /*!< To resume a stream, even if late. */
     std::vector<instance_id> excluded;
-    std::vector<instance_id> avoided; /*!< Used only where no other one fits. */
-    /*! @brief The last attempt was answered with the upstream's own failure:
-     * where nothing else is usable, an excluded one may take it again. */
-    bool may_retry_excluded{false};
+    std::vector<instance_id> avoided; /*!< Used only as a last resort. */
+    /*! @brief The last attempt ended with an error response of the upstream: if
+     * nothing else is usable, an excluded upstream may be used again. */
+    bool may_reuse_excluded{false};
 };
 
-/*! @brief Chooses among the upstreams of a book. */
+/*! @brief Selects among the upstreams of a registry. */
 class placer
 {
 public:
-    placer(placement_weights set, hall_id home, std::string self)
-        : weights(set), hall(std::move(home)), own(std::move(self))
+    placer(placement_weights configured, hall_id home_hall, std::string self)
+        : weights(configured), own_hall(std::move(home_hall)),
+          own_address(std::move(self))
     {
     }
 
-    /*! @brief Returns a place, or nothing with the reason in `why`. */
+    /*! @brief Returns the best upstream, or nothing with the reason in
+     * `failure`. */
     [[nodiscard]] std::optional<upstream_choice>
-    choose(const upstream_registry& book, const service_profile& service,
+    choose(const upstream_registry& registry, const service_profile& service,
            const placement_request& request, time_point now,
-           placement_failure& why) const
+           placement_failure& failure) const
     {
         if (!request.avoided.empty())
         {
-            auto others = request;
-            others.avoided.clear();
-            others.may_retry_excluded = false;
-            others.excluded.insert(others.excluded.end(),
-                                   request.avoided.begin(),
-                                   request.avoided.end());
-            if (auto found = choose(book, service, others, now, why))
+            auto preferred = request;
+            preferred.avoided.clear();
+            preferred.may_reuse_excluded = false;
+            preferred.excluded.insert(preferred.excluded.end(),
+                                      request.avoided.begin(),
+                                      request.avoided.end());
+            if (auto found = choose(registry, service, preferred, now, failure))
                 return found;
         }
         std::optional<upstream_choice> best;
         double least_cost = 0;
-        why = {};
-        auto all = candidates(book, service, request, now);
-        if (all.empty() && request.may_retry_excluded)
+        failure = {};
+        auto all = candidates(registry, service, request, now);
+        if (all.empty() && request.may_reuse_excluded)
         {
-            auto same = request;
-            same.excluded.clear();
-            all = candidates(book, service, same, now);
+            auto relaxed = request;
+            relaxed.excluded.clear();
+            all = candidates(registry, service, relaxed, now);
         }
         if (all.empty())
-            why.next_send_at = all_closed_until(book, request, now);
-        const auto rates = others_rates(book, service, all, now);
+            failure.next_send_at = earliest_send_at(registry, request, now);
+        const auto rates = other_entries_rates(registry, service, all, now);
         for (std::size_t at = 0; at < all.size(); ++at)
         {
             const auto& one = *all[at].upstream;
-            // Nobody else is expected to send here: the first prediction holds.
-            const bool again = service.engine && rates[at] > 0;
+            // Without requests expected from other entries the first prediction
+            // is valid.
+            const bool recompute = service.engine && rates[at] > 0;
             const auto load =
-                again ? book.load(one, *service.engine, now, rates[at])
-                      : all[at].load;
+                recompute ? registry.load(one, *service.engine, now, rates[at])
+                          : all[at].load;
             const auto predicted =
-                again ? predict(book, one, *service.engine, load, request)
-                      : all[at].predicted_ms;
-            why.least_ms =
-                why.usable == 0 ? predicted : std::min(why.least_ms, predicted);
-            ++why.usable;
+                recompute
+                    ? predict(registry, one, *service.engine, load, request)
+                    : all[at].predicted_ms;
+            failure.least_ms = failure.usable == 0
+                                   ? predicted
+                                   : std::min(failure.least_ms, predicted);
+            ++failure.usable;
             if (!fits(one, service, request, load, predicted))
                 continue;
             const auto cost = predicted + penalty(one, now);
@@ -143,7 +154,7 @@
                                    one.record.hall,
                                    one.record.address,
                                    predicted,
-                                   predicted / correction(book, one),
+                                   predicted / correction(registry, one),
                                    request.model.empty()
                                        ? 0
                                        : upstream_registry::served_version(
@@ -154,23 +165,23 @@
     }
 
 private:
-    /*! @brief Returns when the first upstream takes a request again, where the
-     * terms of all keep this entry from sending; otherwise one of them may
-     * become usable at any time. */
+    /*! @brief Returns when the first upstream accepts a request again if all of
+     * them limit or pause this entry; nothing if another one may become usable
+     * at any time. */
     [[nodiscard]] static std::optional<time_point>
-    all_closed_until(const upstream_registry& book,
+    earliest_send_at(const upstream_registry& registry,
                      const placement_request& request, time_point now)
     {
         std::optional<time_point> soonest;
-        for (const auto& [id, one] : book.all())
+        for (const auto& [id, one] : registry.all())
         {
             if (one.record.service != request.service || one.leaving() ||
                 excluded(one, request))
                 continue;
-            const auto opens = one.terms.next_send_at();
-            if (opens <= now)
+            const auto send_at = one.terms.next_send_at();
+            if (send_at <= now)
                 return std::nullopt;
-            soonest = std::min(soonest.value_or(opens), opens);
+            soonest = std::min(soonest.value_or(send_at), send_at);
         }
         return soonest;
     }
@@ -193,16 +204,16 @@
             return false;
         if (request.model.empty())
             return true;
-        const bool told = one.status && now - one.status_at <=
-                                            upstream_registry::status_validity;
-        if (told && (!one.status->open || !one.status->reachable))
+        const bool fresh = one.status && now - one.status_at <=
+                                             upstream_registry::status_validity;
+        if (fresh && (!one.status->open || !one.status->reachable))
             return false;
         const auto version =
             upstream_registry::served_version(one, request.model, now);
         return version > 0 && version >= request.min_version;
     }
 
-    /*! @brief An upstream that may be used, as its last status tells. */
+    /*! @brief A usable upstream with its load and prediction. */
     struct candidate
     {
         const known_upstream* upstream{nullptr};
@@ -211,20 +222,21 @@
     };
 
     [[nodiscard]] static std::vector<candidate>
-    candidates(const upstream_registry& book, const service_profile& service,
-               const placement_request& request, time_point now)
+    candidates(const upstream_registry& registry,
+               const service_profile& service, const placement_request& request,
+               time_point now)
     {
         std::vector<candidate> all;
-        for (const auto& [id, one] : book.all())
+        for (const auto& [id, one] : registry.all())
         {
             if (!usable(one, request, now))
                 continue;
             const auto load = service.engine
-                                  ? book.load(one, *service.engine, now)
+                                  ? registry.load(one, *service.engine, now)
                                   : engine_load{};
             const auto predicted =
                 service.engine
-                    ? predict(book, one, *service.engine, load, request)
+                    ? predict(registry, one, *service.engine, load, request)
                     : plain_ms(one, request);
             all.push_back({&one, load, predicted});
         }
@@ -232,13 +244,14 @@
     }
 
     /*! @brief Returns the requests a second that other entries are expected to
-     * send to each candidate beyond an equal share: they prefer, as this one
-     * does, what is predicted soonest. Without this, all entries choose an
-     * upstream that has just opened before any of them hears of the others'
-     * requests. */
+     * send to each candidate beyond an equal share of theirs. Like this entry
+     * they prefer the fastest prediction. Without this estimate all entries
+     * choose an upstream that has just opened before its load report shows the
+     * requests of the others. */
     [[nodiscard]] std::vector<double>
-    others_rates(const upstream_registry& book, const service_profile& service,
-                 const std::vector<candidate>& all, time_point now) const
+    other_entries_rates(const upstream_registry& registry,
+                        const service_profile& service,
+                        const std::vector<candidate>& all, time_point now) const
     {
         std::vector<double> rates(all.size(), 0.0);
         if (!service.engine || all.empty())
@@ -251,47 +264,50 @@
         double sum = 0;
         for (std::size_t at = 0; at < all.size(); ++at)
         {
-            // Others keep away from what this entry holds a share of.
+            // Where this entry holds a share of a rate limit the others do not
+            // send.
             if (all[at].upstream->terms.limit())
                 continue;
             rates[at] = std::exp((soonest - all[at].predicted_ms) /
                                  weights.softmax_scale_ms);
             sum += rates[at];
         }
-        const auto total = book.other_entries_rate(now);
+        const auto total = registry.other_entries_rate(now);
         const auto equal = total / static_cast<double>(all.size());
         for (auto& one : rates)
             one = sum > 0 ? std::max(0.0, one / sum * total - equal) : 0.0;
         return rates;
     }
 
-    /*! @brief Returns how many times later first events come here lately. */
-    [[nodiscard]] static double correction(const upstream_registry& book,
+    /*! @brief Returns by which factor first events were later than predicted
+     * recently. */
+    [[nodiscard]] static double correction(const upstream_registry& registry,
                                            const known_upstream& one)
     {
-        return std::max(one.lateness, book.lateness());
+        return std::max(one.lateness, registry.lateness());
     }
 
-    [[nodiscard]] static double predict(const upstream_registry& book,
+    [[nodiscard]] static double predict(const upstream_registry& registry,
                                         const known_upstream& one,
                                         const engine_profile& engine,
                                         const engine_load& load,
                                         const placement_request& request)
     {
         return first_event_ms(engine, load, request.prompt_tokens) *
-               correction(book, one);
+               correction(registry, one);
     }
 
-    /*! @brief Returns the ms of a plain upstream: what waits beyond its slots,
-     * in units of a request that takes a quarter of its target. */
+    /*! @brief Returns the estimate in ms for an upstream without an engine
+     * model: a request takes a quarter of its target alone, and longer in
+     * proportion to the requests per slot. */
     [[nodiscard]] static double plain_ms(const known_upstream& one,
                                          const placement_request& request)
     {
-        const auto inside = static_cast<double>(one.attempts.size());
+        const auto in_flight = static_cast<double>(one.attempts.size());
         const auto slots =
             static_cast<double>(std::max<std::size_t>(one.record.slots, 1));
-        const auto usual = static_cast<double>(request.target.count()) / 4;
-        return usual * (1 + inside / slots);
+        const auto typical_ms = static_cast<double>(request.target.count()) / 4;
+        return typical_ms * (1 + in_flight / slots);
     }
 
     [[nodiscard]] bool fits(const known_upstream& one,
@@ -304,11 +320,11 @@
         if (service.engine)
         {
             const auto& limits = request.limits;
-            const auto usual =
+            const auto typical_ms =
                 predicted - prefill_ms(*service.engine, request.prompt_tokens) +
                 prefill_ms(*service.engine, service.engine->usual_prompt);
             return predicted <= limits.first_event_ms &&
-                   usual <= limits.typical_first_event_ms &&
+                   typical_ms <= limits.typical_first_event_ms &&
                    load.running + load.waiting <= limits.max_in_flight &&
                    (!limits.own_share_only || within_share(one, service) ||
                     load.running + load.waiting + 1 <=
@@ -319,8 +335,8 @@
                static_cast<double>(one.record.slots) + weights.max_plain_queue;
     }
 
-    /*! @brief Tells whether this entry has a place of its own left there; one
-     * that two entries share in part is given to both. */
+    /*! @brief Returns whether a slot of this entry's share of the engine is
+     * free. A slot that two entries share in part counts for both. */
     [[nodiscard]] static bool within_share(const known_upstream& one,
                                            const service_profile& service)
     {
@@ -333,14 +349,15 @@
                                  time_point now) const
     {
         constexpr double range = 1024;
-        const auto rank =
-            static_cast<double>(rendezvous_weight(own, one.record.id.value()) %
-                                static_cast<std::uint64_t>(range)) /
+        const auto position =
+            static_cast<double>(
+                rendezvous_weight(own_address, one.record.id.value()) %
+                static_cast<std::uint64_t>(range)) /
             range;
-        auto cost = rank * weights.spread_ms +
+        auto cost = position * weights.spread_ms +
                     (1 - one.share) * weights.unowned_ms +
                     one.fault_share * weights.failure_ms;
-        if (one.record.hall != hall)
+        if (one.record.hall != own_hall)
             cost += weights.other_hall_ms;
         if (upstream_registry::side_silent(one, now))
             cost += weights.silent_ms;
@@ -348,8 +365,8 @@
     }
 
     placement_weights weights;
-    hall_id hall;
-    std::string own;
+    hall_id own_hall;
+    std::string own_address;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/placement_queue.hpp
+++ b/src/coursejunction/route/placement_queue.hpp
@@ -1,9 +1,8 @@
 /*! @file
- * @brief Requests that wait at an entry for a place; pure.
- *
- * Load pattern: a place comes free while several requests wait. Who can still
- * be in time goes first, the one with the least time left before others; who
- * is late already takes what they leave.
+ * @brief Queue of the requests that wait at an entry for a slot; pure.
+ * Load pattern: a slot becomes free while several requests wait. Requests that
+ * can still meet their target go first, the earliest target before others;
+ * requests past their target take what is left.
  */
 #ifndef COURSEJUNCTION_ROUTE_PLACEMENT_QUEUE_HPP
 #define COURSEJUNCTION_ROUTE_PLACEMENT_QUEUE_HPP
@@ -19,40 +18,40 @@
 namespace coursejunction
 {
 
-/*! @brief One waiting request. */
+/*! @brief A waiting request. */
 struct waiting_request
 {
-    bool late{false};         /*!< Its target is lost. */
-    time_point target_time{}; /*!< When it should have its first event. */
+    bool late{false};         /*!< It is past its target. */
+    time_point target_time{}; /*!< When its first event is due. */
     std::uint64_t number{0};
 
     friend auto operator<=>(const waiting_request&,
                             const waiting_request&) = default;
 };
 
-/*! @brief Waiting requests in the order in which they are looked at. */
+/*! @brief Waiting requests in the order in which they are tried. */
 class placement_queue
 {
 public:
-    void push(const waiting_request& one) { line.insert(one); }
+    void push(const waiting_request& one) { requests.insert(one); }
 
-    void erase(const waiting_request& one) { line.erase(one); }
+    void erase(const waiting_request& one) { requests.erase(one); }
 
-    [[nodiscard]] std::size_t size() const { return line.size(); }
+    [[nodiscard]] std::size_t size() const { return requests.size(); }
 
-    /*! @brief Returns the numbers of all, first come those that are to be
-     * looked at first. */
+    /*! @brief Returns the numbers of all requests, in the order in which to try
+     * them. */
     [[nodiscard]] std::vector<std::uint64_t> request_numbers() const
     {
         std::vector<std::uint64_t> all;
-        all.reserve(line.size());
-        for (const auto& one : line)
+        all.reserve(requests.size());
+        for (const auto& one : requests)
             all.push_back(one.number);
         return all;
     }
 
 private:
-    std::set<waiting_request> line;
+    std::set<waiting_request> requests;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/recent_refusals.cpp
+++ b/src/coursejunction/route/recent_refusals.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/*! @brief Tells whether a refused caller may come back now. */
-bool expected(const refusal_record& one, time_point now)
+/*! @brief Returns whether a retry of a refused client may arrive now. */
+bool retry_possible(const refusal_record& one, time_point now)
 {
     if (now - one.refused_at <= recent_refusals::immediate_retry_window)
         return true;
@@ -18,21 +18,22 @@
            now <= one.retry_at + recent_refusals::retry_expiry;
 }
 
-/*! @brief Returns how far a request is from being a refused one's next try;
- * nothing when it is none. */
+/*! @brief Returns how far a request is from the expected retry of a refused
+ * one; nothing if it can't be that. */
 std::optional<std::chrono::microseconds>
 distance(const refusal_record& one, const std::optional<time_point>& deadline,
          time_point now)
 {
-    if (one.deadline.has_value() != deadline.has_value() || !expected(one, now))
+    if (one.deadline.has_value() != deadline.has_value() ||
+        !retry_possible(one, now))
         return std::nullopt;
     if (!deadline)
         return std::chrono::abs(now - one.retry_at);
-    const std::chrono::microseconds apart =
+    const std::chrono::microseconds difference =
         std::chrono::abs(*deadline - *one.deadline);
-    if (apart > recent_refusals::deadline_tolerance)
+    if (difference > recent_refusals::deadline_tolerance)
         return std::nullopt;
-    return apart;
+    return difference;
 }
 
 } // namespace
@@ -48,8 +49,8 @@
 
 void recent_refusals::record_remote(const refusal_record& one)
 {
-    if (!one.fingerprint.empty() && known.size() < max_remembered)
-        known.emplace(one.fingerprint, one);
+    if (!one.fingerprint.empty() && refusals.size() < max_remembered)
+        refusals.emplace(one.fingerprint, one);
 }
 
 std::optional<time_point>
@@ -58,21 +59,22 @@
 {
     if (fingerprint.empty())
         return std::nullopt;
-    auto nearest = known.end();
-    std::chrono::microseconds least{0};
-    const auto [from, to] = known.equal_range(fingerprint);
+    auto nearest = refusals.end();
+    std::chrono::microseconds least_difference{0};
+    const auto [from, to] = refusals.equal_range(fingerprint);
     for (auto at = from; at != to; ++at)
     {
-        const auto apart = distance(at->second, deadline, now);
-        if (!apart || (nearest != known.end() && *apart >= least))
+        const auto difference = distance(at->second, deadline, now);
+        if (!difference ||
+            (nearest != refusals.end() && *difference >= least_difference))
             continue;
         nearest = at;
-        least = *apart;
+        least_difference = *difference;
     }
-    if (nearest == known.end())
+    if (nearest == refusals.end())
         return std::nullopt;
     const auto first = nearest->second.first_arrival;
-    known.erase(nearest);
+    refusals.erase(nearest);
     return first;
 }
 
@@ -87,7 +89,7 @@
 
 void recent_refusals::expire(time_point now)
 {
-    std::erase_if(known, [now](const auto& one)
+    std::erase_if(refusals, [now](const auto& one)
                   { return now > one.second.retry_at + retry_expiry; });
 }
 
--- a/src/coursejunction/route/recent_refusals.hpp
+++ b/src/coursejunction/route/recent_refusals.hpp
@@ -1,9 +1,9 @@
 /*! @file
- * @brief Recognises callers that come back after a refusal; pure.
- *
- * Load pattern: more is asked for than the upstreams can end, and a part of
- * what arrives are callers that were refused a moment ago, under a new id and
- * mostly at another entry of their hall. Nothing in a request says so.
+ * @brief Recognises requests of clients that retry after a refusal; pure.
+ * Load pattern: under overload, a part of the arriving requests comes from
+ * clients that were refused a moment ago. They have a new id, mostly reach
+ * another entry of the same hall, and nothing in them says that they are
+ * retries.
  */
 #ifndef COURSEJUNCTION_ROUTE_RECENT_REFUSALS_HPP
 #define COURSEJUNCTION_ROUTE_RECENT_REFUSALS_HPP
@@ -19,76 +19,78 @@
 namespace coursejunction
 {
 
-/*! @brief Hash of all that a later try of a caller repeats: who asks, for what
- * and how much of it. Zero when it is not known. */
+/*! @brief Hash of everything that a client's retry repeats: who asks, for what,
+ * and its size. Zero if not known. */
 using request_fingerprint = strong<struct fingerprint_tag, std::uint64_t>;
 
-/*! @brief A request that was refused. */
+/*! @brief A refused request. */
 struct refusal_record
 {
     request_fingerprint fingerprint;
-    time_point first_arrival{};         /*!< First try of its caller. */
-    std::optional<time_point> deadline; /*!< Its caller's deadline. */
-    time_point refused_at{};            /*!< When it was sent away. */
-    time_point retry_at{}; /*!< When its caller was told to return. */
+    time_point first_arrival{};         /*!< First request of its client. */
+    std::optional<time_point> deadline; /*!< The client's deadline. */
+    time_point refused_at{};            /*!< When it was refused. */
+    time_point retry_at{}; /*!< When the client was asked to retry. */
 };
 
-/*! @brief Requests that this entry, or one of its hall, refused lately. */
+/*! @brief Requests that this entry or another one of its hall refused recently.
+ */
 class recent_refusals
 {
 public:
-    /*! @brief Refusals remembered at most, some 1.5 MB. */
+    /*! @brief Largest number of refusals kept, some 1.5 MB. */
     static constexpr std::size_t max_remembered = 16'384;
 
-    /*! @brief Refusals kept for the other entries at most. */
+    /*! @brief Largest number of refusals kept to be sent to other entries. */
     static constexpr std::size_t max_unsent = 256;
 
-    /*! @brief Two tries of one caller have the same deadline but for their ways
-     * here, timers and rounding. */
+    /*! @brief The deadlines of a request and its retry differ at most by this
+     * much, because of transit times, timers and rounding. */
     static constexpr milliseconds deadline_tolerance{20};
 
-    /*! @brief A caller that is not back so long after it was told to return has
-     * left: a new connection is given a second. A request like its own is then
-     * somebody else's. */
+    /*! @brief A client that has not retried this long after the requested time
+     * has left: a new connection is given a second. A later equal request is
+     * another client's. */
     static constexpr milliseconds retry_expiry{1200};
 
-    /*! @brief Callers that do not heed what they were told come back within
-     * this time; between it and what they were told, nobody does. */
+    /*! @brief Clients that ignore the requested time retry within this time
+     * after the refusal. Between it and the requested time there are no
+     * retries. */
     static constexpr milliseconds immediate_retry_window{150};
 
-    /*! @brief Timers and clocks may make a caller come this much too soon. */
+    /*! @brief Timers and clocks may make a client retry this much too early. */
     static constexpr milliseconds early_retry_tolerance{20};
 
-    /*! @brief Remembers a refusal of this entry, which others are to be told.
-     */
+    /*! @brief Records a refusal of this entry, to be sent to others too. */
     void record(const refusal_record& one);
 
-    /*! @brief Remembers a refusal that another entry tells of. */
+    /*! @brief Records a refusal that another entry reported. */
     void record_remote(const refusal_record& one);
 
-    /*! @brief Finds the refusal that a request comes back from, and forgets it:
-     * a refused caller returns once. Callers that ask for the same are told
-     * apart by the moment at which they come and by their deadlines.
-     * @return The first try of its caller. */
+    /*! @brief Finds the refusal that a request is the retry of, and drops it,
+     * as a client retries once. Clients with equal requests are told apart by
+     * when they arrive and by their deadlines.
+     * @return When the client sent its first request. */
     [[nodiscard]] std::optional<time_point>
     match_retry(request_fingerprint fingerprint,
                 std::optional<time_point> deadline, time_point now);
 
-    /*! @brief Returns the oldest refusals that the other entries have not been
-     * told, and takes them for told.
-     * @param count At most so many. */
+    /*! @brief Returns the oldest refusals not yet sent to other entries, and
+     * marks them as sent.
+     * @param count Largest number returned. */
     [[nodiscard]] std::vector<refusal_record> take_unsent(std::size_t count);
 
-    /*! @brief Tells whether the other entries have not been told of some. */
+    /*! @brief Returns whether there are refusals not yet sent to other entries.
+     */
     [[nodiscard]] bool has_unsent() const { return !unsent.empty(); }
 
-    /*! @brief Forgets callers that have left. */
+    /*! @brief Drops refusals whose clients have left. */
     void expire(time_point now);
 
-    [[nodiscard]] std::size_t size() const { return known.size(); }
+    [[nodiscard]] std::size_t size() const { return refusals.size(); }
 
 private:
-    std::multimap<request_fingerprint, refusal_record> known;
+    std::multimap<request_fingerprint, refusal_record> refusals;
     std::vector<refusal_record> unsent;
 };
 
--- a/src/coursejunction/route/request_limit.hpp
+++ b/src/coursejunction/route/request_limit.hpp
@@ -1,12 +1,12 @@
 /*! @file
- * @brief Keeps a limit on requests that an upstream names for all entries
- * together; pure.
- *
- * Load pattern: an upstream in need takes one request a second, and up to
- * hundreds of entries have callers for it. Few entries hold a share each and
- * send at its pace; all others leave the upstream alone. They stand in, one
- * after the other, when no holder has had an answer for long: otherwise nobody
- * would notice that the limit is over.
+ * @brief Keeps this entry within a rate limit that an upstream announced for
+ * all entries together; pure.
+ * Load pattern: an overloaded upstream accepts one request a second, while
+ * hundreds of entries may have requests for it. A few holders have a share of
+ * the limit each and send at that rate; all other entries send nothing. When no
+ * holder has received a response for long, these standby entries send a
+ * request, one after the other; otherwise nobody would notice the end of the
+ * limit.
  */
 #ifndef COURSEJUNCTION_ROUTE_REQUEST_LIMIT_HPP
 #define COURSEJUNCTION_ROUTE_REQUEST_LIMIT_HPP
@@ -25,13 +25,13 @@
 namespace coursejunction
 {
 
-/*! @brief What one entry may use of an upstream's limit. */
+/*! @brief One entry's share of a rate limit. */
 struct limit_share
 {
-    /*! @brief Requests a second; 0 for an entry that only stands in. */
+    /*! @brief Requests a second; 0 for a standby entry. */
     double per_second{0};
-    /*! @brief Place among those that stand in, from 0; nothing above it may
-     * send at all. */
+    /*! @brief Position among the standby entries, from 1. An entry with
+     * `not_standby` may not send at all unless it holds a share. */
     std::size_t standby_rank{not_standby};
 
     static constexpr std::size_t not_standby =
@@ -40,12 +40,13 @@
     [[nodiscard]] bool holds_share() const { return per_second > 0; }
 };
 
-/*! @brief Returns an entry's share of a limit. Each entry works the same
- * division out for itself. Holders are as many entries as the limit has whole
- * requests a second, of the upstream's hall where that has entries: shares of
- * less than one request a second would leave room unused.
+/*! @brief Returns an entry's share of a limit. Every entry computes the same
+ * division. There are as many holders as the limit has whole requests a
+ * second, at least one, and they are of the upstream's hall if that has
+ * entries: shares of less than one request a second would leave a part of the
+ * limit unused.
  * @param own Address of the entry.
- * @param entries Those that take callers, in any order. */
+ * @param entries Those that accept requests, in any order. */
 [[nodiscard]] inline limit_share
 share_of_limit(const instance_id& upstream, const hall_id& hall,
                double per_second, const std::string& own,
@@ -59,114 +60,115 @@
     const auto weight = [&](const entry_demand& one)
     { return rendezvous_weight(upstream.value(), one.entry); };
     const auto own_weight = weight(*self);
-    const bool near = self->hall == hall;
-    std::size_t in_hall = 0;
-    std::size_t before = 0;
+    const bool in_upstream_hall = self->hall == hall;
+    std::size_t hall_entries = 0;
+    std::size_t entries_before = 0;
     for (const auto& one : entries)
     {
-        const bool one_near = one.hall == hall;
-        in_hall += one_near ? 1 : 0;
-        if (one_near != near)
-            before += one_near ? 1 : 0;
+        const bool one_in_hall = one.hall == hall;
+        hall_entries += one_in_hall ? 1 : 0;
+        if (one_in_hall != in_upstream_hall)
+            entries_before += one_in_hall ? 1 : 0;
         else
-            before += weight(one) > own_weight ? 1 : 0;
+            entries_before += weight(one) > own_weight ? 1 : 0;
     }
-    // Nobody holds a limit of 0; its end is looked for all the same.
+    // Nobody holds a limit of 0, but its end must be noticed too.
     if (per_second <= 0)
-        return {0, before + 1};
-    const auto most = in_hall > 0 ? in_hall : entries.size();
-    const auto holders = static_cast<std::size_t>(
-        std::clamp(std::floor(per_second), 1.0, static_cast<double>(most)));
-    if (before < holders)
+        return {0, entries_before + 1};
+    const auto max_holders = hall_entries > 0 ? hall_entries : entries.size();
+    const auto holders = static_cast<std::size_t>(std::clamp(
+        std::floor(per_second), 1.0, static_cast<double>(max_holders)));
+    if (entries_before < holders)
         return {per_second / static_cast<double>(holders), 0};
-    return {0, before - holders + 1};
+    return {0, entries_before - holders + 1};
 }
 
-/*! @brief One upstream's limit at one entry. */
+/*! @brief The rate limit of one upstream at one entry. */
 class request_limit
 {
 public:
-    /*! @param at When an answer named it.
-     * @param now When this entry knows of it. */
+    /*! @param at When a response announced it.
+     * @param now When this entry learnt of it. */
     request_limit(double per_second, time_point at, time_point now)
-        : rate(per_second), named_at(at), known_at(now)
+        : total_per_second(per_second), announced_at(at), known_at(now)
     {
     }
 
-    /*! @brief Takes the newest word of the upstream. */
+    /*! @brief Updates the limit to a newer announcement. */
     void update(double per_second, time_point at)
     {
-        rate = per_second;
-        named_at = std::max(named_at, at);
+        total_per_second = per_second;
+        announced_at = std::max(announced_at, at);
     }
 
-    /*! @brief Takes this entry's share. One that begins to hold a share has
-     * nothing saved up: its predecessor may just have sent. */
+    /*! @brief Sets this entry's share. A new holder must wait one interval
+     * first: the previous holder may just have sent. */
     void set_share(const limit_share& next, time_point now)
     {
         const bool begins = next.holds_share() && !own.holds_share();
         own = next;
         if (begins)
-            due = now + interval();
+            next_due = now + interval();
     }
 
-    /*! @brief Notes a request that is sent there. */
+    /*! @brief Records that a request is sent there. */
     void record_send(time_point now)
     {
         sent_at = now;
         if (own.holds_share())
-            due = std::max(due, now - interval()) + interval();
+            next_due = std::max(next_due, now - interval()) + interval();
     }
 
-    /*! @brief Returns from when on this entry may send a request there. */
+    /*! @brief Returns when this entry may send its next request there. */
     [[nodiscard]] time_point next_send_at() const
     {
         if (own.holds_share())
-            return due;
+            return next_due;
         if (own.standby_rank == limit_share::not_standby)
             return time_point::max();
-        return std::max(named_at, sent_at) +
+        return std::max(announced_at, sent_at) +
                silence() * static_cast<std::int64_t>(own.standby_rank);
     }
 
-    /*! @brief Returns requests a second of all entries together. */
-    [[nodiscard]] double per_second() const { return rate; }
+    /*! @brief Returns the requests a second allowed to all entries together. */
+    [[nodiscard]] double per_second() const { return total_per_second; }
     [[nodiscard]] const limit_share& own_share() const { return own; }
     [[nodiscard]] time_point known_since() const { return known_at; }
 
 private:
-    /*! @brief Bounds the pauses of limits near zero: they would never be
-     * noticed to be over. */
-    static constexpr milliseconds longest_interval{30'000};
+    /*! @brief Bounds the interval between requests at limits near zero;
+     * otherwise their end would never be noticed. */
+    static constexpr milliseconds max_interval{30'000};
 
-    /*! @brief A holder's answers reach all entries within this time, through
-     * lost heartbeats. */
-    static constexpr milliseconds least_silence{3000};
+    /*! @brief Within this time a holder's responses are reported to all
+     * entries, even if heartbeats are lost. */
+    static constexpr milliseconds min_silence{3000};
 
     [[nodiscard]] std::chrono::microseconds interval() const
     {
         const auto seconds =
             std::min(1 / std::max(own.per_second, 1e-9),
-                     to_seconds(std::chrono::microseconds(longest_interval)));
+                     to_seconds(std::chrono::microseconds(max_interval)));
         return from_seconds(seconds);
     }
 
-    /*! @brief Returns for how long no answer must have come before the next
-     * entry stands in. */
+    /*! @brief Returns how long no response must have been reported before the
+     * next standby entry sends. */
     [[nodiscard]] std::chrono::microseconds silence() const
     {
-        const auto longest = to_seconds(longest_interval);
-        const auto pause = std::min(2 / std::max(rate, 1e-9), longest);
-        return std::max<std::chrono::microseconds>(least_silence,
-                                                   from_seconds(pause));
+        const auto longest = to_seconds(max_interval);
+        const auto two_intervals =
+            std::min(2 / std::max(total_per_second, 1e-9), longest);
+        return std::max<std::chrono::microseconds>(min_silence,
+                                                   from_seconds(two_intervals));
     }
 
-    double rate;
+    double total_per_second;
     limit_share own;
-    time_point named_at; /*!< Lastly. */
+    time_point announced_at; /*!< By the newest response. */
     time_point known_at;
     time_point sent_at{};
-    time_point due{};
+    time_point next_due{};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/retained_terms.hpp
+++ b/src/coursejunction/route/retained_terms.hpp
@@ -12,52 +12,54 @@
 namespace coursejunction
 {
 
-/*! @brief Keeps terms for a while. A record that lapses in an outage of the
- * store comes back under its id, and the upstream may still rest or be at its
- * limit. */
+/*! @brief Retains terms for a while. A record that expires in an outage of the
+ * store returns under the same id, and the back-off or the rate limit of the
+ * upstream may still apply. */
 class retained_terms
 {
 public:
-    /*! @brief Keeps what binds an upstream that is about to be forgotten. */
+    /*! @brief Stores the terms of an upstream that is about to be dropped, if
+     * they restrict requests. */
     void keep(const known_upstream& one, time_point now)
     {
-        if (one.terms.restrict_sends(now))
-            kept[one.record.id] = {one.life, one.terms, now + keeping_time};
+        if (one.terms.restricts_sends(now))
+            retained[one.record.id] = {one.life, one.terms, now + retention};
     }
 
-    /*! @brief Gives an upstream that is known anew its terms back.
-     * @param told The life that its record names: terms of a later one are not
-     * its own. */
-    void restore(const instance_id& id, const incarnation& told,
-                 known_upstream& to)
+    /*! @brief Restores the terms of an upstream that is added again.
+     * @param reported The incarnation of its record: terms of a later
+     * incarnation are not restored. */
+    void restore(const instance_id& id, const incarnation& reported,
+                 known_upstream& restored)
     {
-        const auto found = kept.find(id);
-        if (found == kept.end() || (!told.empty() && told < found->second.life))
+        const auto found = retained.find(id);
+        if (found == retained.end() ||
+            (!reported.empty() && reported < found->second.life))
             return;
-        to.life = found->second.life;
-        to.terms = found->second.terms;
-        kept.erase(found);
+        restored.life = found->second.life;
+        restored.terms = found->second.terms;
+        retained.erase(found);
     }
 
-    /*! @brief Forgets what is kept for long enough. */
+    /*! @brief Drops terms retained for long enough. */
     void expire(time_point now)
     {
-        std::erase_if(kept,
+        std::erase_if(retained,
                       [&](const auto& one) { return now >= one.second.until; });
     }
 
 private:
-    /*! @brief Outages of the store last seconds, rests as well. */
-    static constexpr milliseconds keeping_time{60'000};
+    /*! @brief Outages of the store and back-offs last seconds. */
+    static constexpr milliseconds retention{60'000};
 
-    struct departed
+    struct retained_entry
     {
         incarnation life;
         upstream_terms terms;
         time_point until;
     };
 
-    std::map<instance_id, departed> kept;
+    std::map<instance_id, retained_entry> retained;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/retry_detector.hpp
+++ b/src/coursejunction/route/retry_detector.hpp
@@ -1,9 +1,8 @@
 /*! @file
- * @brief Tells how long ago a caller first tried; pure.
- *
- * Load pattern: callers that were refused come back with what is left of
- * their deadline. Their target counts from the first try, so an entry that
- * takes them for new gives places away that new callers would use in time.
+ * @brief Finds out how long ago a client first sent a request; pure.
+ * Load pattern: refused clients retry with the rest of their deadline. Their
+ * target counts from the first request, so an entry that takes them for new
+ * ones gives them slots that new clients would use in time.
  */
 #ifndef COURSEJUNCTION_ROUTE_RETRY_DETECTOR_HPP
 #define COURSEJUNCTION_ROUTE_RETRY_DETECTOR_HPP
@@ -24,18 +23,18 @@
 namespace coursejunction
 {
 
-/*! @brief What tells that a caller comes back. */
+/*! @brief What shows that a request is a client retry. */
 enum class retry_evidence : std::uint8_t
 {
     none,    /*!< Nothing: it counts as new. */
-    refusal, /*!< The refusal that it comes back from. */
-    deadline /*!< Its deadline, which is shorter than any new caller's. */
+    refusal, /*!< It matches a refused request. */
+    deadline /*!< Its deadline is shorter than any new client's. */
 };
 
-/*! @brief Returns the name of an evidence for logs and metrics. */
-[[nodiscard]] constexpr std::string_view evidence_name(retry_evidence what)
+/*! @brief Returns the name of an evidence in logs and metrics. */
+[[nodiscard]] constexpr std::string_view evidence_name(retry_evidence evidence)
 {
-    switch (what)
+    switch (evidence)
     {
     case retry_evidence::none:
         return "none";
@@ -47,84 +46,87 @@
     return "unknown";
 }
 
-/*! @brief What is known of a caller's earlier tries. */
+/*! @brief What is known of a client's earlier requests. */
 struct caller_history
 {
     retry_evidence known_by{retry_evidence::none};
-    milliseconds waited{0}; /*!< Since its first try, at least. */
+    milliseconds waited{0}; /*!< Since its first request, at least. */
 };
 
-/*! @brief Knows callers again: by the refusal that they come back from, and
- * where none is known by the deadlines of their route. */
+/*! @brief Recognises client retries: by the refusal that they follow or, where
+ * none is known, by the deadlines usual on their route. */
 class retry_detector
 {
 public:
-    /*! @brief Notes a request's arrival.
-     * @param deadline What its caller will wait from now on. */
+    /*! @brief Records the arrival of a request.
+     * @param deadline How long the client waits from now on. */
     caller_history record_arrival(const std::string& route,
-                                  request_fingerprint what,
+                                  request_fingerprint fingerprint,
                                   const std::optional<milliseconds>& deadline,
                                   time_point now)
     {
         std::optional<time_point> ends;
         if (deadline)
             ends = now + *deadline;
-        if (const auto first = refusals.match_retry(what, ends, now))
+        if (const auto first = refusals.match_retry(fingerprint, ends, now))
             return {retry_evidence::refusal,
                     std::chrono::duration_cast<milliseconds>(now - *first)};
         if (!deadline)
             return {};
-        const bool calm = now - last_refusal >= calm_time;
-        const auto waited = floors[route].observe(*deadline, calm, now);
+        const bool no_recent_refusals = now - last_refusal >= retry_horizon;
+        const auto waited =
+            deadline_floors[route].observe(*deadline, no_recent_refusals, now);
         if (waited == milliseconds(0))
             return {};
         return {retry_evidence::deadline, waited};
     }
 
-    /*! @brief Remembers a refusal of this entry. */
+    /*! @brief Records a refusal of this entry. */
     void record_refusal(const refusal_record& one, time_point now)
     {
         last_refusal = now;
         refusals.record(one);
     }
 
-    /*! @brief Takes in a refusal of another entry. */
+    /*! @brief Records a refusal that another entry reported. */
     void record_remote_refusal(const refusal_record& one, time_point now)
     {
         last_refusal = now;
         refusals.record_remote(one);
     }
 
-    /*! @brief Notes that entries refuse callers, whoever they are. */
+    /*! @brief Records that other entries refuse clients at present, whichever.
+     */
     void note_other_entries_refusals(time_point now) { last_refusal = now; }
 
-    /*! @brief Returns refusals that the other entries have not been told, and
-     * takes them for told. */
+    /*! @brief Returns refusals not yet sent to the other entries, and marks
+     * them as sent. */
     [[nodiscard]] std::vector<refusal_record> take_unsent(std::size_t count)
     {
         return refusals.take_unsent(count);
     }
 
-    /*! @brief Tells whether some have not been told. */
+    /*! @brief Returns whether there are refusals not yet sent to the other
+     * entries. */
     [[nodiscard]] bool has_unsent() const { return refusals.has_unsent(); }
 
-    /*! @brief Forgets callers that have left. */
+    /*! @brief Drops refusals whose clients have left. */
     void expire(time_point now) { refusals.expire(now); }
 
-    /*! @brief Forgets routes for which a predicate of their name is false. */
+    /*! @brief Drops routes for which a predicate of their name is false. */
     template <typename Predicate>
     void retain_routes(Predicate wanted)
     {
-        std::erase_if(floors,
+        std::erase_if(deadline_floors,
                       [&](const auto& one) { return !wanted(one.first); });
     }
 
 private:
-    /*! @brief So long after the last refusal its callers have come back or
-     * left: they heed up to a third of what is left of their deadline. */
-    static constexpr milliseconds calm_time{5000};
+    /*! @brief This long after the last refusal, refused clients have retried or
+     * left: they wait at most a third of what is left of their deadline. */
+    static constexpr milliseconds retry_horizon{5000};
 
-    std::map<std::string, deadline_floor> floors;
+    std::map<std::string, deadline_floor> deadline_floors;
     recent_refusals refusals;
     time_point last_refusal{};
 };
--- a/src/coursejunction/route/smoothed_rate.hpp
+++ b/src/coursejunction/route/smoothed_rate.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief How many requests were sent lately; pure.
+ * @brief Measures the recent rate of events, such as requests sent; pure.
  */
 #ifndef COURSEJUNCTION_ROUTE_SMOOTHED_RATE_HPP
 #define COURSEJUNCTION_ROUTE_SMOOTHED_RATE_HPP
@@ -12,25 +12,25 @@
 namespace coursejunction
 {
 
-/*! @brief A smoothed rate of sends. */
+/*! @brief An exponentially smoothed rate of events. */
 class smoothed_rate
 {
 public:
-    /*! @brief Time over which it is smoothed; bursts of the installations rise
-     * within a second. */
+    /*! @brief Time over which it is smoothed by default; bursts of requests
+     * rise within a second. */
     static constexpr milliseconds default_window{500};
 
     smoothed_rate() = default;
 
-    /*! @param over Time over which it is smoothed instead. */
-    explicit smoothed_rate(milliseconds over) : smoothing(over) {}
+    /*! @param window Time over which it is smoothed. */
+    explicit smoothed_rate(milliseconds window) : smoothing(window) {}
 
     void record(time_point now)
     {
-        if (began == time_point{})
-            began = now;
-        recent = decayed(now) + 1;
-        sent_at = now;
+        if (first_at == time_point{})
+            first_at = now;
+        weighted_count = decayed(now) + 1;
+        last_at = now;
     }
 
     [[nodiscard]] double per_second(time_point now) const
@@ -38,27 +38,27 @@
         return decayed(now) / to_seconds(smoothing);
     }
 
-    /*! @brief Returns the rate since the first send, where that is not as long
-     * ago as the rate is smoothed over: a smoothed rate begins at zero. */
+    /*! @brief Returns the rate since the first event if that is more recent
+     * than the smoothing time, as a smoothed rate starts at zero. */
     [[nodiscard]] double per_second_since_start(time_point now) const
     {
-        constexpr double least_part = 0.1;
-        const auto known =
-            1 - std::exp(-to_seconds(now - began) / to_seconds(smoothing));
-        return per_second(now) / std::max(known, least_part);
+        constexpr double min_covered = 0.1;
+        const auto covered =
+            1 - std::exp(-to_seconds(now - first_at) / to_seconds(smoothing));
+        return per_second(now) / std::max(covered, min_covered);
     }
 
 private:
     [[nodiscard]] double decayed(time_point now) const
     {
-        return recent *
-               std::exp(-to_seconds(now - sent_at) / to_seconds(smoothing));
+        return weighted_count *
+               std::exp(-to_seconds(now - last_at) / to_seconds(smoothing));
     }
 
     milliseconds smoothing{default_window};
-    time_point began{};
-    double recent{0}; /*!< Sends, each weighed by its age. */
-    time_point sent_at{};
+    time_point first_at{};
+    double weighted_count{0}; /*!< Events weighted by their age. */
+    time_point last_at{};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/upstream_choice.hpp
+++ b/src/coursejunction/route/upstream_choice.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What a search for a place for a request ends with.
+ * @brief The results of selecting an upstream for a request.
  */
 #ifndef COURSEJUNCTION_ROUTE_UPSTREAM_CHOICE_HPP
 #define COURSEJUNCTION_ROUTE_UPSTREAM_CHOICE_HPP
@@ -15,25 +15,25 @@
 namespace coursejunction
 {
 
-/*! @brief A place for a request. */
+/*! @brief The upstream selected for a request. */
 struct upstream_choice
 {
     instance_id upstream;
     hall_id hall;
     std::string address;
     double predicted_ms{0};
-    double uncorrected_ms{0}; /*!< Before lateness was taken in. */
+    double uncorrected_ms{0}; /*!< Without the lateness correction. */
     std::uint64_t version{0};
-    engine_load load; /*!< What the prediction was made from. */
+    engine_load load; /*!< What the prediction was based on. */
 };
 
-/*! @brief Why nothing was placed. */
+/*! @brief Why no upstream was selected. */
 struct placement_failure
 {
-    std::size_t usable{0}; /*!< Upstreams that could take it at all. */
-    double least_ms{0};    /*!< The soonest first event, when usable. */
-    /*! @brief The soonest moment at which one takes a request of this entry,
-     * where all that could take it rest or are at their limits. */
+    std::size_t usable{0}; /*!< Upstreams that could serve the request. */
+    double least_ms{0};    /*!< Smallest predicted time, if one is usable. */
+    /*! @brief When the first upstream accepts a request of this entry again, if
+     * all suitable ones are in a back-off or at their rate limits. */
     std::optional<time_point> next_send_at;
 };
 
--- a/src/coursejunction/route/upstream_notice.hpp
+++ b/src/coursejunction/route/upstream_notice.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What an upstream says of itself beside its answer to a request.
+ * @brief What an upstream announces about itself in a response.
  */
 #ifndef COURSEJUNCTION_ROUTE_UPSTREAM_NOTICE_HPP
 #define COURSEJUNCTION_ROUTE_UPSTREAM_NOTICE_HPP
@@ -11,16 +11,16 @@
 namespace coursejunction
 {
 
-/*! @brief Back-pressure of an upstream, as one of its answers tells it. */
+/*! @brief Back-pressure that a response of an upstream announces. */
 struct upstream_notice
 {
-    bool leaving{false}; /*!< It ends soon and wants no new work. */
-    /*! @brief It wants no request of the receiver for so long. */
+    bool leaving{false}; /*!< It shuts down soon and accepts no new requests. */
+    /*! @brief How long the receiver should send it no request. */
     std::optional<milliseconds> retry_after;
-    /*! @brief Requests a second that it takes from all entries together, for
-     * as long as its answers say so. */
+    /*! @brief Requests a second that it accepts from all entries together, for
+     * as long as its responses say so. */
     std::optional<double> requests_per_second;
-    /*! @brief Something was told that can't be read. */
+    /*! @brief Whether an announcement could not be parsed. */
     bool unreadable{false};
 
     [[nodiscard]] bool empty() const
--- a/src/coursejunction/route/upstream_registry.hpp
+++ b/src/coursejunction/route/upstream_registry.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief What an entry believes of every upstream, from the store's records,
- * from the sides' heartbeats and from its own attempts; pure.
+ * @brief What an entry knows of every upstream: from the records in the store,
+ * from the status reports of sidecars and from its own attempts; pure.
  */
 #ifndef COURSEJUNCTION_ROUTE_UPSTREAM_REGISTRY_HPP
 #define COURSEJUNCTION_ROUTE_UPSTREAM_REGISTRY_HPP
@@ -27,135 +27,140 @@
 namespace coursejunction
 {
 
-/*! @brief Upstreams by id. */
+/*! @brief The upstreams by their id. */
 class upstream_registry
 {
 public:
-    /*! @brief Status older than this no longer tells the load; ten reports. */
+    /*! @brief Age above which a status no longer describes the load: ten report
+     * intervals. */
     static constexpr milliseconds status_validity{1000};
 
-    /*! @brief An upstream whose record went while the store was away may have
-     * lapsed only: the platform's pages give it two seconds to come back. */
+    /*! @brief How long an upstream is kept whose record disappeared in an
+     * outage of the store. The record may only have expired because it could
+     * not be renewed; the platform grants it two seconds to return. */
     static constexpr milliseconds lapse_grace{2000};
 
-    /*! @brief Takes or replaces a record; one of an earlier life than is known
-     * changes nothing.
-     * @return The life that ended, if one did. */
+    /*! @brief Adds or replaces a record; ignores one of an earlier incarnation
+     * than the known one.
+     * @return The earlier incarnation that the record replaced, if any. */
     std::optional<ended_incarnation> apply_record(upstream_record one)
     {
-        const auto [place, added] = book.try_emplace(one.id);
-        auto& known = place->second;
+        const auto [position, added] = upstreams.try_emplace(one.id);
+        auto& known = position->second;
         if (added)
-            departed.restore(one.id, one.life, known);
+            retained.restore(one.id, one.life, known);
         if (!one.life.empty() && one.life < known.life)
             return std::nullopt;
-        auto ended = begin_life(known, one.life);
+        auto ended = start_incarnation(known, one.life);
         known.lapses_at.reset();
         known.record = std::move(one);
         return ended;
     }
 
-    /*! @brief The record is gone.
-     * @param lapse Whether the store was away, so that it may come back. */
+    /*! @brief Handles the removal of a record.
+     * @param lapse Whether the store was unavailable, so that the record may
+     * return. */
     void remove(const instance_id& id, bool lapse, time_point now)
     {
-        const auto found = book.find(id);
-        if (found == book.end())
+        const auto found = upstreams.find(id);
+        if (found == upstreams.end())
             return;
         if (lapse && !found->second.leaving())
         {
             found->second.lapses_at = now + lapse_grace;
             return;
         }
-        departed.keep(found->second, now);
-        book.erase(found);
+        retained.keep(found->second, now);
+        upstreams.erase(found);
     }
 
-    /*! @brief Forgets records whose grace is over. */
+    /*! @brief Drops upstreams whose record did not return within the grace
+     * time. */
     void expire(time_point now)
     {
-        departed.expire(now);
-        std::erase_if(book,
+        retained.expire(now);
+        std::erase_if(upstreams,
                       [&](const auto& one)
                       {
                           const auto& at = one.second.lapses_at;
                           if (!at || now < *at)
                               return false;
-                          departed.keep(one.second, now);
+                          retained.keep(one.second, now);
                           return true;
                       });
     }
 
-    /*! @brief Takes the status that a side at an address tells, from itself or
-     * passed on. One that is older than the last, or of an earlier life of the
-     * upstream, changes nothing.
-     * @param now When the side told it.
-     * @return The lives that ended. */
+    /*! @brief Applies a status that the sidecar at an address reported,
+     * received from it or relayed. Ignores a status older than the last one or
+     * of an earlier incarnation of the upstream.
+     * @param now When the sidecar sent it.
+     * @return The earlier incarnations that ended. */
     std::vector<ended_incarnation>
-    apply_status(const std::string& host, const message::upstream_status& told,
-                 time_point now)
+    apply_status(const std::string& host,
+                 const message::upstream_status& reported, time_point now)
     {
         std::vector<ended_incarnation> all;
-        const incarnation life(told.life);
-        for (auto& [id, one] : book)
+        const incarnation life(reported.life);
+        for (auto& [id, one] : upstreams)
         {
             if (one.record.address.substr(0, one.record.address.rfind(':')) !=
                 host)
                 continue;
-            if ((one.status && !follows(told, *one.status)) ||
+            if ((one.status && !is_newer(reported, *one.status)) ||
                 (!life.empty() && life < one.life))
                 continue;
-            if (auto ended = begin_life(one, life))
+            if (auto ended = start_incarnation(one, life))
             {
-                // The record is of the life that ended, until the next one.
+                // The record belongs to the earlier incarnation until the next
+                // one arrives.
                 one.record.weights.clear();
                 all.push_back(std::move(*ended));
             }
-            // Its instance lives again: what was held against its silence is
-            // past.
+            // The instance runs again: end a long avoidance due to its silence.
             if (one.status && side_silent(one, now))
-                one.avoid_until = std::min(one.avoid_until, now + avoid_least);
-            one.status = told;
+                one.avoid_until =
+                    std::min(one.avoid_until, now + min_avoid_time);
+            one.status = reported;
             one.status_at = now;
             one.ended_since_status = 0;
         }
         return all;
     }
 
-    /*! @brief Notes an attempt that is about to be sent. */
+    /*! @brief Records an attempt that is about to be sent. */
     void begin_attempt(const instance_id& id, std::uint64_t attempt,
-                       double prompt, time_point now)
+                       double prompt_tokens, time_point now)
     {
-        auto& one = book[id];
-        one.attempts[attempt] = open_attempt{now, prompt, false};
+        auto& one = upstreams[id];
+        one.attempts[attempt] = open_attempt{now, prompt_tokens, false};
         one.terms.record_send(now);
-        if (prompt > 0)
+        if (prompt_tokens > 0)
             engine_sends.record(now);
     }
 
-    /*! @brief The first event of an attempt came. */
+    /*! @brief Records that the first event of an attempt has arrived. */
     void mark_first_event(const instance_id& id, std::uint64_t attempt)
     {
-        const auto found = book.find(id);
-        if (found == book.end())
+        const auto found = upstreams.find(id);
+        if (found == upstreams.end())
             return;
         const auto one = found->second.attempts.find(attempt);
         if (one != found->second.attempts.end())
             one->second.first_event_seen = true;
     }
 
-    /*! @brief An attempt ended. An upstream that answered lives: it is used
-     * less, not avoided: a service may have only one left that fails now and
-     * then. */
+    /*! @brief Records the end of an attempt. An upstream that answers with an
+     * error is used less but not avoided: it may be the only one left of its
+     * service and fail only now and then. */
     void end_attempt(const instance_id& id, std::uint64_t attempt,
                      attempt_result result, time_point now)
     {
-        const auto found = book.find(id);
-        if (found == book.end())
+        const auto found = upstreams.find(id);
+        if (found == upstreams.end())
             return;
         auto& one = found->second;
         const auto open = one.attempts.find(attempt);
-        // Of an earlier life: it says nothing of this one.
+        // Sent to an earlier incarnation: says nothing of this one.
         if (open == one.attempts.end())
             return;
         if (open->second.sent_at < one.status_at)
@@ -170,38 +175,39 @@
             one.failures = 0;
     }
 
-    /*! @brief Takes what an upstream says of itself in an answer.
-     * @return Whether the terms on which it takes requests changed. */
+    /*! @brief Applies what an upstream announced in a response.
+     * @return Whether the terms on which it accepts requests changed. */
     bool apply_notice(const instance_id& id, const received_notice& notice,
                       time_point now)
     {
-        const auto found = book.find(id);
-        return found != book.end() &&
+        const auto found = upstreams.find(id);
+        return found != upstreams.end() &&
                found->second.terms.apply_notice(notice, now);
     }
 
-    /*! @brief Takes what another entry was told in an answer of a life of an
-     * upstream.
+    /*! @brief Applies terms that another entry received from an incarnation of
+     * an upstream.
      * @param from Address of that entry.
-     * @return Whether the terms on which it takes requests changed. */
+     * @return Whether the terms on which it accepts requests changed. */
     bool apply_reported_terms(const instance_id& id, const incarnation& life,
-                              const reported_terms& told,
+                              const reported_terms& reported,
                               const std::string& from, time_point now)
     {
-        const auto found = book.find(id);
-        if (found == book.end() || life != found->second.life)
+        const auto found = upstreams.find(id);
+        if (found == upstreams.end() || life != found->second.life)
             return false;
-        return found->second.terms.apply_report(told, from, now);
+        return found->second.terms.apply_report(reported, from, now);
     }
 
-    /*! @brief Divides the limits that upstreams name between the entries.
+    /*! @brief Divides the rate limits that upstreams announced between the
+     * entries.
      * @param own Address of this entry.
-     * @param entries Those that take callers. */
+     * @param entries Those that accept requests. */
     void assign_limit_shares(const std::string& own,
                              const std::vector<entry_demand>& entries,
                              time_point now)
     {
-        for (auto& [id, one] : book)
+        for (auto& [id, one] : upstreams)
         {
             if (!one.terms.limit())
                 continue;
@@ -212,35 +218,36 @@
         }
     }
 
-    /*! @brief An attempt was taken back: it says nothing of the upstream. */
+    /*! @brief Removes a cancelled attempt; it says nothing of the upstream. */
     void cancel_attempt(const instance_id& id, std::uint64_t attempt)
     {
-        const auto found = book.find(id);
-        if (found == book.end())
+        const auto found = upstreams.find(id);
+        if (found == upstreams.end())
             return;
         if (found->second.attempts.erase(attempt) > 0)
             ++found->second.ended_since_status;
     }
 
-    /*! @brief Compares what was predicted with what was seen. */
+    /*! @brief Records how long the first event took compared with its
+     * prediction. */
     void record_first_event_time(const instance_id& id, double predicted_ms,
                                  double seen_ms)
     {
-        const auto found = book.find(id);
-        if (found == book.end() || predicted_ms <= 0)
+        const auto found = upstreams.find(id);
+        if (found == upstreams.end() || predicted_ms <= 0)
             return;
         constexpr double own_smoothing = 0.1;
         constexpr double all_smoothing = 0.15;
-        constexpr double most = 8;
-        const auto ratio = std::clamp(seen_ms / predicted_ms, 0.5, most);
+        constexpr double max_ratio = 8;
+        const auto ratio = std::clamp(seen_ms / predicted_ms, 0.5, max_ratio);
         found->second.lateness +=
             (ratio - found->second.lateness) * own_smoothing;
         all_lateness += (ratio - all_lateness) * all_smoothing;
     }
 
-    /*! @brief Returns how many times later than predicted first events come
-     * lately, at all upstreams together: what everybody sends unseen shows
-     * here first. */
+    /*! @brief Returns the smoothed ratio of the observed to the predicted time
+     * of first events at all upstreams together, at least 1. Load that other
+     * entries add unseen shows here first. */
     [[nodiscard]] double lateness() const
     {
         return std::max(all_lateness, 1.0);
@@ -248,24 +255,25 @@
 
     [[nodiscard]] const known_upstream* find(const instance_id& id) const
     {
-        const auto found = book.find(id);
-        return found == book.end() ? nullptr : &found->second;
+        const auto found = upstreams.find(id);
+        return found == upstreams.end() ? nullptr : &found->second;
     }
 
     [[nodiscard]] const std::map<instance_id, known_upstream>& all() const
     {
-        return book;
+        return upstreams;
     }
 
-    /*! @brief Tells whether the side of an upstream was heard before and is
-     * silent now. */
+    /*! @brief Returns whether the sidecar of an upstream has reported before
+     * but is silent now. */
     [[nodiscard]] static bool side_silent(const known_upstream& one,
                                           time_point now)
     {
         return one.status && now - one.status_at > status_validity;
     }
 
-    /*! @brief Returns the weights of a model that an upstream serves. */
+    /*! @brief Returns which version of a model's weights an upstream serves; 0
+     * if none. */
     [[nodiscard]] static std::uint64_t served_version(const known_upstream& one,
                                                       const std::string& model,
                                                       time_point now)
@@ -276,16 +284,16 @@
         return found == one.record.weights.end() ? 0 : found->second;
     }
 
-    /*! @brief Divides the upstreams that may be used between the entries.
-     * @param own This entry's stretch of all of them.
-     * @param usable Tells whether an upstream is one of them. */
+    /*! @brief Divides the engines between the entries.
+     * @param own This entry's interval of the total demand.
+     * @param usable Returns whether an upstream takes part. */
     template <typename Usable>
     void assign_engine_shares(const demand_interval& own, Usable usable)
     {
         std::vector<known_upstream*> engines;
-        for (auto& [id, one] : book)
+        for (auto& [id, one] : upstreams)
         {
-            one.share = limited_share(one);
+            one.share = limit_fraction(one);
             if (usable(one) && !one.terms.limit())
                 engines.push_back(&one);
         }
@@ -293,43 +301,43 @@
             engines.begin(), engines.end(),
             [](const known_upstream* left, const known_upstream* right)
             { return left->record.hall < right->record.hall; });
-        std::vector<double> places;
-        places.reserve(engines.size());
+        std::vector<double> slots;
+        slots.reserve(engines.size());
         for (const auto* one : engines)
-            places.push_back(static_cast<double>(one->record.slots));
-        const auto parts = engine_fractions(own, places);
+            slots.push_back(static_cast<double>(one->record.slots));
+        const auto fractions = engine_fractions(own, slots);
         for (std::size_t at = 0; at < engines.size(); ++at)
-            engines[at]->share = parts[at];
+            engines[at]->share = fractions[at];
     }
 
-    /*! @brief Sets how many entries share the upstreams, this one included. */
+    /*! @brief Sets how many entries share the upstreams, including this one. */
     void set_entry_count(std::size_t count)
     {
-        sharers =
-            1 + share_of_others *
+        competing_entries =
+            1 + competing_fraction *
                     static_cast<double>(std::max<std::size_t>(count, 1) - 1);
     }
 
-    /*! @brief Returns how many requests a second other entries are expected to
-     * send to engines that this one considers: as many as this one each. */
+    /*! @brief Returns how many requests a second competing entries are expected
+     * to send to engines: each as many as this one. */
     [[nodiscard]] double other_entries_rate(time_point now) const
     {
-        return engine_sends.per_second(now) * (sharers - 1);
+        return engine_sends.per_second(now) * (competing_entries - 1);
     }
 
-    /*! @brief Returns what an engine is believed to be doing now.
-     * What this entry sent since the last status stands for what all entries
-     * did: they see the same loads and choose alike, but for an engine that is
-     * this entry's own share. Where it has sent nothing
-     * yet, as to an upstream that has just opened, `others` stands for them.
+    /*! @brief Estimates the current load of an engine from its last status and
+     * the requests sent since. Requests of this entry stand for those of all
+     * entries, as they see the same loads and choose alike; less so where the
+     * engine belongs to this entry's share. Where this entry has sent none
+     * yet, as to an upstream that has just opened, `others` is used instead.
      * @param others Requests a second that other entries are expected to send
-     * there beyond those that every upstream gets. */
+     * there beyond an equal share. */
     [[nodiscard]] engine_load load(const known_upstream& one,
                                    const engine_profile& engine, time_point now,
                                    double others = 0) const
     {
-        engine_load made;
-        const auto together = 1 + (sharers - 1) * (1 - one.share);
+        engine_load result;
+        const auto scale = 1 + (competing_entries - 1) * (1 - one.share);
         const bool fresh = one.status && now - one.status_at <= status_validity;
         double seen_unread = 0;
         double new_unread = 0;
@@ -338,56 +346,57 @@
         for (const auto& [number, attempt] : one.attempts)
         {
             const bool unseen =
-                !fresh || attempt.sent_at + status_travel > one.status_at;
+                !fresh || attempt.sent_at + status_latency > one.status_at;
             new_attempts += unseen ? 1 : 0;
             if (attempt.first_event_seen)
                 continue;
             own_unread += 1;
             (unseen ? new_unread : seen_unread) += attempt.prompt_tokens;
         }
-        // What this entry sent stands for what all did.
-        made.running = new_attempts * together;
-        made.unread_tokens = seen_unread + new_unread * together;
+        // Scale the requests of this entry up to all entries.
+        result.running = new_attempts * scale;
+        result.unread_tokens = seen_unread + new_unread * scale;
         if (!fresh)
-            return made;
-        const auto told =
+            return result;
+        const auto reported =
             static_cast<double>(one.status->running + one.status->waiting);
-        made.running +=
-            std::max(0.0, told - static_cast<double>(one.ended_since_status));
-        made.pace = one.status->pace;
+        result.running += std::max(
+            0.0, reported - static_cast<double>(one.ended_since_status));
+        result.pace = one.status->pace;
         constexpr double ms = 1000;
-        made.age_ms = to_seconds(now - one.status_at) * ms;
-        // Others' prompts that wait are not told: a usual one each.
+        result.age_ms = to_seconds(now - one.status_at) * ms;
+        // Prompts of other entries are not reported: assume a typical length.
         const auto waiting = std::max(
             0.0, static_cast<double>(one.status->waiting) - own_unread);
-        made.unread_tokens += waiting * engine.usual_prompt;
-        made.expected = others * made.age_ms / ms;
-        made.running +=
-            std::max(0.0, made.expected - new_attempts * (together - 1));
+        result.unread_tokens += waiting * engine.usual_prompt;
+        result.expected = others * result.age_ms / ms;
+        result.running +=
+            std::max(0.0, result.expected - new_attempts * (scale - 1));
         const auto expected_unread = others *
-                                     std::min(made.age_ms, reading_ms) / ms *
-                                     engine.usual_prompt;
-        made.unread_tokens +=
-            std::max(0.0, expected_unread - new_unread * (together - 1));
-        return made;
+                                     std::min(result.age_ms, unread_window_ms) /
+                                     ms * engine.usual_prompt;
+        result.unread_tokens +=
+            std::max(0.0, expected_unread - new_unread * (scale - 1));
+        return result;
     }
 
 private:
-    /*! @brief A status may have been taken just before an attempt arrived. */
-    static constexpr milliseconds status_travel{10};
-    /*! @brief Part of the other entries that are taken to choose the same
-     * upstream between two of its statuses; those of other halls prefer their
-     * own. */
-    static constexpr double share_of_others = 0.5;
-    /*! @brief Prompts that came earlier have been read: two passes of a busy
-     * engine of the installations. */
-    static constexpr double reading_ms = 150;
-    static constexpr milliseconds avoid_least{300};
-    static constexpr unsigned most_doublings = 3;
-
-    /*! @brief Returns the part of an upstream's limit that is this entry's; 0
-     * where it names none. */
-    static double limited_share(const known_upstream& one)
+    /*! @brief A status may have been taken this long before it was received, so
+     * that attempts sent shortly before are not in it. */
+    static constexpr milliseconds status_latency{10};
+    /*! @brief Fraction of the other entries that are assumed to choose the same
+     * upstream between two of its status reports; those of other halls prefer
+     * upstreams of their own. */
+    static constexpr double competing_fraction = 0.5;
+    /*! @brief Prompts sent longer ago are assumed to have been read: two passes
+     * of a busy engine. */
+    static constexpr double unread_window_ms = 150;
+    static constexpr milliseconds min_avoid_time{300};
+    static constexpr unsigned max_doublings = 3;
+
+    /*! @brief Returns this entry's fraction of an upstream's rate limit; 0 if
+     * there is no limit. */
+    static double limit_fraction(const known_upstream& one)
     {
         const auto& limit = one.terms.limit();
         return limit && limit->per_second() > 0
@@ -395,34 +404,34 @@
                    : 0;
     }
 
-    /*! @brief Tells whether a status was told after another one. */
-    static bool follows(const message::upstream_status& told,
-                        const message::upstream_status& before)
+    /*! @brief Returns whether a status was sent after another one. */
+    static bool is_newer(const message::upstream_status& reported,
+                         const message::upstream_status& before)
     {
-        return std::tie(told.side, told.sequence) >
+        return std::tie(reported.side, reported.sequence) >
                std::tie(before.side, before.sequence);
     }
 
-    /*! @brief Forgets what is known of an earlier life, where a later one is
-     * told. What was sent before the last sign of the earlier one went to it,
-     * and no answer comes any more; what was sent since may have reached
+    /*! @brief Resets the state of an upstream when a later incarnation is
+     * reported. Attempts sent before the last status of the earlier one went
+     * to it and get no response any more; attempts sent since may have reached
      * either.
-     * @return The life that ended, if one did. */
-    static std::optional<ended_incarnation> begin_life(known_upstream& one,
-                                                       const incarnation& told)
+     * @return The incarnation that ended, if any. */
+    static std::optional<ended_incarnation>
+    start_incarnation(known_upstream& one, const incarnation& reported)
     {
-        if (told.empty() || told == one.life)
+        if (reported.empty() || reported == one.life)
             return std::nullopt;
-        const auto before = std::exchange(one.life, told);
+        const auto before = std::exchange(one.life, reported);
         if (before.empty())
             return std::nullopt;
-        ended_incarnation made{one.record.address, {}, one.record.id, before};
+        ended_incarnation result{one.record.address, {}, one.record.id, before};
         for (const auto& [number, attempt] : one.attempts)
         {
-            if (one.status && attempt.sent_at + status_travel < one.status_at)
-                made.attempts.push_back(number);
+            if (one.status && attempt.sent_at + status_latency < one.status_at)
+                result.attempts.push_back(number);
         }
-        for (const auto number : made.attempts)
+        for (const auto number : result.attempts)
             one.attempts.erase(number);
         one.status.reset();
         one.status_at = {};
@@ -432,31 +441,31 @@
         one.lateness = 1;
         one.avoid_until = {};
         one.terms = {};
-        return made;
+        return result;
     }
 
-    /*! @brief Avoids an upstream for a while after a failed attempt. When its
-     * side is silent too, the whole instance stands still or is cut off:
-     * what is sent there waits, and may begin when it wakes, on weights that
-     * are too old by then. */
+    /*! @brief Avoids an upstream for a while after a failed attempt. If its
+     * sidecar is silent too, the instance is suspended or cut off: a request
+     * sent there waits, and may begin after the instance resumes, on weights
+     * that are too old by then. */
     static void avoid(known_upstream& one, time_point now)
     {
         one.avoid_until =
             side_silent(one, now)
-                ? now + avoid_silent
-                : now + avoid_least *
-                            (1 << std::min(one.failures, most_doublings));
+                ? now + silent_avoid_time
+                : now + min_avoid_time *
+                            (1 << std::min(one.failures, max_doublings));
         ++one.failures;
     }
 
-    /*! @brief How long an upstream is avoided that failed while its side was
-     * silent, unless the side is heard again; instances of the installations
-     * stood still for up to 7 s. */
-    static constexpr milliseconds avoid_silent{8000};
+    /*! @brief How long an upstream is avoided that failed while its sidecar was
+     * silent, unless the sidecar reports again. Instances were suspended for
+     * up to 7 s. */
+    static constexpr milliseconds silent_avoid_time{8000};
 
-    std::map<instance_id, known_upstream> book;
-    retained_terms departed;
-    double sharers{1};
+    std::map<instance_id, known_upstream> upstreams;
+    retained_terms retained;
+    double competing_entries{1};
     double all_lateness{1};
     smoothed_rate engine_sends; /*!< Of this entry, to all engines. */
 };
--- a/src/coursejunction/route/upstream_table.hpp
+++ b/src/coursejunction/route/upstream_table.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief What an entry believes of the upstreams, and how it chooses one.
+ * @brief What an entry knows of the upstreams from reports, and the policies
+ * that choose one.
  */
 #ifndef COURSEJUNCTION_ROUTE_UPSTREAM_TABLE_HPP
 #define COURSEJUNCTION_ROUTE_UPSTREAM_TABLE_HPP
@@ -20,7 +21,7 @@
 namespace coursejunction
 {
 
-/*! @brief One upstream as last reported, and what was sent since. */
+/*! @brief An upstream as last reported, and what was sent to it since. */
 struct upstream_state
 {
     instance_id id;
@@ -30,10 +31,10 @@
     std::string kind;
     std::string weights;
     std::size_t slots{0};
-    std::size_t reported_requests{0}; /*!< Requests running there, lagging. */
-    std::size_t own_requests{0};      /*!< Requests of this entry there now. */
+    std::size_t reported_requests{0}; /*!< Running there as last reported. */
+    std::size_t own_requests{0};      /*!< Of this entry, running there now. */
     std::size_t own_at_report{0};
-    double service_s{0}; /*!< Smoothed time of one request; 0 when unknown. */
+    double service_s{0}; /*!< Smoothed duration of a request; 0 if unknown. */
     bool open{false};
     bool leaving{false};
     time_point reported_at{};
@@ -41,7 +42,7 @@
     unsigned failures{0};
     std::unordered_set<std::uint64_t> cached;
 
-    /*! @brief Returns the requests believed to run there now. */
+    /*! @brief Returns the estimated number of requests that run there now. */
     [[nodiscard]] std::size_t load() const
     {
         const auto others = reported_requests > own_at_report
@@ -51,18 +52,21 @@
     }
 };
 
-/*! @brief What is to be routed. */
+/*! @brief A request to route. */
 struct route_request
 {
     std::string model;
     std::string kind;
-    std::string weights;  /*!< Needed weights; empty for any. */
-    std::string affinity; /*!< Key that should meet the same upstream. */
-    std::vector<std::uint64_t> prefixes; /*!< Hashes, the longest first. */
+    std::string weights;  /*!< Required weights; empty for any. */
+    std::string affinity; /*!< Requests with the same key should go to the same
+                             upstream. */
+    std::vector<std::uint64_t>
+        prefixes; /*!< Hashes of prompt prefixes, longest first. */
     std::vector<instance_id> excluded;
 };
 
-/*! @brief Chooses among candidates that can take the request now. */
+/*! @brief A policy chooses among the upstreams that can accept the request now.
+ */
 template <typename Policy>
 concept Route_policy = requires(Policy policy,
                                 const std::vector<const upstream_state*>& from,
@@ -74,11 +78,11 @@
         } -> std::same_as<const upstream_state*>;
 };
 
-/*! @brief Expected wait, distance and cached prefix in one score.
+/*! @brief Combines load, distance and cached prompt prefix in one score.
  *
- * A cached prefix saves prefill, a fuller upstream decodes slower and a
- * farther one adds its latency; all three are portions of a request, so a
- * wrong or late belief costs time only. */
+ * A cached prefix saves prefill, a fuller upstream decodes more slowly and a
+ * more distant one adds latency. All are expressed as fractions of a request,
+ * so that outdated state costs time only. */
 class scored_policy
 {
 public:
@@ -93,14 +97,14 @@
            const region_id& region) const
     {
         const upstream_state* best = nullptr;
-        double least = 0;
+        double lowest = 0;
         for (const auto* one : from)
         {
             const auto cost = score(*one, request, hall, region);
-            if (best != nullptr && cost >= least)
+            if (best != nullptr && cost >= lowest)
                 continue;
             best = one;
-            least = cost;
+            lowest = cost;
         }
         return best;
     }
@@ -129,17 +133,17 @@
                                  const route_request& request)
     {
         const auto count = request.prefixes.size();
-        for (std::size_t at = 0; at < count; ++at)
+        for (std::size_t index = 0; index < count; ++index)
         {
-            if (one.cached.contains(request.prefixes[at]))
-                return static_cast<double>(count - at) /
+            if (one.cached.contains(request.prefixes[index]))
+                return static_cast<double>(count - index) /
                        static_cast<double>(count);
         }
         return 0;
     }
 };
 
-/*! @brief One after another; a baseline. */
+/*! @brief Round robin; a baseline. */
 class round_robin_policy
 {
 public:
@@ -154,7 +158,8 @@
     std::size_t turn{0};
 };
 
-/*! @brief The least filled; a baseline. */
+/*! @brief Chooses the upstream with the smallest fraction of its slots in use;
+ * a baseline. */
 class least_loaded_policy
 {
 public:
@@ -167,25 +172,26 @@
             return static_cast<double>(one->load()) /
                    static_cast<double>(std::max<std::size_t>(one->slots, 1));
         };
-        const auto least =
+        const auto lowest =
             std::min_element(from.begin(), from.end(),
                              [&](const auto* left, const auto* right)
                              { return fill(left) < fill(right); });
-        return least == from.end() ? nullptr : *least;
+        return lowest == from.end() ? nullptr : *lowest;
     }
 };
 
-/*! @brief Upstreams by the instance of their side. */
+/*! @brief The upstreams by the instance of their sidecar. */
 class upstream_table
 {
 public:
     using value_type = upstream_state;
     using size_type = std::size_t;
 
-    /*! @brief Reports older than this say nothing of openness. */
+    /*! @brief Age above which a report no longer shows that an upstream is
+     * open. */
     static constexpr milliseconds report_validity{5000};
 
-    /*! @brief Returns the state of an upstream, made when absent. */
+    /*! @brief Returns the state of an upstream, adding it if absent. */
     upstream_state& operator[](const instance_id& id)
     {
         auto& one = states[id];
@@ -211,7 +217,7 @@
         return states;
     }
 
-    /*! @brief Chooses an upstream that serves the model and has room.
+    /*! @brief Chooses an upstream that serves the model and has a free slot.
      * @return The upstream, or nothing. */
     template <Route_policy Policy>
     [[nodiscard]] std::optional<instance_id>
@@ -233,8 +239,8 @@
         return best->id;
     }
 
-    /*! @brief Tells whether anybody serves the model, with room or not, even
-     * if it is avoided for a short while. */
+    /*! @brief Returns whether any upstream serves the model, even if it is full
+     * or avoided for the moment. */
     [[nodiscard]] bool is_served(const route_request& request,
                                  time_point now) const
     {
@@ -253,20 +259,21 @@
         return total;
     }
 
-    /*! @brief An attempt failed: the upstream is avoided for a time that
-     * doubles with each failure in a row. */
+    /*! @brief Records a failed attempt: the upstream is avoided for a time that
+     * doubles with each consecutive failure. */
     void record_failure(const instance_id& id, time_point now)
     {
         auto* one = find(id);
         if (one == nullptr)
             return;
-        constexpr unsigned most_doublings = 5;
+        constexpr unsigned max_doublings = 5;
         one->avoid_until =
-            now + avoid_least * (1 << std::min(one->failures, most_doublings));
+            now +
+            min_avoid_time * (1 << std::min(one->failures, max_doublings));
         ++one->failures;
     }
 
-    /*! @brief An attempt succeeded.
+    /*! @brief Records a successful attempt.
      * @param took How long the request ran. */
     void record_success(const instance_id& id, std::chrono::microseconds took)
     {
@@ -283,7 +290,7 @@
     }
 
 private:
-    static constexpr milliseconds avoid_least{250};
+    static constexpr milliseconds min_avoid_time{250};
 
     static bool serves(const upstream_state& one, const route_request& request,
                        time_point now)
--- a/src/coursejunction/route/upstream_terms.hpp
+++ b/src/coursejunction/route/upstream_terms.hpp
@@ -1,10 +1,10 @@
 /*! @file
- * @brief The terms on which an upstream takes requests of this entry, from what
- * it says of itself in its answers; pure.
- *
- * A further word of upstreams is one more field of `upstream_notice` and one
- * more bound here: everything that is sent to an upstream is chosen by
- * `placer`, which asks `leaving` and `opens`.
+ * @brief The terms on which an upstream accepts requests of this entry, as its
+ * responses announce them: that it is leaving, a back-off and a rate limit;
+ * pure.
+ * To support another announcement, add a field to `upstream_notice` and a
+ * restriction here: `placer` selects the upstream of every request and checks
+ * `leaving` and `next_send_at`.
  */
 #ifndef COURSEJUNCTION_ROUTE_UPSTREAM_TERMS_HPP
 #define COURSEJUNCTION_ROUTE_UPSTREAM_TERMS_HPP
@@ -20,190 +20,200 @@
 namespace coursejunction
 {
 
-/*! @brief An answer of an upstream, as far as it speaks of its terms. */
+/*! @brief What a response of an upstream announced. */
 struct received_notice
 {
     upstream_notice notice;
-    time_point sent_at{}; /*!< When the request was sent. */
-    bool succeeded{
-        false}; /*!< Only such an answer shows that a limit is over. */
+    time_point sent_at{};  /*!< When the request was sent. */
+    bool succeeded{false}; /*!< Success without a limit ends a known limit. */
 };
 
-/*! @brief What one entry's answers told, for the others. */
+/*! @brief Terms that an entry received in responses, as it reports them to
+ * others. */
 struct reported_terms
 {
     bool leaving{false};
-    std::optional<double> per_second; /*!< Nothing: no limit is named. */
-    time_point received_at{};         /*!< When the answer came. */
+    std::optional<double> per_second; /*!< Nothing: there is no limit. */
+    time_point received_at{};         /*!< When the response arrived. */
 };
 
-/*! @brief Terms of one life of an upstream. */
+/*! @brief Terms of one incarnation of an upstream. */
 class upstream_terms
 {
 public:
-    /*! @brief How long an entry repeats what an answer told it: several
-     * heartbeats, some of which may be lost. */
+    /*! @brief How long an entry reports a change that it learnt from a
+     * response: several heartbeats, since some may be lost. */
     static constexpr milliseconds report_period{1000};
 
-    /*! @brief Takes an answer of the upstream.
+    /*! @brief Applies a response of the upstream.
      * @return Whether the terms changed. */
     bool apply_notice(const received_notice& one, time_point now)
     {
-        const bool leaves = one.notice.leaving && leave(own_source, now);
-        if (leaves)
-            told_at = now;
-        const bool rests =
-            one.notice.retry_after && rest(*one.notice.retry_after, now);
-        return heard_limit(one, now) || leaves || rests;
+        const bool leaving_changed =
+            one.notice.leaving && set_leaving(response_source, now);
+        if (leaving_changed)
+            reportable_at = now;
+        const bool backoff_began =
+            one.notice.retry_after && back_off(*one.notice.retry_after, now);
+        return apply_announced_limit(one, now) || leaving_changed ||
+               backoff_began;
     }
 
-    /*! @brief Takes what another entry's answers told; what is older than the
-     * newest word that is known changes nothing.
+    /*! @brief Applies terms that another entry reported; ignores a limit that
+     * is older than the newest known one.
      * @return Whether the terms changed. */
     bool apply_report(const reported_terms& one, const std::string& from,
                       time_point now)
     {
-        const bool leaves = one.leaving && leave(from, now);
-        return told_limit(one, from, now) || leaves;
+        const bool leaving_changed = one.leaving && set_leaving(from, now);
+        return apply_reported_limit(one, from, now) || leaving_changed;
     }
 
-    /*! @brief Notes a request that is sent there. */
+    /*! @brief Records that a request is sent there. */
     void record_send(time_point now)
     {
-        if (bound)
-            bound->record_send(now);
+        if (rate_limit)
+            rate_limit->record_send(now);
     }
 
-    /*! @brief Takes this entry's share of the limit, where there is one. */
+    /*! @brief Sets this entry's share of the rate limit, if there is a limit.
+     */
     void set_share(const limit_share& own, time_point now)
     {
-        if (bound)
-            bound->set_share(own, now);
+        if (rate_limit)
+            rate_limit->set_share(own, now);
     }
 
-    /*! @brief Tells whether it said that it leaves: it wants no new work. */
-    [[nodiscard]] bool leaving() const { return leaves; }
+    /*! @brief Returns whether it announced that it is leaving: it accepts no
+     * new requests. */
+    [[nodiscard]] bool leaving() const { return is_leaving; }
 
-    /*! @brief Tells whether any of them keeps requests away. */
-    [[nodiscard]] bool restrict_sends(time_point now) const
+    /*! @brief Returns whether any of the terms restricts requests. */
+    [[nodiscard]] bool restricts_sends(time_point now) const
     {
-        return leaves || bound || now < rests_until;
+        return is_leaving || rate_limit || now < backoff_end;
     }
 
-    /*! @brief Returns from when on a request may be sent there; a moment in the
-     * past when it may be now. */
+    /*! @brief Returns when the next request may be sent there; a time in the
+     * past if that is now. */
     [[nodiscard]] time_point next_send_at() const
     {
-        return std::max(rests_until,
-                        bound ? bound->next_send_at() : time_point{});
+        return std::max(backoff_end,
+                        rate_limit ? rate_limit->next_send_at() : time_point{});
     }
 
-    /*! @brief Returns until when it wants nothing from this entry. */
-    [[nodiscard]] time_point backoff_until() const { return rests_until; }
+    /*! @brief Returns until when it asked this entry to send nothing. */
+    [[nodiscard]] time_point backoff_until() const { return backoff_end; }
 
-    /*! @brief Returns what to tell other entries, while it is news. */
+    /*! @brief Returns the terms to report to other entries; nothing if they
+     * have not changed recently. */
     [[nodiscard]] std::optional<reported_terms>
     pending_report(time_point now) const
     {
-        if (told_at == time_point{} || now - told_at > report_period)
+        if (reportable_at == time_point{} ||
+            now - reportable_at > report_period)
             return std::nullopt;
-        reported_terms made;
-        made.leaving = leaves;
-        if (bound)
-            made.per_second = bound->per_second();
-        made.received_at = observed_at;
-        return made;
+        reported_terms result;
+        result.leaving = is_leaving;
+        if (rate_limit)
+            result.per_second = rate_limit->per_second();
+        result.received_at = newest_response_at;
+        return result;
     }
 
     [[nodiscard]] const std::optional<request_limit>& limit() const
     {
-        return bound;
+        return rate_limit;
     }
 
-    /*! @brief Returns since when the present terms hold here. */
+    /*! @brief Returns when this entry learnt the current terms. */
     [[nodiscard]] time_point since() const { return known_since; }
 
-    /*! @brief Returns who told them: an entry's address, or `answer`. */
+    /*! @brief Returns where the current terms come from: the address of an
+     * entry, or `answer` for a response to this one. */
     [[nodiscard]] const std::string& told_by() const { return source; }
 
 private:
-    static constexpr const char* own_source = "answer";
+    static constexpr const char* response_source = "answer";
 
-    /*! @brief A life of an upstream that leaves does not come back: nothing
-     * takes that word back, and no answer without it. */
-    bool leave(const std::string& from, time_point now)
+    /*! @brief Marks it as leaving for good: an incarnation that leaves does not
+     * come back, so a later response without the announcement does not revoke
+     * it. */
+    bool set_leaving(const std::string& from, time_point now)
     {
-        if (leaves)
+        if (is_leaving)
             return false;
-        leaves = true;
+        is_leaving = true;
         known_since = now;
         source = from;
         return true;
     }
 
-    /*! @brief A rest is asked of this entry alone, and a shorter one does not
-     * shorten it.
-     * @return Whether it rested not yet. */
-    bool rest(milliseconds length, time_point now)
+    /*! @brief Starts or extends a back-off. It applies to this entry only, and
+     * a shorter one does not shorten it.
+     * @return Whether no back-off was in effect. */
+    bool back_off(milliseconds length, time_point now)
     {
-        const bool begins = now >= rests_until;
-        rests_until = std::max<time_point>(rests_until, now + length);
+        const bool begins = now >= backoff_end;
+        backoff_end = std::max<time_point>(backoff_end, now + length);
         if (begins)
         {
             known_since = now;
-            source = own_source;
+            source = response_source;
         }
         return begins;
     }
 
-    bool heard_limit(const received_notice& one, time_point now)
+    bool apply_announced_limit(const received_notice& one, time_point now)
     {
         if (const auto& per_second = one.notice.requests_per_second)
-            return named(*per_second, now);
-        // An answer to a request from before the limit was known may have been
-        // on its way when the upstream named it.
-        if (!bound || !one.succeeded || one.notice.unreadable ||
-            one.sent_at <= bound->known_since())
+            return set_announced_limit(*per_second, now);
+        // A request sent before the limit was known may have been answered
+        // before the upstream announced it.
+        if (!rate_limit || !one.succeeded || one.notice.unreadable ||
+            one.sent_at <= rate_limit->known_since())
             return false;
-        bound.reset();
-        observed_at = told_at = known_since = now;
-        source = own_source;
+        rate_limit.reset();
+        newest_response_at = reportable_at = known_since = now;
+        source = response_source;
         return true;
     }
 
-    bool told_limit(const reported_terms& one, const std::string& from,
-                    time_point now)
+    bool apply_reported_limit(const reported_terms& one,
+                              const std::string& from, time_point now)
     {
-        if (one.received_at <= observed_at)
+        if (one.received_at <= newest_response_at)
             return false;
-        observed_at = one.received_at;
+        newest_response_at = one.received_at;
         if (one.per_second)
-            return take_limit(*one.per_second, one.received_at, from, now);
-        if (!bound)
+            return set_limit(*one.per_second, one.received_at, from, now);
+        if (!rate_limit)
             return false;
-        bound.reset();
+        rate_limit.reset();
         known_since = now;
         source = from;
         return true;
     }
 
-    bool named(double per_second, time_point now)
+    bool set_announced_limit(double per_second, time_point now)
     {
-        const bool changed = take_limit(per_second, now, own_source, now);
-        observed_at = now;
-        // Only a holder's answers are news while the limit stays as it is.
-        if (changed || bound->own_share().holds_share())
-            told_at = now;
+        const bool changed = set_limit(per_second, now, response_source, now);
+        newest_response_at = now;
+        // While the limit is unchanged, only responses to its holders are
+        // reported.
+        if (changed || rate_limit->own_share().holds_share())
+            reportable_at = now;
         return changed;
     }
 
-    bool take_limit(double per_second, time_point at, const std::string& from,
-                    time_point now)
+    bool set_limit(double per_second, time_point at, const std::string& from,
+                   time_point now)
     {
-        const bool changed = !bound || bound->per_second() != per_second;
-        if (!bound)
-            bound.emplace(per_second, at, now);
-        bound->update(per_second, at);
+        const bool changed =
+            !rate_limit || rate_limit->per_second() != per_second;
+        if (!rate_limit)
+            rate_limit.emplace(per_second, at, now);
+        rate_limit->update(per_second, at);
         if (!changed)
             return false;
         known_since = now;
@@ -211,11 +221,11 @@
         return true;
     }
 
-    bool leaves{false};
-    time_point rests_until{};
-    std::optional<request_limit> bound;
-    time_point observed_at{}; /*!< When the newest answer came, to whomever. */
-    time_point told_at{};     /*!< When an own answer was news. */
+    bool is_leaving{false};
+    time_point backoff_end{};
+    std::optional<request_limit> rate_limit;
+    time_point newest_response_at{}; /*!< To any entry. */
+    time_point reportable_at{}; /*!< Last own response that others must know. */
     time_point known_since{};
     std::string source;
 };
--- a/src/coursejunction/route/urgency.hpp
+++ b/src/coursejunction/route/urgency.hpp
@@ -1,8 +1,7 @@
 /*! @file
- * @brief Ranks requests that wait at one upstream; pure.
- *
- * Load pattern: places are taken, and requests of kinds with unlike targets
- * wait at an engine together with some that are late already.
+ * @brief Orders the requests that wait at one upstream; pure.
+ * Load pattern: all slots are taken, and requests of kinds with different
+ * targets wait at an engine, some of them past their target already.
  */
 #ifndef COURSEJUNCTION_ROUTE_URGENCY_HPP
 #define COURSEJUNCTION_ROUTE_URGENCY_HPP
@@ -15,28 +14,30 @@
 namespace coursejunction
 {
 
-/*! @brief Rank among requests that wait; 0 is taken first, 9 last. */
+/*! @brief Order of waiting requests; 0 is served first, 9 last. */
 using urgency = strong<struct urgency_tag, std::uint8_t>;
 
-/*! @brief A request that says nothing of its urgency. */
+/*! @brief Urgency of a request that specifies none. */
 inline const urgency usual_urgency{5};
 
-/*! @brief A stream that goes on: its caller reads already. */
+/*! @brief Urgency of a stream that is resumed: its client is already reading.
+ */
 inline const urgency stream_urgency{0};
 
-/*! @brief A request whose target is lost: whoever can be in time goes first. */
+/*! @brief Urgency of a request past its target: those that can still meet
+ * theirs go first. */
 inline const urgency late_urgency{9};
 
-/*! @brief Returns the urgency of a request that may still be in time: a rank
- * for each 100 ms that are left of its target, as targets of engines differ
- * by that much. */
+/*! @brief Returns the urgency of a request that can still meet its target: one
+ * step per 100 ms left, as the targets of engine services differ by that much.
+ */
 [[nodiscard]] inline urgency urgency_of(milliseconds left_of_target)
 {
-    constexpr milliseconds rank{100};
+    constexpr milliseconds step{100};
     constexpr std::int64_t first = 1;
     constexpr std::int64_t last = 8;
     return urgency(static_cast<std::uint8_t>(
-        std::clamp<std::int64_t>(left_of_target / rank, first, last)));
+        std::clamp<std::int64_t>(left_of_target / step, first, last)));
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/route/version_floor.hpp
+++ b/src/coursejunction/route/version_floor.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief From when on older weights of a model may no longer be used.
+ * @brief The minimum version of each model's weights that may begin requests.
  */
 #ifndef COURSEJUNCTION_ROUTE_VERSION_FLOOR_HPP
 #define COURSEJUNCTION_ROUTE_VERSION_FLOOR_HPP
@@ -16,150 +16,153 @@
 namespace coursejunction
 {
 
-/*! @brief Versions by model with the time from which each must be used. A
- * version that is named binds on its own, whatever is named after it. */
+/*! @brief Published versions by model, with the time from which each is
+ * enforced as the minimum. Each version is enforced at its own time, whatever
+ * is published after it. */
 class version_floor
 {
 public:
-    /*! @brief Notes a version that is to be served.
-     * @param known When the first process learnt of it.
-     * @param allowed How long older weights may still begin requests. */
+    /*! @brief Adds a published version.
+     * @param published When the first process learnt of it.
+     * @param grace How long older weights may still begin requests. */
     void add_published(const std::string& model, std::uint64_t version,
-                       time_point known, milliseconds allowed)
+                       time_point published, milliseconds grace)
     {
-        auto& list = targets[model];
+        auto& list = published_versions[model];
         const auto found = std::find_if(list.begin(), list.end(),
                                         [&](const auto& one)
                                         { return one.version == version; });
         if (found == list.end())
-            list.push_back({version, known + allowed, known + allowed});
+            list.push_back({version, published + grace, published + grace});
     }
 
-    /*! @brief Notes the newest version as a process finds it at its start. One
-     * named before it may bind sooner, and nobody tells when: what is older
-     * than that one begins nothing here any more. Without this, an entry that
-     * starts between two versions 2 s apart uses the oldest weights for 2 s
-     * longer than the others. */
+    /*! @brief Adds the newest version that this process finds when it starts.
+     * The version published before it may be enforced earlier, at a time
+     * unknown here, so anything older than that version may not begin requests
+     * any more. Without this, an entry that starts between two versions
+     * published 2 s apart uses the oldest weights 2 s longer than the others.
+     */
     void add_found_at_startup(const std::string& model, std::uint64_t version,
-                              time_point known, milliseconds allowed)
+                              time_point published, milliseconds grace)
     {
-        if (targets.count(model) == 0 && version > 2)
-            targets[model].push_back(
+        if (published_versions.count(model) == 0 && version > 2)
+            published_versions[model].push_back(
                 {version - 1, time_point{}, time_point::max()});
-        add_published(model, version, known, allowed);
-        unsure[model] = version;
+        add_published(model, version, published, grace);
+        publish_time_missing[model] = version;
     }
 
-    /*! @brief Notes that a version was named later than was believed; one that
-     * binds already goes on to.
-     * @param known When it was. */
+    /*! @brief Corrects the publish time of a version to a later one; a version
+     * that is already enforced remains so.
+     * @param published When the first process learnt of it. */
     void postpone(const std::string& model, std::uint64_t version,
-                  time_point known, milliseconds allowed, time_point now)
+                  time_point published, milliseconds grace, time_point now)
     {
-        for (auto& one : targets[model])
+        for (auto& one : published_versions[model])
         {
-            if (one.version != version || now >= one.binds_at)
+            if (one.version != version || now >= one.enforced_at)
                 continue;
-            one.binds_at = std::max(one.binds_at, known + allowed);
-            one.known_to_bind_at =
-                std::max(one.known_to_bind_at, known + allowed);
+            one.enforced_at = std::max(one.enforced_at, published + grace);
+            one.known_enforced_at =
+                std::max(one.known_enforced_at, published + grace);
         }
     }
 
-    /*! @brief Notes a version that is known to bind, whenever it was named. */
+    /*! @brief Enforces a version now, whenever it was published: other
+     * processes already do. */
     void enforce(const std::string& model, std::uint64_t version)
     {
-        auto& list = targets[model];
+        auto& list = published_versions[model];
         const auto found = std::find_if(list.begin(), list.end(),
                                         [&](const auto& one)
                                         { return one.version == version; });
         if (found == list.end())
             list.push_back({version, {}, {}});
         else
-            found->binds_at = found->known_to_bind_at = time_point{};
+            found->enforced_at = found->known_enforced_at = time_point{};
     }
 
-    /*! @brief Tells whether the time of a version is only that of its finding
-     * at the start of this process. */
+    /*! @brief Returns whether the publish time of a version is only the time at
+     * which this process found it at its start. */
     [[nodiscard]] bool publish_time_unknown(const std::string& model,
                                             std::uint64_t version) const
     {
-        const auto found = unsure.find(model);
-        return found != unsure.end() && found->second == version;
+        const auto found = publish_time_missing.find(model);
+        return found != publish_time_missing.end() && found->second == version;
     }
 
-    /*! @brief Most upstreams serve a version that was only found: it was named
-     * long ago, and binds now. Where all processes end together nobody else
-     * knows when it was named, and an upstream that was left on older weights
-     * would be used again for as long as after a naming. */
+    /*! @brief Enforces a version found at startup that most upstreams serve: it
+     * was published long ago. If all processes restart together, none knows
+     * when that was, and an upstream left on older weights would be used again
+     * for the whole time allowed after a publication. */
     void mark_widely_served(const std::string& model, std::uint64_t version)
     {
         if (!publish_time_unknown(model, version))
             return;
-        unsure.erase(model);
-        for (auto& one : targets[model])
+        publish_time_missing.erase(model);
+        for (auto& one : published_versions[model])
             if (one.version == version)
-                one.binds_at = time_point{};
+                one.enforced_at = time_point{};
     }
 
-    /*! @brief Returns the least version that may begin a request. */
+    /*! @brief Returns the minimum version that may begin a request. */
     [[nodiscard]] std::uint64_t minimum(const std::string& model,
                                         time_point now) const
     {
-        return highest(model,
-                       [&](const target& one) { return now >= one.binds_at; });
+        return highest(model, [&](const published_version& one)
+                       { return now >= one.enforced_at; });
     }
 
-    /*! @brief Returns the least version that may begin a request by what is
-     * known of the times of naming: what this process only infers from its
-     * own start is left out, so that others may go by it. */
+    /*! @brief Returns the minimum version by known publish times only, to
+     * report to others: excludes what this process infers from its own start.
+     */
     [[nodiscard]] std::uint64_t known_minimum(const std::string& model,
                                               time_point now) const
     {
-        return highest(model, [&](const target& one)
-                       { return now >= one.known_to_bind_at; });
+        return highest(model, [&](const published_version& one)
+                       { return now >= one.known_enforced_at; });
     }
 
     /*! @brief Returns when a version becomes too old to begin a request;
-     * nothing while no newer one is named. */
+     * nothing while no newer one is published. */
     [[nodiscard]] std::optional<time_point>
     superseded_at(const std::string& model, std::uint64_t version) const
     {
         std::optional<time_point> first;
-        const auto found = targets.find(model);
-        if (found == targets.end())
+        const auto found = published_versions.find(model);
+        if (found == published_versions.end())
             return first;
         for (const auto& one : found->second)
         {
-            if (one.version > version && (!first || one.binds_at < *first))
-                first = one.binds_at;
+            if (one.version > version && (!first || one.enforced_at < *first))
+                first = one.enforced_at;
         }
         return first;
     }
 
-    /*! @brief Returns the newest version that was named, 1 when none was. */
+    /*! @brief Returns the newest published version; 1 if there is none. */
     [[nodiscard]] std::uint64_t newest(const std::string& model) const
     {
-        return highest(model, [](const target&) { return true; });
+        return highest(model, [](const published_version&) { return true; });
     }
 
 private:
-    struct target
+    struct published_version
     {
         std::uint64_t version{1};
-        time_point binds_at{};
-        time_point known_to_bind_at{}; /*!< Without what is only inferred. */
+        time_point enforced_at{};
+        time_point known_enforced_at{}; /*!< Without inferred times. */
     };
 
-    /*! @brief Returns the highest version that a condition holds for; 1 when
-     * it holds for none. */
+    /*! @brief Returns the highest version for which a predicate holds; 1 if it
+     * holds for none. */
     template <typename Condition>
     [[nodiscard]] std::uint64_t highest(const std::string& model,
                                         Condition holds) const
     {
         std::uint64_t version = 1;
-        const auto found = targets.find(model);
-        if (found == targets.end())
+        const auto found = published_versions.find(model);
+        if (found == published_versions.end())
             return version;
         for (const auto& one : found->second)
         {
@@ -169,9 +172,9 @@
         return version;
     }
 
-    std::map<std::string, std::vector<target>> targets;
-    /*! @brief Versions of which it is not known when they were named. */
-    std::map<std::string, std::uint64_t> unsure;
+    std::map<std::string, std::vector<published_version>> published_versions;
+    /*! @brief Versions found at startup, whose publish time is not known. */
+    std::map<std::string, std::uint64_t> publish_time_missing;
 };
 
 } // namespace coursejunction
--- a/tests/route/placement.cpp
+++ b/tests/route/placement.cpp
@@ -148,7 +148,7 @@
             auto again = wanted();
             again.excluded = {cj::instance_id("near")};
             CHECK_FALSE(places.choose(book, service, again, now, why));
-            again.may_retry_excluded = true;
+            again.may_reuse_excluded = true;
             CHECK(places.choose(book, service, again, now, why));
         }
     }
@@ -202,7 +202,7 @@
     }
     SECTION("a second one after its own failure")
     {
-        asked.may_retry_excluded = true;
+        asked.may_reuse_excluded = true;
         asked.excluded = {near};
     }
     SECTION("where requests are kept apart")
