--- a/bench/load_sweep.cpp
+++ b/bench/load_sweep.cpp
@@ -57,7 +57,7 @@
     played.engines = size.engines;
     played.seed = seed;
     if (!played.entry_weights.empty())
-        load_replay::make_uneven(played);
+        load_replay::use_uneven_load(played);
     const bool slow =
         played.engine.slots == load_replay::slow_engine_profile().slots;
     const double rate = (slow ? ended_per_slow_engine : ended_per_engine) *
--- a/tests/route/admission.cpp
+++ b/tests/route/admission.cpp
@@ -10,87 +10,86 @@
 
 cj::engine_profile engine()
 {
-    cj::engine_profile made;
-    made.slots = 16;
-    made.step_ms = 7;
-    made.read_per_ms = 30;
-    made.stride = 6;
-    made.usual_answer = 120;
-    return made;
+    cj::engine_profile result;
+    result.slots = 16;
+    result.step_ms = 7;
+    result.read_per_ms = 30;
+    result.stride = 6;
+    result.usual_answer = 120;
+    return result;
 }
 
-/*! @brief Every second request of a second is refused. */
-void refuse_half(cj::admission& gate, cj::time_point from)
+/*! @brief Refuses every second request for one second. */
+void refuse_half(cj::admission& control, cj::time_point from)
 {
     for (int number = 0; number < 50; ++number)
     {
         const auto now = from + number * 20ms;
-        gate.record_arrival(400ms, now);
-        gate.record_arrival(300ms, now);
-        gate.record_refusal(now);
+        control.record_arrival(400ms, now);
+        control.record_arrival(300ms, now);
+        control.record_refusal(now);
     }
 }
 
 } // namespace
 
-SCENARIO("what an engine must be able to do for a request", "[route]")
+SCENARIO("admission limits for a request to an engine", "[route]")
 {
-    cj::admission gate;
+    cj::admission control;
     const cj::time_point start{100s};
-    gate.record_arrival(300ms, start);
-    gate.record_arrival(400ms, start);
+    control.record_arrival(300ms, start);
+    control.record_arrival(400ms, start);
 
     GIVEN("no overload")
     {
-        THEN("a new request needs its own target only")
+        THEN("a new request only needs to meet its own target")
         {
-            const auto limits = gate.limits(engine(), 400ms, 0ms, start);
+            const auto limits = control.limits(engine(), 400ms, 0ms, start);
             CHECK(limits.first_event_ms == Approx(460));
             CHECK(limits.typical_first_event_ms == Approx(460));
         }
-        THEN("one that comes back quickly has what is left of its target")
+        THEN("a quick client retry has only the rest of its target")
         {
-            const auto limits = gate.limits(engine(), 400ms, 150ms, start);
+            const auto limits = control.limits(engine(), 400ms, 150ms, start);
             CHECK(limits.first_event_ms == Approx(310));
         }
-        THEN("one whose target is lost needs a free place, not a time")
+        THEN(
+            "a request past its target needs a free slot but no predicted time")
         {
-            const auto limits = gate.limits(engine(), 400ms, 900ms, start);
+            const auto limits = control.limits(engine(), 400ms, 900ms, start);
             CHECK(limits.first_event_ms > 1e9);
             CHECK(limits.max_in_flight < 16);
         }
     }
     GIVEN("half of the new requests are refused")
     {
-        refuse_half(gate, start);
+        refuse_half(control, start);
         const auto now = start + 1s;
-        THEN("the tightest target counts for all kinds")
+        THEN("the tightest target limits requests of all kinds")
         {
-            CHECK(
-                gate.limits(engine(), 400ms, 0ms, now).typical_first_event_ms ==
-                Approx(300));
-            CHECK(
-                gate.limits(engine(), 300ms, 0ms, now).typical_first_event_ms ==
-                Approx(300));
+            CHECK(control.limits(engine(), 400ms, 0ms, now)
+                      .typical_first_event_ms == Approx(300));
+            CHECK(control.limits(engine(), 300ms, 0ms, now)
+                      .typical_first_event_ms == Approx(300));
         }
         THEN("a long prompt may still use its own target")
         {
-            CHECK(gate.limits(engine(), 400ms, 0ms, now).first_event_ms ==
+            CHECK(control.limits(engine(), 400ms, 0ms, now).first_event_ms ==
                   Approx(460));
         }
-        THEN("a target that hardly anybody has doesn't count")
+        THEN("a target that hardly any request has does not count")
         {
-            gate.record_arrival(50ms, now);
-            CHECK(
-                gate.limits(engine(), 400ms, 0ms, now).typical_first_event_ms ==
-                Approx(300));
+            control.record_arrival(50ms, now);
+            CHECK(control.limits(engine(), 400ms, 0ms, now)
+                      .typical_first_event_ms == Approx(300));
         }
-        THEN("calm returns with the last refusals")
+        THEN("the refusal ratio drops soon after the last refusals")
         {
-            CHECK(gate.refusal_ratio(now + 5s) < 0.01);
+            CHECK(control.refusal_ratio(now + 5s) < 0.01);
         }
     }
-    GIVEN("a target shorter than a free place takes")
+    GIVEN("a target shorter than the time of the first event in the last free "
+          "slot")
     {
         cj::admission tight;
         tight.record_arrival(20ms, start);
@@ -99,7 +98,7 @@
             tight.record_arrival(20ms, start);
             tight.record_refusal(start);
         }
-        THEN("no place stays empty for it")
+        THEN("it does not keep that slot empty")
         {
             CHECK(tight.limits(engine(), 400ms, 0ms, start)
                       .typical_first_event_ms >=
@@ -108,32 +107,32 @@
     }
 }
 
-SCENARIO("when a refused caller should come back", "[route]")
+SCENARIO("Retry-After of refused requests", "[route]")
 {
-    cj::admission gate;
+    cj::admission control;
     const cj::time_point start{100s};
 
-    GIVEN("a lone refusal")
+    GIVEN("a single refusal")
     {
-        gate.record_arrival(400ms, start);
-        gate.record_refusal(start);
-        THEN("a place is found soon")
+        control.record_arrival(400ms, start);
+        control.record_refusal(start);
+        THEN("the client is asked to retry soon")
         {
-            CHECK(gate.retry_after(6s, start) == 200ms);
+            CHECK(control.retry_after(6s, start) == 200ms);
         }
     }
     GIVEN("an overload")
     {
-        refuse_half(gate, start);
+        refuse_half(control, start);
         const auto now = start + 980ms;
-        THEN("the later the better, up to what callers heed")
+        THEN("the client is asked to retry as late as clients accept")
         {
-            CHECK(gate.retry_after(6s, now) == 2s);
-            CHECK(gate.retry_after(1500ms, now) == 500ms);
+            CHECK(control.retry_after(6s, now) == 2s);
+            CHECK(control.retry_after(1500ms, now) == 500ms);
         }
-        THEN("soon again when nobody was refused for a while")
+        THEN("the client is asked to retry soon once the refusals are over")
         {
-            CHECK(gate.retry_after(6s, now + 5s) < 250ms);
+            CHECK(control.retry_after(6s, now + 5s) < 250ms);
         }
     }
 }
--- a/tests/route/dispatcher.cpp
+++ b/tests/route/dispatcher.cpp
@@ -13,107 +13,107 @@
 namespace
 {
 
-/*! @brief More by a third than the engines can end, which is some 146 a
- * second. */
+/*! @brief A third more requests than the engines can serve, which is about 146
+ * a second. */
 load_pattern sustained_overload(std::uint64_t seed)
 {
-    load_pattern made;
-    made.rate = [](double) { return 190.0; };
-    made.seed = seed;
-    return made;
+    load_pattern pattern;
+    pattern.rate = [](double) { return 190.0; };
+    pattern.seed = seed;
+    return pattern;
 }
 
-/*! @brief Two thirds of what the engines can end, and nearly twice of it from
- * the 6th to the 9th second, with callers of which a part doesn't wait before
- * it comes back. */
+/*! @brief Two thirds of the engines' capacity, and nearly twice of it from the
+ * 6th to the 9th second. Some refused clients retry at once. */
 load_pattern short_burst(std::uint64_t seed)
 {
-    load_pattern made;
-    made.seconds = 20;
-    made.rate = [](double second)
+    load_pattern pattern;
+    pattern.seconds = 20;
+    pattern.rate = [](double second)
     { return second >= 6 && second < 9 ? 260.0 : 90.0; };
-    made.impatient_fraction = 0.3;
-    made.seed = seed;
-    return made;
+    pattern.impatient_fraction = 0.3;
+    pattern.seed = seed;
+    return pattern;
 }
 
-/*! @brief Admission that tells no late callers from new ones. */
-coursejunction::dispatch_options late_like_new()
+/*! @brief Admission that treats requests past their target like new ones. */
+coursejunction::dispatch_options late_treated_as_new()
 {
-    coursejunction::dispatch_options made;
-    made.admission.late_fraction = std::numeric_limits<double>::infinity();
-    return made;
+    coursejunction::dispatch_options options;
+    options.admission.late_fraction = std::numeric_limits<double>::infinity();
+    return options;
 }
 
-/*! @brief Admission by each kind's own target alone. */
+/*! @brief Admission that checks only the target of the request itself. */
 coursejunction::dispatch_options own_targets_only()
 {
-    coursejunction::dispatch_options made;
-    made.admission.full_refusal_ratio = std::numeric_limits<double>::infinity();
-    return made;
+    coursejunction::dispatch_options options;
+    options.admission.full_refusal_ratio =
+        std::numeric_limits<double>::infinity();
+    return options;
 }
 
 } // namespace
 
-SCENARIO("more is asked for, without end, than the engines can do", "[route]")
+SCENARIO("a lasting overload of the engines", "[route]")
 {
     const auto seed = GENERATE(std::uint64_t{1}, 2, 3);
-    const auto played = simulator(sustained_overload(seed)).run();
+    const auto result = simulator(sustained_overload(seed)).run();
 
-    THEN("most callers are in time")
+    THEN("most requests are in time")
     {
-        CHECK(played.all.in_time_fraction() > 0.68);
+        CHECK(result.all.in_time_fraction() > 0.68);
     }
-    THEN("the kind with the tighter target isn't left behind")
+    THEN("the kind with the tighter target is served as well as the others")
     {
-        CHECK(played.kinds.at("short").in_time_fraction() >
-              played.kinds.at("long").in_time_fraction() - 0.05);
+        CHECK(result.kinds.at("short").in_time_fraction() >
+              result.kinds.at("long").in_time_fraction() - 0.05);
     }
-    THEN("long prompts aren't left behind either")
+    THEN("long prompts are served nearly as well as others")
     {
-        CHECK(played.kinds.at("long").in_time_fraction() >
-              0.85 * played.kinds.at("middle").in_time_fraction());
+        CHECK(result.kinds.at("long").in_time_fraction() >
+              0.85 * result.kinds.at("middle").in_time_fraction());
     }
-    THEN("no entry's callers starve")
+    THEN("no entry's clients starve")
     {
-        for (const auto& [entry, one] : played.entries)
+        for (const auto& [entry, one] : result.entries)
             CHECK(one.in_time_fraction() > 0.5);
     }
-    WHEN("callers that come back late are taken for new ones")
+    WHEN("requests past their target are treated like new ones")
     {
-        auto same = sustained_overload(seed);
-        same.options = late_like_new();
-        THEN("they crowd out those that could be in time")
+        auto pattern = sustained_overload(seed);
+        pattern.options = late_treated_as_new();
+        THEN("they crowd out requests that could meet theirs")
         {
-            CHECK(simulator(same).run().all.in_time_fraction() <
-                  0.6 * played.all.in_time_fraction());
+            CHECK(simulator(pattern).run().all.in_time_fraction() <
+                  0.6 * result.all.in_time_fraction());
         }
     }
-    WHEN("only each kind's own target counts")
+    WHEN("only the target of the request itself is checked")
     {
-        auto same = sustained_overload(seed);
-        same.options = own_targets_only();
-        THEN("the kind with the tighter target pays")
+        auto pattern = sustained_overload(seed);
+        pattern.options = own_targets_only();
+        THEN("the kind with the tighter target is served less")
         {
-            const auto other = simulator(same).run();
-            CHECK(other.kinds.at("short").in_time_fraction() <
-                  played.kinds.at("short").in_time_fraction());
+            const auto unprotected = simulator(pattern).run();
+            CHECK(unprotected.kinds.at("short").in_time_fraction() <
+                  result.kinds.at("short").in_time_fraction());
         }
     }
 }
 
-SCENARIO("a burst passes", "[route]")
+SCENARIO("recovery after a short burst of requests", "[route]")
 {
     const auto seed = GENERATE(std::uint64_t{1}, 2, 3);
-    const auto played = simulator(short_burst(seed)).run();
+    const auto result = simulator(short_burst(seed)).run();
 
-    THEN("three seconds later nearly everybody is in time again")
+    THEN("three seconds later nearly all requests are in time again")
     {
-        CHECK(played.between(12, 20).in_time_fraction() > 0.95);
+        CHECK(result.between(12, 20).in_time_fraction() > 0.95);
     }
-    THEN("many of those that were refused are answered when they come back")
+    THEN("many of the refused clients are served when they retry")
     {
-        const auto burst = played.between(6, 9);
+        const auto burst = result.between(6, 9);
         CHECK(burst.late > 0.2 * (burst.late + burst.refused));
     }
 }
@@ -121,46 +121,46 @@
 namespace
 {
 
-/*! @brief More by a third than the engines can end, at many entries of uneven
- * load before one set of engines. */
+/*! @brief A third more requests than the engines can serve, at many unevenly
+ * loaded entries that share them. */
 load_pattern overload_at_size(std::uint64_t seed)
 {
-    constexpr double ended = 4.8;
-    load_pattern made;
-    made.halls = 5;
-    made.entries = 53;
-    made.engines = 120;
-    made.seconds = 12;
-    made.seed = seed;
-    load_replay::use_slow_engines(made);
-    load_replay::make_uneven(made);
-    made.rate = [](double) { return ended * 120 * 1.3; };
-    return made;
+    constexpr double served_per_engine = 4.8;
+    load_pattern pattern;
+    pattern.halls = 5;
+    pattern.entries = 53;
+    pattern.engines = 120;
+    pattern.seconds = 12;
+    pattern.seed = seed;
+    load_replay::use_slow_engines(pattern);
+    load_replay::use_uneven_load(pattern);
+    pattern.rate = [](double) { return served_per_engine * 120 * 1.3; };
+    return pattern;
 }
 
-/*! @brief Returns the least part of the callers in time at any entry. */
-double worst_entry(const load_replay::result& played)
+/*! @brief Returns the smallest fraction of requests in time at any entry. */
+double worst_entry(const load_replay::result& result)
 {
     double worst = 1;
-    for (const auto& [entry, one] : played.entries)
+    for (const auto& [entry, one] : result.entries)
         worst = std::min(worst, one.in_time_fraction());
     return worst;
 }
 
 } // namespace
 
-SCENARIO("many entries share engines that are asked for too much", "[route]")
+SCENARIO("many entries share overloaded engines", "[route]")
 {
     const auto seed = GENERATE(std::uint64_t{1}, 2);
-    const auto played = simulator(overload_at_size(seed)).run();
+    const auto result = simulator(overload_at_size(seed)).run();
 
-    THEN("most of what the engines end is in time")
+    THEN("most of the engines' capacity serves requests in time")
     {
-        CHECK(played.all.in_time_fraction() > 0.67);
-        CHECK(played.all.late < 0.15 * played.all.requests);
+        CHECK(result.all.in_time_fraction() > 0.67);
+        CHECK(result.all.late < 0.15 * result.all.requests);
     }
-    THEN("no entry's callers starve beside another's")
+    THEN("no entry's clients starve beside those of another")
     {
-        CHECK(worst_entry(played) > 0.35);
+        CHECK(worst_entry(result) > 0.35);
     }
 }
--- a/tests/route/engine_estimate.cpp
+++ b/tests/route/engine_estimate.cpp
@@ -26,25 +26,25 @@
 
 } // namespace
 
-SCENARIO("the first event is predicted from an engine's own figures", "[route]")
+SCENARIO("prediction of the first event from the engine's profile", "[route]")
 {
     const auto one = engine();
     cj::engine_load idle;
 
-    THEN("an idle engine reads the prompt and writes one stride")
+    THEN("an idle engine reads the prompt and decodes the first tokens")
     {
         const auto ms = cj::first_event_ms(one, idle, 1000);
         CHECK(ms > 1000 / 19.1 + 5 * 8.87);
         CHECK(ms < 150);
     }
-    THEN("a full engine makes the request wait for a place")
+    THEN("a request to a full engine waits for a slot")
     {
         cj::engine_load full;
         full.running = 16;
         CHECK(cj::first_event_ms(one, full, 1000) >
               cj::first_event_ms(one, idle, 1000) + 90);
     }
-    THEN("a slow engine takes as many times longer")
+    THEN("a slow engine takes longer by its pace factor")
     {
         cj::engine_load slow;
         slow.pace = 3;
@@ -53,9 +53,9 @@
     }
 }
 
-TEST_CASE("more work never makes a first event sooner", "[route]")
+TEST_CASE("more load never makes the predicted first event sooner", "[route]")
 {
-    rc::prop("monotone",
+    rc::prop("the prediction does not decrease as load grows",
              []
              {
                  const auto one = engine();
--- a/tests/route/engine_shares.cpp
+++ b/tests/route/engine_shares.cpp
@@ -23,21 +23,21 @@
 
 } // namespace
 
-SCENARIO("engines are divided between entries by what their callers ask",
+SCENARIO("engines are divided between entries in proportion to demand",
          "[route]")
 {
     const std::vector<double> places(6, 8);
 
-    THEN("a lone entry has every engine")
+    THEN("a single entry gets every engine")
     {
         const auto own = cj::demand_interval_of("a", {demand("n", "a", 0.5)});
         CHECK(cj::engine_fractions(own, places) == std::vector<double>(6, 1.0));
     }
-    GIVEN("two entries, one with twice the callers")
+    GIVEN("two entries, one with twice the demand")
     {
         const std::vector<cj::entry_demand> both{demand("n", "b", 20),
                                                  demand("n", "a", 10)};
-        THEN("each has whole engines")
+        THEN("each gets whole engines")
         {
             CHECK(cj::engine_fractions(cj::demand_interval_of("a", both),
                                        places) ==
@@ -47,29 +47,29 @@
                   std::vector<double>{0, 0, 1, 1, 1, 1});
         }
     }
-    GIVEN("an entry of another hall that has more callers than engines")
+    GIVEN("an entry with more demand than its hall has engines")
     {
         // Four engines are in hall n, two in hall s.
         const std::vector<cj::entry_demand> both{demand("s", "a", 30),
                                                  demand("n", "b", 30)};
-        THEN("it has those of its hall, and one of the other")
+        THEN("it gets those of its hall and one of the other")
         {
             CHECK(cj::engine_fractions(cj::demand_interval_of("a", both),
                                        places) ==
                   std::vector<double>{0, 0, 0, 1, 1, 1});
         }
     }
-    THEN("an entry that is not among them has nothing")
+    THEN("an entry that is not in the list gets nothing")
     {
         const auto own = cj::demand_interval_of("c", {demand("n", "a", 1)});
         CHECK(sum(cj::engine_fractions(own, places)) == 0);
     }
-    THEN("no engine at all is divided into nothing")
+    THEN("dividing no engines yields no fractions")
     {
         CHECK(cj::engine_fractions({0, 1}, {}).empty());
     }
     rc::prop(
-        "each engine is given away once",
+        "each engine is assigned exactly once",
         [&]
         {
             const auto count = *rc::gen::inRange<std::size_t>(1, 40);
--- a/tests/route/fair_queue.cpp
+++ b/tests/route/fair_queue.cpp
@@ -24,17 +24,17 @@
 
 } // namespace
 
-SCENARIO("organisations share fairly", "[route]")
+SCENARIO("fair shares between organisations", "[route]")
 {
     cj::fair_queue queue(1000);
     std::uint64_t number = 0;
-    GIVEN("a large organisation that floods and a small one")
+    GIVEN("an organisation that floods the queue and a small one")
     {
         for (int at = 0; at < 50; ++at)
             REQUIRE(queue.offer(request(++number, "large"), 0s, now).accepted);
         for (int at = 0; at < 5; ++at)
             REQUIRE(queue.offer(request(++number, "small"), 0s, now).accepted);
-        THEN("the small one gets every other turn")
+        THEN("the small one is served every other time")
         {
             int small = 0;
             for (int at = 0; at < 10; ++at)
@@ -42,7 +42,7 @@
             CHECK(small == 5);
         }
     }
-    GIVEN("weights")
+    GIVEN("organisations with different weights")
     {
         queue.set_weight(cj::organisation_id("large"), 3);
         for (int at = 0; at < 40; ++at)
@@ -63,27 +63,28 @@
     }
 }
 
-SCENARIO("requests that cannot be served in time are refused", "[route]")
+SCENARIO("requests that can't be served before their deadline are refused",
+         "[route]")
 {
     cj::fair_queue queue(1000);
-    // Ten requests a second end.
+    // The service rate is ten requests a second.
     for (int at = 0; at < 64; ++at)
         queue.record_completion(now - 6400ms + at * 100ms);
-    GIVEN("a deadline before the expected wait is over")
+    GIVEN("a deadline before the end of the expected wait")
     {
         for (std::uint64_t at = 0; at < 20; ++at)
             REQUIRE(queue.offer(request(at, "a"), 0s, now).accepted);
         auto late = request(99, "a");
         late.deadline = now + 1s;
         const auto verdict = queue.offer(late, 0s, now);
-        THEN("it is refused at once, with the time to come back")
+        THEN("the request is refused at once, with a Retry-After")
         {
             CHECK_FALSE(verdict.accepted);
             CHECK(verdict.retry_after >= 1500ms);
             CHECK(verdict.retry_after <= 2500ms);
         }
     }
-    GIVEN("one whose deadline came too near while it waited")
+    GIVEN("a deadline that became too close while the request waited")
     {
         auto one = request(1, "a");
         one.deadline = now + 1s;
@@ -100,7 +101,7 @@
     }
 }
 
-SCENARIO("organisations' names from outside take bounded memory", "[route]")
+SCENARIO("memory for organisation names sent by clients is bounded", "[route]")
 {
     cj::fair_queue queue(100);
     for (std::uint64_t at = 0; at < 20'000; ++at)
@@ -114,9 +115,9 @@
     CHECK(queue.organisation_count() <= 1100);
 }
 
-TEST_CASE("no request is lost or doubled in the queue", "[route]")
+TEST_CASE("the queue neither loses nor duplicates requests", "[route]")
 {
-    rc::prop("whoever comes and goes",
+    rc::prop("any sequence of offers and removals",
              [](const std::vector<std::uint8_t>& steps)
              {
                  cj::fair_queue queue(50);
--- a/tests/route/limit_replay.hpp
+++ b/tests/route/limit_replay.hpp
@@ -1,6 +1,7 @@
 /*! @file
- * @brief Entries that share the limit of one upstream, in virtual time: they
- * start, stop, freeze, are cut off from each other and lose heartbeats.
+ * @brief Simulates entries that share the rate limit of one upstream, in
+ * virtual time: they start, stop, are suspended, are disconnected from each
+ * other and lose heartbeats.
  */
 #ifndef COURSEJUNCTION_TESTS_ROUTE_LIMIT_REPLAY_HPP
 #define COURSEJUNCTION_TESTS_ROUTE_LIMIT_REPLAY_HPP
@@ -26,38 +27,40 @@
 
 namespace cj = coursejunction;
 
-/*! @brief What is played; times in seconds. */
-struct scene
+/*! @brief Parameters of a simulation; times in seconds. */
+struct simulation_options
 {
     std::size_t entries{5};
     std::size_t halls{3};
-    double per_second{1}; /*!< The limit that is named. */
-    double asked{3};      /*!< Requests a second an entry has for it. */
-    double named_at{2};
+    double per_second{1}; /*!< The limit that the upstream announces. */
+    double requests_per_second{3}; /*!< Requests a second per entry. */
+    double announced_at{2};
     double ends_at{17};
-    double lasts{21};
-    double loss{0.03};        /*!< Of heartbeats. */
-    std::size_t restarted{0}; /*!< Entries that start again, one a second. */
+    double duration{21};
+    double heartbeat_loss{0.03}; /*!< Fraction of heartbeats lost. */
+    std::size_t restarted{0};    /*!< Entries that restart, one a second. */
     std::size_t stopped{0};   /*!< Entries that stop for good, one a second. */
-    std::size_t killed{0};    /*!< Entries that end unheard, one a second. */
-    std::size_t frozen{0};    /*!< Entries that stand still for 2 s. */
-    std::size_t cut{0};       /*!< Entries that hear no other, for 5 s. */
+    std::size_t crashed{0};   /*!< Entries that crash, one a second. */
+    std::size_t suspended{0}; /*!< Entries that are suspended for 2 s. */
+    std::size_t disconnected{
+        0}; /*!< Entries that receive no heartbeats for 5 s. */
     unsigned seed{1};
 };
 
-/*! @brief What the upstream saw while it named its limit. */
-struct outcome
+/*! @brief What the upstream observed while it announced its limit. */
+struct simulation_result
 {
-    /*! @brief Requests in the worst 4 s, from entries that knew the limit. */
+    /*! @brief Most requests in any 4 s, from entries that knew the limit. */
     std::size_t worst_window{0};
-    std::size_t unknowing{0}; /*!< Requests of entries that did not. */
-    /*! @brief Part of the room that was used once entries knew the limit. */
-    double used{0};
-    /*! @brief Seconds from its end until half of what is asked comes. */
-    double recovered{std::numeric_limits<double>::infinity()};
+    std::size_t unaware_requests{0}; /*!< Requests of entries that did not. */
+    /*! @brief Fraction of the limit used once entries knew it. */
+    double used_fraction{0};
+    /*! @brief Seconds from its end until half a second's worth of requests has
+     * arrived. */
+    double recovery_seconds{std::numeric_limits<double>::infinity()};
 };
 
-/*! @brief Requests that a rule of the service allows in 4 s. */
+/*! @brief Returns the requests that the service's rules allow in 4 s. */
 inline double allowed(double per_second)
 {
     constexpr double window = 4;
@@ -68,7 +71,7 @@
 
 inline cj::time_point moment(double seconds)
 {
-    // An hour in, since the epoch means never.
+    // Starts at an hour, as the epoch means never.
     return cj::time_point{std::chrono::hours(1)} + cj::from_seconds(seconds);
 }
 
@@ -77,170 +80,178 @@
     return cj::instance_id("u");
 }
 
-/*! @brief The product's own: few entries hold the limit, by a rendezvous. */
-class holders
+/*! @brief The service's own way: a few entries, selected by rendezvous hashing,
+ * hold the limit. */
+class assigned_holders
 {
 public:
-    explicit holders(std::string address, unsigned /*seed*/)
+    explicit assigned_holders(std::string address, unsigned /*seed*/)
         : own(std::move(address))
     {
         cj::upstream_record record;
         record.id = upstream();
         record.hall = cj::hall_id("hall-0");
-        book.apply_record(record);
+        registry.apply_record(record);
     }
 
-    void heard(const cj::received_notice& notice, cj::time_point now)
+    void apply_notice(const cj::received_notice& notice, cj::time_point now)
     {
-        book.apply_notice(upstream(), notice, now);
+        registry.apply_notice(upstream(), notice, now);
     }
 
-    void told(const cj::message::upstream_terms& news, const std::string& from,
-              cj::time_point now)
+    void apply_report(const cj::message::upstream_terms& report,
+                      const std::string& from, cj::time_point now)
     {
-        book.apply_reported_terms(upstream(), {}, cj::terms_of(news, now), from,
-                                  now);
+        registry.apply_reported_terms(upstream(), {}, cj::terms_of(report, now),
+                                      from, now);
     }
 
-    void share(const std::vector<cj::entry_demand>& entries, cj::time_point now)
+    void assign_shares(const std::vector<cj::entry_demand>& entries,
+                       cj::time_point now)
     {
-        book.assign_limit_shares(own, entries, now);
+        registry.assign_limit_shares(own, entries, now);
     }
 
-    void sent(cj::time_point now)
+    void record_send(cj::time_point now)
     {
-        book.begin_attempt(upstream(), ++number, 0, now);
-        book.cancel_attempt(upstream(), number);
+        registry.begin_attempt(upstream(), ++number, 0, now);
+        registry.cancel_attempt(upstream(), number);
     }
 
-    [[nodiscard]] bool limited() const
+    [[nodiscard]] bool knows_limit() const
     {
-        return book.find(upstream())->terms.limit().has_value();
+        return registry.find(upstream())->terms.limit().has_value();
     }
 
-    [[nodiscard]] bool open(cj::time_point now) const
+    [[nodiscard]] bool may_send(cj::time_point now) const
     {
-        return now >= book.find(upstream())->terms.next_send_at();
+        return now >= registry.find(upstream())->terms.next_send_at();
     }
 
     [[nodiscard]] std::vector<cj::message::upstream_terms>
-    news(cj::time_point now) const
+    pending_reports(cj::time_point now) const
     {
-        return cj::terms_news(book, now);
+        return cj::terms_news(registry, now);
     }
 
 private:
     std::string own;
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     std::uint64_t number{0};
 };
 
-/*! @brief The other way: each entry that lives has an equal part, and begins
- * at a moment of its own. */
-class equal_parts
+/*! @brief The alternative: each live entry has an equal share and starts at a
+ * random time of its first interval. */
+class equal_shares
 {
 public:
-    explicit equal_parts(std::string address, unsigned seed)
+    explicit equal_shares(std::string address, unsigned seed)
         : terms(std::move(address), seed), random(seed)
     {
     }
 
-    void heard(const cj::received_notice& notice, cj::time_point now)
+    void apply_notice(const cj::received_notice& notice, cj::time_point now)
     {
-        terms.heard(notice, now);
-        take(notice.notice.requests_per_second);
+        terms.apply_notice(notice, now);
+        set_limit(notice.notice.requests_per_second);
     }
 
-    void told(const cj::message::upstream_terms& news, const std::string& from,
-              cj::time_point now)
+    void apply_report(const cj::message::upstream_terms& report,
+                      const std::string& from, cj::time_point now)
     {
-        terms.told(news, from, now);
-        take(news.per_second >= 0 ? std::optional<double>(news.per_second)
-                                  : std::nullopt);
+        terms.apply_report(report, from, now);
+        set_limit(report.per_second >= 0
+                      ? std::optional<double>(report.per_second)
+                      : std::nullopt);
     }
 
-    [[nodiscard]] bool limited() const { return limit.has_value(); }
+    [[nodiscard]] bool knows_limit() const { return limit.has_value(); }
 
-    void share(const std::vector<cj::entry_demand>& entries, cj::time_point now)
+    void assign_shares(const std::vector<cj::entry_demand>& entries,
+                       cj::time_point now)
     {
-        pause = cj::from_seconds(static_cast<double>(entries.size()) / *limit);
-        if (!due)
-            due = now + cj::from_seconds(std::uniform_real_distribution<double>(
-                            0, cj::to_seconds(pause))(random));
+        interval =
+            cj::from_seconds(static_cast<double>(entries.size()) / *limit);
+        if (!next_due)
+            next_due =
+                now + cj::from_seconds(std::uniform_real_distribution<double>(
+                          0, cj::to_seconds(interval))(random));
     }
 
-    void sent(cj::time_point now)
+    void record_send(cj::time_point now)
     {
-        if (due)
-            due = now + pause;
+        if (next_due)
+            next_due = now + interval;
     }
 
-    [[nodiscard]] bool open(cj::time_point now) const
+    [[nodiscard]] bool may_send(cj::time_point now) const
     {
-        return !limit || (due && now >= *due);
+        return !limit || (next_due && now >= *next_due);
     }
 
     [[nodiscard]] std::vector<cj::message::upstream_terms>
-    news(cj::time_point now) const
+    pending_reports(cj::time_point now) const
     {
-        return terms.news(now);
+        return terms.pending_reports(now);
     }
 
 private:
-    void take(std::optional<double> per_second)
+    void set_limit(std::optional<double> per_second)
     {
         limit = per_second;
         if (!limit)
-            due.reset();
+            next_due.reset();
     }
 
-    holders terms;
+    assigned_holders terms;
     std::mt19937 random;
     std::optional<double> limit;
-    std::optional<cj::time_point> due;
-    std::chrono::microseconds pause{0};
+    std::optional<cj::time_point> next_due;
+    std::chrono::microseconds interval{0};
 };
 
-/*! @brief Plays a scene.
- * @tparam Keeper How an entry keeps to the limit. */
+/*! @brief Simulates the entries.
+ * @tparam Keeper How an entry keeps within the limit. */
 template <typename Keeper>
-class player
+class simulator
 {
 public:
-    explicit player(scene set) : played(set), random(set.seed)
+    explicit simulator(simulation_options configured)
+        : options(configured), random(configured.seed)
     {
-        for (std::size_t at = 0; at < played.entries; ++at)
+        for (std::size_t at = 0; at < options.entries; ++at)
         {
             entries.push_back(
-                {Keeper(name(at), played.seed + static_cast<unsigned>(at))});
+                {Keeper(name(at), options.seed + static_cast<unsigned>(at))});
             demands.push_back(
                 {cj::hall_id("hall-" + std::to_string(hall(at))), name(at), 1});
         }
-        arrange_faults();
+        schedule_faults();
     }
 
-    outcome play()
+    simulation_result run()
     {
-        std::poisson_distribution<int> arrivals(played.asked * step);
-        for (std::size_t at = 0; static_cast<double>(at) * step < played.lasts;
-             ++at)
+        std::poisson_distribution<int> arrivals(options.requests_per_second *
+                                                step_seconds);
+        for (std::size_t at = 0;
+             static_cast<double>(at) * step_seconds < options.duration; ++at)
         {
-            now = static_cast<double>(at) * step;
-            deliver();
+            now = static_cast<double>(at) * step_seconds;
+            run_due_events();
             for (std::size_t one = 0; one < entries.size(); ++one)
-                act(one, at, arrivals(random));
+                step(one, at, arrivals(random));
         }
-        return judged();
+        return evaluate();
     }
 
 private:
-    static constexpr double step = 0.01;
+    static constexpr double step_seconds = 0.01;
     static constexpr std::size_t share_steps = 10;
-    static constexpr std::size_t beat_steps = 20;
-    static constexpr double answer_time = 0.1;
-    static constexpr double travel = 0.003;
-    static constexpr double contact_time = 3;
-    static constexpr double excused_time = 0.5;
+    static constexpr std::size_t heartbeat_steps = 20;
+    static constexpr double response_time = 0.1;
+    static constexpr double latency = 0.003;
+    static constexpr double learning_time = 3;
+    static constexpr double notice_time = 0.5;
     static constexpr double window = 4;
     static constexpr double alive_time = 1;
     static constexpr double never = std::numeric_limits<double>::infinity();
@@ -248,30 +259,30 @@
     struct entry
     {
         Keeper keeper;
-        std::map<std::size_t, double> heard{}; /*!< When, by entry. */
-        double told{never};  /*!< First passed an answer with a limit on. */
-        double stops{never}; /*!< Takes no callers any more, and says so. */
+        std::map<std::size_t, double> last_heartbeat{}; /*!< By entry. */
+        double limited_since{never}; /*!< First response with a limit. */
+        double stops{never}; /*!< Announces that it accepts no requests. */
         double ends{never};
         double starts_again{never};
-        double frozen_from{never};
-        double cut_from{never};
-        double excused_until{-1};
+        double suspended_from{never};
+        double disconnected_from{never};
+        double exempt_until{-1}; /*!< May not know the limit. */
     };
 
     struct arrival
     {
         double at;
         std::size_t entry;
-        bool knew;
-        bool excused;
+        bool knew_limit;
+        bool exempt;
     };
 
-    struct letter
+    struct event
     {
         double at;
         std::size_t number;
-        std::function<void()> read;
-        bool operator<(const letter& other) const
+        std::function<void()> action;
+        bool operator<(const event& other) const
         {
             return std::tie(at, number) > std::tie(other.at, other.number);
         }
@@ -284,200 +295,211 @@
 
     [[nodiscard]] std::size_t hall(std::size_t at) const
     {
-        return at % played.halls;
+        return at % options.halls;
     }
 
-    /*! @brief Faults come one a second, between the naming and the end. */
-    void arrange_faults()
+    /*! @brief Schedules faults one a second, between the announcement of the
+     * limit and its end. */
+    void schedule_faults()
     {
         std::vector<std::size_t> order(entries.size());
         for (std::size_t at = 0; at < order.size(); ++at)
             order[at] = at;
         std::shuffle(order.begin(), order.end(), random);
         std::size_t next = 0;
-        double when = played.named_at + 4.3;
+        double fault_at = options.announced_at + 4.3;
         const auto draw = [&](std::size_t count, auto change)
         {
-            for (; count > 0 && next < order.size(); --count, when += 1)
-                change(entries[order[next++]], when);
+            for (; count > 0 && next < order.size(); --count, fault_at += 1)
+                change(entries[order[next++]], fault_at);
         };
-        draw(played.restarted, [](entry& one, double at)
+        draw(options.restarted, [](entry& one, double at)
              { one.ends = at, one.starts_again = at + 0.5; });
-        draw(played.stopped,
+        draw(options.stopped,
              [](entry& one, double at) { one.stops = at, one.ends = at + 3; });
-        draw(played.killed, [](entry& one, double at) { one.ends = at; });
-        draw(played.frozen,
-             [](entry& one, double at) { one.frozen_from = at; });
-        draw(played.cut, [](entry& one, double at) { one.cut_from = at; });
+        draw(options.crashed, [](entry& one, double at) { one.ends = at; });
+        draw(options.suspended,
+             [](entry& one, double at) { one.suspended_from = at; });
+        draw(options.disconnected,
+             [](entry& one, double at) { one.disconnected_from = at; });
     }
 
-    void deliver()
+    void run_due_events()
     {
-        while (!letters.empty() && letters.top().at <= now)
+        while (!events.empty() && events.top().at <= now)
         {
-            const auto read = letters.top().read;
-            letters.pop();
-            read();
+            const auto action = events.top().action;
+            events.pop();
+            action();
         }
     }
 
-    void post(double after, std::function<void()> read)
+    void schedule(double after, std::function<void()> action)
     {
-        letters.push({now + after, ++posted, std::move(read)});
+        events.push({now + after, ++scheduled, std::move(action)});
     }
 
     [[nodiscard]] bool runs(const entry& one) const
     {
-        constexpr double freeze = 2;
+        constexpr double duration = 2;
         return (now < one.ends || now >= one.starts_again) &&
-               (now < one.frozen_from || now >= one.frozen_from + freeze);
+               (now < one.suspended_from ||
+                now >= one.suspended_from + duration);
     }
 
-    [[nodiscard]] bool cut(const entry& one) const
+    [[nodiscard]] bool disconnected(const entry& one) const
     {
-        constexpr double lasts = 5;
-        return now >= one.cut_from && now < one.cut_from + lasts;
+        constexpr double duration = 5;
+        return now >= one.disconnected_from &&
+               now < one.disconnected_from + duration;
     }
 
-    void act(std::size_t at, std::size_t tick, int arrivals)
+    void step(std::size_t at, std::size_t tick, int arrivals)
     {
         auto& one = entries[at];
         if (!runs(one))
         {
-            one.excused_until = now + contact_time;
+            one.exempt_until = now + learning_time;
             return;
         }
-        if (cut(one))
-            one.excused_until = now + contact_time;
+        if (disconnected(one))
+            one.exempt_until = now + learning_time;
         if (now >= one.starts_again && one.starts_again != never)
         {
-            one = entry{Keeper(name(at), played.seed)};
-            one.excused_until = now + contact_time;
+            one = entry{Keeper(name(at), options.seed)};
+            one.exempt_until = now + learning_time;
         }
-        if (tick % share_steps == at % share_steps && one.keeper.limited())
-            share(at);
-        if (tick % beat_steps == at % beat_steps && !cut(one))
-            beat(at, (tick / beat_steps) % 2 == 0);
+        if (tick % share_steps == at % share_steps && one.keeper.knows_limit())
+            assign_shares(at);
+        if (tick % heartbeat_steps == at % heartbeat_steps &&
+            !disconnected(one))
+            send_heartbeat(at, (tick / heartbeat_steps) % 2 == 0);
         if (now >= one.stops)
             return;
         for (; arrivals > 0; --arrivals)
-            if (one.keeper.open(moment(now)))
+            if (one.keeper.may_send(moment(now)))
                 send(at);
     }
 
-    void share(std::size_t at)
+    void assign_shares(std::size_t at)
     {
         auto& one = entries[at];
         std::vector<cj::entry_demand> alive;
         for (std::size_t other = 0; other < entries.size(); ++other)
         {
             const bool self = other == at;
-            const auto heard = one.heard.find(other);
-            const bool known =
-                heard != one.heard.end() && now - heard->second < alive_time;
+            const auto found = one.last_heartbeat.find(other);
+            const bool known = found != one.last_heartbeat.end() &&
+                               now - found->second < alive_time;
             if (self ? now < one.stops : known)
                 alive.push_back(demands[other]);
         }
-        one.keeper.share(alive, moment(now));
+        one.keeper.assign_shares(alive, moment(now));
     }
 
-    void beat(std::size_t from, bool far)
+    void send_heartbeat(std::size_t from, bool far)
     {
-        const auto news = entries[from].keeper.news(moment(now));
+        const auto reports = entries[from].keeper.pending_reports(moment(now));
         const bool leaving = now >= entries[from].stops;
-        std::bernoulli_distribution lost(played.loss);
+        std::bernoulli_distribution lost(options.heartbeat_loss);
         for (std::size_t to = 0; to < entries.size(); ++to)
         {
             if (to == from || (hall(to) != hall(from) && !far) || lost(random))
                 continue;
-            post(travel,
-                 [this, from, to, news, leaving]
-                 {
-                     auto& one = entries[to];
-                     if (!runs(one) || cut(one))
-                         return;
-                     one.heard[from] = leaving ? -never : now;
-                     for (const auto& told : news)
-                         one.keeper.told(told, name(from), moment(now));
-                 });
+            schedule(latency,
+                     [this, from, to, reports, leaving]
+                     {
+                         auto& one = entries[to];
+                         if (!runs(one) || disconnected(one))
+                             return;
+                         one.last_heartbeat[from] = leaving ? -never : now;
+                         for (const auto& report : reports)
+                             one.keeper.apply_report(report, name(from),
+                                                     moment(now));
+                     });
         }
     }
 
     void send(std::size_t at)
     {
         auto& one = entries[at];
-        one.keeper.sent(moment(now));
+        one.keeper.record_send(moment(now));
         const auto sent = now;
-        post(travel,
-             [this, at, sent]
-             {
-                 const auto& from = entries[at];
-                 arrived.push_back({now, at, from.told + excused_time <= now,
-                                    now < from.excused_until});
-                 const bool limited =
-                     now >= played.named_at && now < played.ends_at;
-                 post(answer_time,
-                      [this, at, sent, limited] { answer(at, sent, limited); });
-             });
+        schedule(latency,
+                 [this, at, sent]
+                 {
+                     const auto& from = entries[at];
+                     arrived.push_back({now, at,
+                                        from.limited_since + notice_time <= now,
+                                        now < from.exempt_until});
+                     const bool limited =
+                         now >= options.announced_at && now < options.ends_at;
+                     schedule(response_time, [this, at, sent, limited]
+                              { receive_response(at, sent, limited); });
+                 });
     }
 
-    void answer(std::size_t at, double sent, bool limited)
+    void receive_response(std::size_t at, double sent, bool limited)
     {
         auto& one = entries[at];
         if (!runs(one))
             return;
-        cj::received_notice heard{{}, moment(sent), true};
+        cj::received_notice notice{{}, moment(sent), true};
         if (limited)
         {
-            heard.notice.requests_per_second = played.per_second;
-            one.told = std::min(one.told, now);
+            notice.notice.requests_per_second = options.per_second;
+            one.limited_since = std::min(one.limited_since, now);
         }
-        one.keeper.heard(heard, moment(now));
+        one.keeper.apply_notice(notice, moment(now));
     }
 
-    [[nodiscard]] outcome judged() const
+    [[nodiscard]] simulation_result evaluate() const
     {
-        outcome made;
-        const auto from = played.named_at + contact_time;
-        std::deque<double> inside;
+        simulation_result result;
+        const auto from = options.announced_at + learning_time;
+        std::deque<double> in_window;
         double used = 0;
         double after = 0;
         for (const auto& one : arrived)
         {
-            after += one.at >= played.ends_at ? 1 : 0;
-            if (made.recovered > played.lasts && after > recovery_count())
-                made.recovered = one.at - played.ends_at;
-            if (one.at < played.named_at || one.at >= played.ends_at)
+            after += one.at >= options.ends_at ? 1 : 0;
+            if (result.recovery_seconds > options.duration &&
+                after > recovery_count())
+                result.recovery_seconds = one.at - options.ends_at;
+            if (one.at < options.announced_at || one.at >= options.ends_at)
                 continue;
-            made.unknowing += one.knew ? 0 : 1;
+            result.unaware_requests += one.knew_limit ? 0 : 1;
             if (one.at < from)
                 continue;
             ++used;
-            if (!one.knew || one.excused)
+            if (!one.knew_limit || one.exempt)
                 continue;
-            inside.push_back(one.at);
-            while (inside.front() <= one.at - window)
-                inside.pop_front();
-            made.worst_window = std::max(made.worst_window, inside.size());
+            in_window.push_back(one.at);
+            while (in_window.front() <= one.at - window)
+                in_window.pop_front();
+            result.worst_window =
+                std::max(result.worst_window, in_window.size());
         }
-        made.used = used / ((played.ends_at - from) * played.per_second);
-        return made;
+        result.used_fraction =
+            used / ((options.ends_at - from) * options.per_second);
+        return result;
     }
 
-    /*! @brief Arrivals after the end by which the upstream is in use again:
-     * half a second of what is asked. */
+    /*! @brief Returns how many requests after the end show that the upstream is
+     * in use again: half a second of all requests. */
     [[nodiscard]] double recovery_count() const
     {
-        return played.asked * static_cast<double>(played.entries) / 2;
+        return options.requests_per_second *
+               static_cast<double>(options.entries) / 2;
     }
 
-    scene played;
+    simulation_options options;
     std::mt19937 random;
     std::vector<entry> entries;
     std::vector<cj::entry_demand> demands; /*!< Of each entry. */
-    std::priority_queue<letter> letters;
+    std::priority_queue<event> events;
     std::vector<arrival> arrived;
-    std::size_t posted{0};
+    std::size_t scheduled{0};
     double now{0};
 };
 
--- a/tests/route/load_engine.hpp
+++ b/tests/route/load_engine.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief The engine of a replay of load: the product's own model, played pass
- * by pass in virtual time.
+ * @brief A simulated engine for load replays: the engine model of the service,
+ * run pass by pass in virtual time.
  */
 #ifndef COURSEJUNCTION_TESTS_ROUTE_LOAD_ENGINE_HPP
 #define COURSEJUNCTION_TESTS_ROUTE_LOAD_ENGINE_HPP
@@ -21,7 +21,7 @@
 
 namespace cj = coursejunction;
 
-/*! @brief The engine that is played: 16 places, 7.2 ms a step when full. */
+/*! @brief Profile of the default engine: 16 slots, 7.2 ms a step when full. */
 inline cj::engine_profile fast_engine_profile()
 {
     cj::engine_profile made;
@@ -38,7 +38,7 @@
     return made;
 }
 
-/*! @brief A slower engine with fewer places: 8, 14 ms a step when full. */
+/*! @brief Profile of a slower engine: 8 slots, 14 ms a step when full. */
 inline cj::engine_profile slow_engine_profile()
 {
     cj::engine_profile made;
@@ -55,21 +55,21 @@
     return made;
 }
 
-/*! @brief One request of a caller, over both of its tries. */
+/*! @brief One request of a client including its retry. */
 struct simulated_request
 {
     std::uint64_t number{0};
     std::size_t kind{0};
     std::size_t entry{0};
-    double first_arrival_ms{0}; /*!< Of the first try. */
+    double first_arrival_ms{0}; /*!< Of the client's first request. */
     double prompt{0};
     double answer_tokens{0};
     bool retried{false};
-    // The try in progress.
+    // State of the current request of the client.
     double arrived_ms{0};
     cj::arrival_state arrival;
     cj::request_fingerprint fingerprint;
-    double deadline_ms{6000}; /*!< From its caller's first try. */
+    double deadline_ms{6000}; /*!< From the client's first request. */
     std::size_t engine{0};
     int urgency{5};
     double unread_tokens{0};
@@ -79,7 +79,8 @@
 
 using request_ptr = std::shared_ptr<simulated_request>;
 
-/*! @brief One engine: passes that read a chunk and write a stride. */
+/*! @brief An engine whose passes read a chunk of prompts and decode some tokens
+ * of each request. */
 class simulated_engine
 {
 public:
--- a/tests/route/load_replay.hpp
+++ b/tests/route/load_replay.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief Replays a pattern of load in virtual time: entries that run the real
- * decisions, engines that run the product's own model of an engine, callers
- * that come back once. Seeded, without input or output.
+ * @brief Replays a load pattern in virtual time. Entries run the real
+ * dispatcher, engines run the service's own engine model, and refused clients
+ * retry once. Seeded, without input or output.
  */
 #ifndef COURSEJUNCTION_TESTS_ROUTE_LOAD_REPLAY_HPP
 #define COURSEJUNCTION_TESTS_ROUTE_LOAD_REPLAY_HPP
@@ -37,18 +37,18 @@
     double answer{120};  /*!< Mean tokens. */
 };
 
-/*! @brief What is played. */
+/*! @brief Parameters of a replay. */
 struct load_pattern
 {
     std::size_t halls{3};
     std::size_t entries{5};
     std::size_t engines{12};
     double seconds{20};
-    /*! @brief New requests a second, by the second. */
+    /*! @brief New requests a second, as a function of the second. */
     std::function<double(double)> rate;
-    /*! @brief Part of the callers that come back at once when refused. */
+    /*! @brief Fraction of the refused clients that retry at once. */
     double impatient_fraction{0};
-    /*! @brief Entries' parts of the load; alike when empty. */
+    /*! @brief Relative load of each entry; equal if empty. */
     std::vector<double> entry_weights;
     std::vector<request_kind> kinds{
         {"long", 74, cj::milliseconds(400), 1290, 144},
@@ -57,60 +57,59 @@
     cj::engine_profile engine{fast_engine_profile()};
     cj::dispatch_options options;
     cj::placement_weights weights;
-    bool shares_rates{
-        true}; /*!< Entries tell each other what they are asked for. */
-    bool deadlines{true}; /*!< Callers tell what they will wait. */
-    /*! @brief New callers wait for 6 s less up to this part of it. */
+    bool shares_rates{true}; /*!< Entries report their rates to each other. */
+    bool deadlines{true};    /*!< Clients send a deadline. */
+    /*! @brief Deadlines of new clients are 6 s, shorter by up to this fraction.
+     */
     double deadline_spread{0};
-    /*! @brief Requests can be known again, and refusals are told in a hall. */
+    /*! @brief Whether requests have fingerprints, and refusals are reported
+     * within a hall. */
     bool fingerprints{true};
-    /*! @brief Refused callers come back to another entry of their hall. */
+    /*! @brief Whether refused clients retry at another entry. */
     bool retries_elsewhere{false};
-    double moved_fraction{
-        0}; /*!< Part of them that come back in another hall. */
-    double identical_fraction{
-        0}; /*!< Part of the requests that are all alike. */
+    double moved_fraction{0};     /*!< Of them that retry in another hall. */
+    double identical_fraction{0}; /*!< Of the requests that are equal. */
     std::uint64_t seed{1};
 };
 
-/*! @brief Sets engines of 8 places, and callers with longer targets. */
-inline void use_slow_engines(load_pattern& to)
+/*! @brief Selects engines with 8 slots, and kinds with longer targets. */
+inline void use_slow_engines(load_pattern& pattern)
 {
-    to.engine = slow_engine_profile();
-    to.kinds = {{"long", 341, cj::milliseconds(800), 1290, 74},
-                {"middle", 250, cj::milliseconds(600), 787, 74},
-                {"short", 189, cj::milliseconds(500), 607, 70}};
+    pattern.engine = slow_engine_profile();
+    pattern.kinds = {{"long", 341, cj::milliseconds(800), 1290, 74},
+                     {"middle", 250, cj::milliseconds(600), 787, 74},
+                     {"short", 189, cj::milliseconds(500), 607, 70}};
 }
 
-/*! @brief Gives entries uneven parts of the load, from 0.5 to 1.5. */
-inline void make_uneven(load_pattern& to)
+/*! @brief Sets uneven loads of the entries, from 0.5 to 1.5 of the mean. */
+inline void use_uneven_load(load_pattern& pattern)
 {
     constexpr std::size_t steps = 101;
     constexpr std::size_t stride = 7919;
-    to.entry_weights.clear();
-    for (std::size_t at = 0; at < to.entries; ++at)
-        to.entry_weights.push_back(
+    pattern.entry_weights.clear();
+    for (std::size_t at = 0; at < pattern.entries; ++at)
+        pattern.entry_weights.push_back(
             0.5 + static_cast<double>(at * stride % steps) / (steps - 1));
 }
 
-/*! @brief How requests ended. */
+/*! @brief Counts of requests by result. */
 struct tally
 {
     double requests{0};
     double in_time{0};
     double late{0};
-    double refused{0}; /*!< Twice. */
+    double refused{0}; /*!< Also on the retry. */
 
     [[nodiscard]] double in_time_fraction() const { return in_time / requests; }
 };
 
-/*! @brief How well callers that come back were told from new ones. */
+/*! @brief How well client retries were told from new requests. */
 struct recognition
 {
     double new_callers{0};
-    double new_mistaken{0}; /*!< New, and taken for one that comes back. */
+    double new_mistaken{0}; /*!< New, but taken for a retry. */
     double retries{0};
-    double retries_missed{0}; /*!< Came back, and taken for a new one. */
+    double retries_missed{0}; /*!< A retry, but taken for new. */
 
     [[nodiscard]] double recognised_fraction() const
     {
@@ -123,7 +122,8 @@
     }
 };
 
-/*! @brief Results by kind, by the second of the first try and by entry. */
+/*! @brief Results in total, by kind, by second of the first request and by
+ * entry. */
 struct result
 {
     recognition retry_recognition;
@@ -132,7 +132,7 @@
     std::map<std::size_t, tally> seconds;
     std::map<std::size_t, tally> entries;
 
-    /*! @brief Returns the tally of the seconds from one to before another. */
+    /*! @brief Returns the sum over the seconds from `from` to before `to`. */
     [[nodiscard]] tally between(std::size_t from, std::size_t to) const
     {
         tally sum;
@@ -152,55 +152,57 @@
 /*! @brief One entry with its own view of the engines. */
 struct entry
 {
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     std::unique_ptr<cj::dispatcher> decisions;
-    cj::placement_queue line;
+    cj::placement_queue queue;
     std::map<std::uint64_t, request_ptr> waiting;
 };
 
-/*! @brief Plays one pattern. */
+/*! @brief Runs one load pattern. */
 class simulator
 {
 public:
-    explicit simulator(load_pattern set)
-        : played(std::move(set)), random(played.seed)
+    explicit simulator(load_pattern configured)
+        : pattern(std::move(configured)), random(pattern.seed)
     {
         profile.name = cj::service_name("llm");
-        profile.engine = played.engine;
-        for (std::size_t at = 0; at < played.engines; ++at)
+        profile.engine = pattern.engine;
+        for (std::size_t at = 0; at < pattern.engines; ++at)
             engines.emplace_back(
                 *profile.engine,
-                [this](const request_ptr& one, double now) { first(one, now); },
-                [this](const request_ptr& one, double now) { done(one, now); });
-        for (std::size_t at = 0; at < played.entries; ++at)
+                [this](const request_ptr& one, double now)
+                { on_first_event(one, now); },
+                [this](const request_ptr& one, double now)
+                { on_done(one, now); });
+        for (std::size_t at = 0; at < pattern.entries; ++at)
             entries.push_back(make_entry());
     }
 
     result run()
     {
-        const double end = played.seconds * 1000;
+        const double end = pattern.seconds * 1000;
         double next = 0;
-        // The rest of the time lets the last callers come back.
+        // The extra time lets the last clients retry.
         for (double now = 0; now < end + 6000; now += 1)
         {
             while (now < end && next <= now)
             {
-                arrive(fresh(next), now);
-                next += gap(next);
+                arrive(new_request(next), now);
+                next += next_gap(next);
             }
             step(now);
         }
-        return made;
+        return results;
     }
 
 private:
-    static constexpr double near_report_ms = 50;
-    static constexpr double far_report_ms = 400;
-    static constexpr double travel_ms = 3;
-    static constexpr double tick_ms = 15;
-    static constexpr double telling_ms = 200;
-    static constexpr double news_ms = 15;
-    static constexpr std::size_t most_news = 48;
+    static constexpr double own_hall_report_ms = 50;
+    static constexpr double other_hall_report_ms = 400;
+    static constexpr double latency_ms = 3;
+    static constexpr double poll_ms = 15;
+    static constexpr double rates_interval_ms = 200;
+    static constexpr double refusals_interval_ms = 15;
+    static constexpr std::size_t max_refusals_sent = 48;
     static constexpr double deadline_ms = 6000;
 
     using event =
@@ -216,7 +218,7 @@
 
     static cj::time_point at(double ms)
     {
-        // An hour in, since the epoch means never.
+        // Starts at an hour, as the epoch means never.
         return cj::time_point{std::chrono::hours(1)} +
                std::chrono::microseconds(static_cast<std::int64_t>(ms * 1000));
     }
@@ -234,13 +236,13 @@
 
     [[nodiscard]] std::string hall_of(std::size_t number) const
     {
-        return "hall-" + std::to_string(number % played.halls);
+        return "hall-" + std::to_string(number % pattern.halls);
     }
 
     [[nodiscard]] entry make_entry() const
     {
         entry one;
-        for (std::size_t other = 0; other < played.engines; ++other)
+        for (std::size_t other = 0; other < pattern.engines; ++other)
         {
             cj::upstream_record record;
             record.id = id_of(other);
@@ -249,9 +251,9 @@
             record.hall = cj::hall_id(hall_of(other));
             record.slots = profile.engine->slots;
             record.weights["m"] = 1;
-            one.book.apply_record(record);
+            one.registry.apply_record(record);
         }
-        one.book.set_entry_count(played.entries);
+        one.registry.set_entry_count(pattern.entries);
         return one;
     }
 
@@ -259,82 +261,82 @@
     {
         auto& one = entries[number];
         one.decisions = std::make_unique<cj::dispatcher>(
-            one.book,
-            cj::placer(played.weights, cj::hall_id(hall_of(number)),
+            one.registry,
+            cj::placer(pattern.weights, cj::hall_id(hall_of(number)),
                        name_of(number)),
-            played.options);
+            pattern.options);
     }
 
-    double gap(double now)
+    double next_gap(double now)
     {
-        std::exponential_distribution<double> gaps(played.rate(now / 1000) /
+        std::exponential_distribution<double> gaps(pattern.rate(now / 1000) /
                                                    1000);
         return gaps(random);
     }
 
-    request_ptr fresh(double now)
+    request_ptr new_request(double now)
     {
         std::vector<double> weights;
-        for (const auto& one : played.kinds)
+        for (const auto& one : pattern.kinds)
             weights.push_back(one.weight);
-        auto weights_by_entry = played.entry_weights;
-        weights_by_entry.resize(played.entries,
-                                weights_by_entry.empty() ? 1.0 : 0.0);
+        auto load_by_entry = pattern.entry_weights;
+        load_by_entry.resize(pattern.entries,
+                             load_by_entry.empty() ? 1.0 : 0.0);
         auto one = std::make_shared<simulated_request>();
         one->number = ++last_number;
         one->kind = std::discrete_distribution<std::size_t>(
             weights.begin(), weights.end())(random);
         one->entry = std::discrete_distribution<std::size_t>(
-            weights_by_entry.begin(), weights_by_entry.end())(random);
+            load_by_entry.begin(), load_by_entry.end())(random);
         one->first_arrival_ms = now;
         one->deadline_ms = deadline_ms;
-        if (played.deadline_spread > 0)
+        if (pattern.deadline_spread > 0)
             one->deadline_ms *= 1 - std::uniform_real_distribution<double>(
-                                        0, played.deadline_spread)(random);
-        if (played.fingerprints)
+                                        0, pattern.deadline_spread)(random);
+        if (pattern.fingerprints)
             one->fingerprint = fingerprint(one->number);
-        const auto& kind = played.kinds[one->kind];
+        const auto& kind = pattern.kinds[one->kind];
         std::gamma_distribution<double> spread(2, 0.5);
         one->prompt =
             std::clamp(kind.prompt * spread(random), 50.0, kind.prompt * 3);
         one->answer_tokens =
             std::clamp(kind.answer * spread(random), 6.0, kind.answer * 3);
-        note(*one, [](tally& to) { ++to.requests; });
+        count(*one, [](tally& to) { ++to.requests; });
         return one;
     }
 
     cj::request_fingerprint fingerprint(std::uint64_t number)
     {
         const bool alike =
-            played.identical_fraction > 0 &&
-            std::bernoulli_distribution(played.identical_fraction)(random);
+            pattern.identical_fraction > 0 &&
+            std::bernoulli_distribution(pattern.identical_fraction)(random);
         return cj::request_fingerprint(alike ? 1 : number + 1);
     }
 
     template <typename Change>
-    void note(const simulated_request& one, Change change)
+    void count(const simulated_request& one, Change change)
     {
-        change(made.all);
-        change(made.kinds[played.kinds[one.kind].name]);
-        change(made.seconds[static_cast<std::size_t>(one.first_arrival_ms /
-                                                     1000)]);
-        change(made.entries[one.entry]);
+        change(results.all);
+        change(results.kinds[pattern.kinds[one.kind].name]);
+        change(results.seconds[static_cast<std::size_t>(one.first_arrival_ms /
+                                                        1000)]);
+        change(results.entries[one.entry]);
     }
 
     void arrive(const request_ptr& one, double now)
     {
-        auto& here = entries[one->entry];
-        if (!here.decisions)
+        auto& own_entry = entries[one->entry];
+        if (!own_entry.decisions)
             open_entry(one->entry);
         one->arrived_ms = now;
         cj::route_rule route;
-        route.name = played.kinds[one->kind].name;
-        route.target = played.kinds[one->kind].target;
+        route.name = pattern.kinds[one->kind].name;
+        route.target = pattern.kinds[one->kind].target;
         std::optional<cj::milliseconds> left;
-        if (played.deadlines)
+        if (pattern.deadlines)
             left = cj::milliseconds(static_cast<std::int64_t>(
                 one->deadline_ms - (now - one->first_arrival_ms)));
-        one->arrival = here.decisions->record_arrival(
+        one->arrival = own_entry.decisions->record_arrival(
             route, profile, one->fingerprint, left, at(now));
         count_recognition(*one);
         place(one, now);
@@ -342,97 +344,99 @@
 
     void count_recognition(const simulated_request& one)
     {
-        auto& known = made.retry_recognition;
-        const bool taken = one.arrival.is_retry();
+        auto& known = results.retry_recognition;
+        const bool taken_for_retry = one.arrival.is_retry();
         ++(one.retried ? known.retries : known.new_callers);
-        if (one.retried && !taken)
+        if (one.retried && !taken_for_retry)
             ++known.retries_missed;
-        if (!one.retried && taken)
+        if (!one.retried && taken_for_retry)
             ++known.new_mistaken;
     }
 
     void place(const request_ptr& one, double now)
     {
-        auto& here = entries[one->entry];
-        const auto& kind = played.kinds[one->kind];
-        cj::placement_request wanted;
-        wanted.service = profile.name;
-        wanted.model = "m";
-        wanted.min_version = 1;
-        wanted.prompt_tokens = one->prompt;
-        wanted.target = kind.target;
-        wanted.arrival = one->arrival;
-        wanted.waiting_since = at(one->arrived_ms);
-        wanted.deadline = at(one->first_arrival_ms + one->deadline_ms);
-        const auto what = here.decisions->decide(profile, wanted, at(now));
-        const cj::waiting_request spot{
+        auto& own_entry = entries[one->entry];
+        const auto& kind = pattern.kinds[one->kind];
+        cj::placement_request request;
+        request.service = profile.name;
+        request.model = "m";
+        request.min_version = 1;
+        request.prompt_tokens = one->prompt;
+        request.target = kind.target;
+        request.arrival = one->arrival;
+        request.waiting_since = at(one->arrived_ms);
+        request.deadline = at(one->first_arrival_ms + one->deadline_ms);
+        const auto decision =
+            own_entry.decisions->decide(profile, request, at(now));
+        const cj::waiting_request queue_entry{
             one->arrival.late,
             at(one->first_arrival_ms +
                static_cast<double>(kind.target.count())),
             one->number};
-        if (std::holds_alternative<cj::wait_for_slot>(what))
+        if (std::holds_alternative<cj::wait_for_slot>(decision))
         {
-            here.line.push(spot);
-            here.waiting[one->number] = one;
+            own_entry.queue.push(queue_entry);
+            own_entry.waiting[one->number] = one;
             return;
         }
-        here.line.erase(spot);
-        here.waiting.erase(one->number);
-        if (const auto* to = std::get_if<cj::send_to>(&what))
+        own_entry.queue.erase(queue_entry);
+        own_entry.waiting.erase(one->number);
+        if (const auto* to = std::get_if<cj::send_to>(&decision))
             return send(one, *to, now);
-        refuse(one, std::get<cj::refuse_request>(what), now);
+        refuse(one, std::get<cj::refuse_request>(decision), now);
     }
 
     void send(const request_ptr& one, const cj::send_to& to, double now)
     {
-        entries[one->entry].book.begin_attempt(to.choice.upstream, one->number,
-                                               one->prompt, at(now));
+        entries[one->entry].registry.begin_attempt(
+            to.choice.upstream, one->number, one->prompt, at(now));
         one->engine = std::stoul(to.choice.upstream.value().substr(7));
         one->urgency = to.rank.value();
         one->unread_tokens = one->prompt;
         one->unwritten_tokens = one->answer_tokens;
         one->first_event_sent = false;
         predicted[one->number] = {to.choice.uncorrected_ms, now};
-        after(now + travel_ms,
+        after(now + latency_ms,
               [this, one](double) { engines[one->engine].enqueue(one); });
     }
 
-    void refuse(const request_ptr& one, const cj::refuse_request& how,
+    void refuse(const request_ptr& one, const cj::refuse_request& decision,
                 double now)
     {
         if (one->retried)
-            return note(*one, [](tally& to) { ++to.refused; });
+            return count(*one, [](tally& to) { ++to.refused; });
         one->retried = true;
-        send_away(*one, how.retry_after, now);
-        std::bernoulli_distribution hurried(played.impatient_fraction);
-        const auto wait = hurried(random)
-                              ? 20.0
-                              : static_cast<double>(how.retry_after.count());
+        record_refusal(*one, decision.retry_after, now);
+        std::bernoulli_distribution retries_at_once(pattern.impatient_fraction);
+        const auto wait =
+            retries_at_once(random)
+                ? 20.0
+                : static_cast<double>(decision.retry_after.count());
         one->entry = next_entry(one->entry);
-        after(now + wait + 2 * travel_ms,
+        after(now + wait + 2 * latency_ms,
               [this, one](double then) { arrive(one, then); });
     }
 
-    void send_away(const simulated_request& one, cj::milliseconds come_back,
-                   double now)
+    void record_refusal(const simulated_request& one,
+                        cj::milliseconds retry_after, double now)
     {
-        cj::refusal_record sent;
-        sent.fingerprint = one.fingerprint;
-        sent.first_arrival = at(one.arrived_ms) - one.arrival.history.waited;
-        if (played.deadlines)
-            sent.deadline = at(one.first_arrival_ms + one.deadline_ms);
-        sent.refused_at = at(now);
-        sent.retry_at = at(now) + come_back;
-        entries[one.entry].decisions->record_refusal(sent, at(now));
+        cj::refusal_record refusal;
+        refusal.fingerprint = one.fingerprint;
+        refusal.first_arrival = at(one.arrived_ms) - one.arrival.history.waited;
+        if (pattern.deadlines)
+            refusal.deadline = at(one.first_arrival_ms + one.deadline_ms);
+        refusal.refused_at = at(now);
+        refusal.retry_at = at(now) + retry_after;
+        entries[one.entry].decisions->record_refusal(refusal, at(now));
     }
 
-    /*! @brief Returns where a caller that was refused comes back. */
+    /*! @brief Returns the entry at which a refused client retries. */
     std::size_t next_entry(std::size_t from)
     {
-        if (!played.retries_elsewhere)
+        if (!pattern.retries_elsewhere)
             return from;
         const bool moves =
-            std::bernoulli_distribution(played.moved_fraction)(random);
+            std::bernoulli_distribution(pattern.moved_fraction)(random);
         std::vector<std::size_t> others;
         for (std::size_t to = 0; to < entries.size(); ++to)
             if (to != from && (hall_of(to) == hall_of(from)) != moves)
@@ -442,23 +446,26 @@
         return others[random() % others.size()];
     }
 
-    void first(const request_ptr& one, double now)
+    void on_first_event(const request_ptr& one, double now)
     {
-        auto& book = entries[one->entry].book;
-        book.mark_first_event(id_of(one->engine), one->number);
+        auto& registry = entries[one->entry].registry;
+        registry.mark_first_event(id_of(one->engine), one->number);
         const auto [expected, sent] = predicted[one->number];
-        book.record_first_event_time(id_of(one->engine), expected, now - sent);
-        const auto took = now - one->first_arrival_ms + travel_ms;
-        const bool timely =
-            took <= static_cast<double>(played.kinds[one->kind].target.count());
-        note(*one, [timely](tally& to) { ++(timely ? to.in_time : to.late); });
+        registry.record_first_event_time(id_of(one->engine), expected,
+                                         now - sent);
+        const auto took = now - one->first_arrival_ms + latency_ms;
+        const bool in_time =
+            took <=
+            static_cast<double>(pattern.kinds[one->kind].target.count());
+        count(*one,
+              [in_time](tally& to) { ++(in_time ? to.in_time : to.late); });
     }
 
-    void done(const request_ptr& one, double now)
+    void on_done(const request_ptr& one, double now)
     {
-        entries[one->entry].book.end_attempt(id_of(one->engine), one->number,
-                                             cj::attempt_result::succeeded,
-                                             at(now));
+        entries[one->entry].registry.end_attempt(
+            id_of(one->engine), one->number, cj::attempt_result::succeeded,
+            at(now));
         predicted.erase(one->number);
     }
 
@@ -472,23 +479,24 @@
         }
         for (auto& one : engines)
             one.advance(now);
-        // Instances started at different moments.
+        // Reports are staggered, as the instances started at different times.
         for (std::size_t at = 0; at < engines.size(); ++at)
-            if (falls(now, near_report_ms, at, 7))
-                report(at, now, falls(now, far_report_ms, at, 7));
-        if (played.shares_rates && falls(now, telling_ms, 1, 3))
-            tell_entries(now);
+            if (is_due(now, own_hall_report_ms, at, 7))
+                report(at, now, is_due(now, other_hall_report_ms, at, 7));
+        if (pattern.shares_rates && is_due(now, rates_interval_ms, 1, 3))
+            report_rates(now);
         for (std::size_t at = 0; at < entries.size(); ++at)
-            if (falls(now, news_ms, at, 9))
-                tell_refusals(at, now);
+            if (is_due(now, refusals_interval_ms, at, 9))
+                report_refusals(at, now);
         for (std::size_t at = 0; at < entries.size(); ++at)
-            if (falls(now, tick_ms, at, 4))
-                tick(entries[at], now);
+            if (is_due(now, poll_ms, at, 4))
+                retry_waiting(entries[at], now);
     }
 
-    /*! @brief Tells whether a regular moment of one of several falls now. */
-    [[nodiscard]] static bool falls(double now, double interval,
-                                    std::size_t number, std::size_t apart)
+    /*! @brief Returns whether a periodic event is due now; the events of
+     * several sources are staggered by `apart` ms. */
+    [[nodiscard]] static bool is_due(double now, double interval,
+                                     std::size_t number, std::size_t apart)
     {
         const auto length = static_cast<std::size_t>(interval);
         return static_cast<std::size_t>(now) % length ==
@@ -497,17 +505,18 @@
 
     void report(std::size_t number, double now, bool far)
     {
-        cj::message::upstream_status told;
-        told.model = "m";
-        told.version = 1;
-        told.sequence = ++sequence;
-        told.running = static_cast<std::uint32_t>(engines[number].running());
-        told.waiting = static_cast<std::uint32_t>(engines[number].queued());
-        told.open = true;
-        told.reachable = true;
+        cj::message::upstream_status status;
+        status.model = "m";
+        status.version = 1;
+        status.sequence = ++sequence;
+        status.running = static_cast<std::uint32_t>(engines[number].running());
+        status.waiting = static_cast<std::uint32_t>(engines[number].queued());
+        status.open = true;
+        status.reachable = true;
         for (std::size_t to = 0; to < entries.size(); ++to)
             if (far || hall_of(to) == hall_of(number))
-                entries[to].book.apply_status(host_of(number), told, at(now));
+                entries[to].registry.apply_status(host_of(number), status,
+                                                  at(now));
     }
 
     [[nodiscard]] static std::string name_of(std::size_t entry)
@@ -515,8 +524,9 @@
         return "entry-" + std::to_string(entry);
     }
 
-    /*! @brief Every entry hears what the others are asked for and refuse. */
-    void tell_entries(double now)
+    /*! @brief Reports to every entry the rates of the others, and divides the
+     * engines. */
+    void report_rates(double now)
     {
         std::vector<cj::entry_demand> demands;
         cj::request_rates sum;
@@ -537,29 +547,29 @@
                 {sum.arrived - rates[to].arrived,
                  sum.refused - rates[to].refused, 0},
                 at(now));
-            entries[to].book.assign_engine_shares(
+            entries[to].registry.assign_engine_shares(
                 cj::demand_interval_of(name_of(to), demands),
                 [](const cj::known_upstream&) { return true; });
         }
     }
 
-    /*! @brief An entry tells those of its hall whom it sent away. */
-    void tell_refusals(std::size_t from, double now)
+    /*! @brief Reports the refusals of an entry to those of its hall. */
+    void report_refusals(std::size_t from, double now)
     {
         if (!entries[from].decisions)
             return;
         entries[from].decisions->expire(at(now));
         for (const auto& one :
-             entries[from].decisions->take_unsent_refusals(most_news))
+             entries[from].decisions->take_unsent_refusals(max_refusals_sent))
             for (std::size_t to = 0; to < entries.size(); ++to)
                 if (to != from && hall_of(to) == hall_of(from) &&
                     entries[to].decisions)
                     entries[to].decisions->record_remote_refusal(one, at(now));
     }
 
-    void tick(entry& one, double now)
+    void retry_waiting(entry& one, double now)
     {
-        for (const auto number : one.line.request_numbers())
+        for (const auto number : one.queue.request_numbers())
         {
             const auto found = one.waiting.find(number);
             if (found != one.waiting.end())
@@ -572,7 +582,7 @@
         events.emplace(when, ++last_event, std::move(call));
     }
 
-    load_pattern played;
+    load_pattern pattern;
     std::mt19937_64 random;
     cj::service_profile profile;
     std::vector<simulated_engine> engines;
@@ -582,7 +592,7 @@
     std::uint64_t last_number{0};
     std::uint64_t last_event{0};
     std::uint64_t sequence{0};
-    result made;
+    result results;
 };
 
 } // namespace load_replay
--- a/tests/route/placement.cpp
+++ b/tests/route/placement.cpp
@@ -45,7 +45,7 @@
     return one;
 }
 
-cj::placement_request wanted()
+cj::placement_request default_request()
 {
     cj::placement_request one;
     one.service = cj::service_name("llm");
@@ -59,286 +59,309 @@
 
 } // namespace
 
-SCENARIO("a request goes where its first event is met", "[route]")
+SCENARIO("a request goes to the upstream with the best predicted first event",
+         "[route]")
 {
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     const cj::time_point now{100s};
-    const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
+    const cj::placer selector({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
-    cj::placement_failure why;
-    book.apply_record(record("near", "north", "10.0.0.1:80"));
-    book.apply_record(record("far", "south", "10.0.0.2:80"));
-    book.apply_status("10.0.0.1", status(1), now);
-    book.apply_status("10.0.0.2", status(1), now);
+    cj::placement_failure failure;
+    registry.apply_record(record("near", "north", "10.0.0.1:80"));
+    registry.apply_record(record("far", "south", "10.0.0.2:80"));
+    registry.apply_status("10.0.0.1", status(1), now);
+    registry.apply_status("10.0.0.2", status(1), now);
 
-    THEN("the own hall is preferred")
+    THEN("the entry's own hall is preferred")
     {
-        const auto at = places.choose(book, service, wanted(), now, why);
+        const auto at =
+            selector.choose(registry, service, default_request(), now, failure);
         REQUIRE(at);
         CHECK(at->upstream.value() == "near");
         CHECK(at->version == 1);
     }
-    GIVEN("the near one is full")
+    GIVEN("the near upstream is full")
     {
-        auto told = status(2);
-        told.running = 12;
-        book.apply_status("10.0.0.1", told, now);
-        const auto at = places.choose(book, service, wanted(), now, why);
+        auto reported = status(2);
+        reported.running = 12;
+        registry.apply_status("10.0.0.1", reported, now);
+        const auto at =
+            selector.choose(registry, service, default_request(), now, failure);
         REQUIRE(at);
         CHECK(at->upstream.value() == "far");
-        AND_GIVEN("the far one too")
+        AND_GIVEN("the far one is full too")
         {
-            book.apply_status("10.0.0.2", told, now);
-            THEN("nothing is placed, and it is told when a place is expected")
+            registry.apply_status("10.0.0.2", reported, now);
+            THEN("no upstream is selected, and the reason has the smallest "
+                 "prediction")
             {
-                CHECK_FALSE(places.choose(book, service, wanted(), now, why));
-                CHECK(why.usable == 2);
-                CHECK(why.least_ms > 360);
+                CHECK_FALSE(selector.choose(registry, service,
+                                            default_request(), now, failure));
+                CHECK(failure.usable == 2);
+                CHECK(failure.least_ms > 360);
             }
-            THEN("a stream that must go on is placed all the same")
+            THEN("a stream to be resumed is placed nevertheless")
             {
-                auto must = wanted();
-                must.bypasses_limits = true;
-                CHECK(places.choose(book, service, must, now, why));
+                auto resumed = default_request();
+                resumed.bypasses_limits = true;
+                CHECK(
+                    selector.choose(registry, service, resumed, now, failure));
             }
         }
     }
-    GIVEN("the near one closes to load other weights")
+    GIVEN("the near upstream closes to load other weights")
     {
-        auto told = status(2);
-        told.open = false;
-        book.apply_status("10.0.0.1", told, now);
-        CHECK(places.choose(book, service, wanted(), now, why)
-                  ->upstream.value() == "far");
+        auto reported = status(2);
+        reported.open = false;
+        registry.apply_status("10.0.0.1", reported, now);
+        CHECK(
+            selector.choose(registry, service, default_request(), now, failure)
+                ->upstream.value() == "far");
     }
-    GIVEN("older weights may no longer be used")
+    GIVEN("weights below the minimum version")
     {
-        auto newer = wanted();
+        auto newer = default_request();
         newer.min_version = 2;
-        CHECK_FALSE(places.choose(book, service, newer, now, why));
-        CHECK(why.usable == 0);
-        auto told = status(2);
-        told.version = 2;
-        book.apply_status("10.0.0.2", told, now);
-        CHECK(places.choose(book, service, newer, now, why)->version == 2);
+        CHECK_FALSE(selector.choose(registry, service, newer, now, failure));
+        CHECK(failure.usable == 0);
+        auto reported = status(2);
+        reported.version = 2;
+        registry.apply_status("10.0.0.2", reported, now);
+        CHECK(
+            selector.choose(registry, service, newer, now, failure)->version ==
+            2);
     }
-    GIVEN("the near one is leaving")
+    GIVEN("the near upstream is leaving")
     {
         auto leaving = record("near", "north", "10.0.0.1:80");
         leaving.leaving = true;
-        book.apply_record(leaving);
-        CHECK(places.choose(book, service, wanted(), now, why)
-                  ->upstream.value() == "far");
+        registry.apply_record(leaving);
+        CHECK(
+            selector.choose(registry, service, default_request(), now, failure)
+                ->upstream.value() == "far");
     }
-    GIVEN("the near one answered with a failure of its own")
+    GIVEN("the near upstream answered with an error")
     {
-        book.begin_attempt(cj::instance_id("near"), 1, 1000, now);
-        book.end_attempt(cj::instance_id("near"), 1,
-                         cj::attempt_result::answered_failure, now);
-        THEN("it lives, and is used less")
+        registry.begin_attempt(cj::instance_id("near"), 1, 1000, now);
+        registry.end_attempt(cj::instance_id("near"), 1,
+                             cj::attempt_result::answered_failure, now);
+        THEN("it is not avoided but used less")
         {
-            CHECK(book.find(cj::instance_id("near"))->avoid_until <= now);
-            const auto at = places.choose(book, service, wanted(), now, why);
+            CHECK(registry.find(cj::instance_id("near"))->avoid_until <= now);
+            const auto at = selector.choose(registry, service,
+                                            default_request(), now, failure);
             REQUIRE(at);
             CHECK(at->upstream.value() == "far");
         }
-        THEN("it takes the request again where nothing else is usable")
+        THEN("it is used again for the request if nothing else is usable")
         {
-            book.remove(cj::instance_id("far"), false, now);
-            auto again = wanted();
-            again.excluded = {cj::instance_id("near")};
-            CHECK_FALSE(places.choose(book, service, again, now, why));
-            again.may_reuse_excluded = true;
-            CHECK(places.choose(book, service, again, now, why));
+            registry.remove(cj::instance_id("far"), false, now);
+            auto repeated = default_request();
+            repeated.excluded = {cj::instance_id("near")};
+            CHECK_FALSE(
+                selector.choose(registry, service, repeated, now, failure));
+            repeated.may_reuse_excluded = true;
+            CHECK(selector.choose(registry, service, repeated, now, failure));
         }
     }
-    GIVEN("an attempt at the near one failed")
+    GIVEN("an attempt at the near upstream failed without a response")
     {
-        book.begin_attempt(cj::instance_id("near"), 1, 1000, now);
-        book.end_attempt(cj::instance_id("near"), 1, cj::attempt_result::failed,
-                         now);
-        CHECK(places.choose(book, service, wanted(), now, why)
-                  ->upstream.value() == "far");
+        registry.begin_attempt(cj::instance_id("near"), 1, 1000, now);
+        registry.end_attempt(cj::instance_id("near"), 1,
+                             cj::attempt_result::failed, now);
+        CHECK(
+            selector.choose(registry, service, default_request(), now, failure)
+                ->upstream.value() == "far");
     }
-    GIVEN("the side is silent")
+    GIVEN("the sidecars are silent")
     {
         const auto later = now + 5s;
-        THEN("the record's version and the own attempts decide")
+        THEN("the record's version and the entry's own attempts decide")
         {
-            CHECK(places.choose(book, service, wanted(), later, why));
+            CHECK(selector.choose(registry, service, default_request(), later,
+                                  failure));
         }
     }
 }
 
-SCENARIO("every way to an upstream keeps to the terms that it named", "[route]")
+SCENARIO("no kind of request bypasses the terms that an upstream announced",
+         "[route]")
 {
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     const cj::time_point now{100s};
-    const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
+    const cj::placer selector({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
     const cj::instance_id near("near");
-    cj::placement_failure why;
-    book.apply_record(record("near", "north", "10.0.0.1:80"));
-    book.apply_status("10.0.0.1", status(1), now);
+    cj::placement_failure failure;
+    registry.apply_record(record("near", "north", "10.0.0.1:80"));
+    registry.apply_status("10.0.0.1", status(1), now);
 
-    cj::received_notice told;
+    cj::received_notice reported;
     const int kind = GENERATE(0, 1, 2);
     if (kind == 0)
-        told.notice.leaving = true;
+        reported.notice.leaving = true;
     else if (kind == 1)
-        told.notice.retry_after = 3s;
+        reported.notice.retry_after = 3s;
     else
-        told.notice.requests_per_second = 1;
-    book.apply_notice(near, told, now);
-    // What its side goes on to tell changes nothing.
-    book.apply_status("10.0.0.1", status(2), now + 10ms);
+        reported.notice.requests_per_second = 1;
+    registry.apply_notice(near, reported, now);
+    // Further status reports of the sidecar do not revoke that.
+    registry.apply_status("10.0.0.1", status(2), now + 10ms);
     const auto later = now + 100ms;
 
-    auto asked = wanted();
+    auto request = default_request();
     SECTION("a first attempt") {}
-    SECTION("a stream that goes on")
+    SECTION("a stream to be resumed")
     {
-        asked.bypasses_limits = true;
+        request.bypasses_limits = true;
     }
-    SECTION("a second one after its own failure")
+    SECTION("another attempt after an error of the same upstream")
     {
-        asked.may_reuse_excluded = true;
-        asked.excluded = {near};
+        request.may_reuse_excluded = true;
+        request.excluded = {near};
     }
-    SECTION("where requests are kept apart")
+    SECTION("an upstream used only as a last resort")
     {
-        asked.avoided = {near};
+        request.avoided = {near};
     }
-    CHECK_FALSE(places.choose(book, service, asked, later, why));
+    CHECK_FALSE(selector.choose(registry, service, request, later, failure));
 }
 
-SCENARIO("it is known when upstreams that rest take requests again", "[route]")
+SCENARIO("the time when upstreams in a back-off accept requests again",
+         "[route]")
 {
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     const cj::time_point now{100s};
-    const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
+    const cj::placer selector({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
-    cj::placement_failure why;
+    cj::placement_failure failure;
     cj::received_notice rests;
     for (const std::string id : {"1", "2"})
     {
-        book.apply_record(record(id, "north", "10.0.0." + id + ":80"));
-        book.apply_status("10.0.0." + id, status(1), now);
+        registry.apply_record(record(id, "north", "10.0.0." + id + ":80"));
+        registry.apply_status("10.0.0." + id, status(1), now);
         rests.notice.retry_after = 1000ms * std::stoi(id);
-        book.apply_notice(cj::instance_id(id), rests, now);
+        registry.apply_notice(cj::instance_id(id), rests, now);
     }
-    CHECK_FALSE(places.choose(book, service, wanted(), now, why));
-    CHECK(why.next_send_at == now + 1s);
+    CHECK_FALSE(
+        selector.choose(registry, service, default_request(), now, failure));
+    CHECK(failure.next_send_at == now + 1s);
 
-    SECTION("the one that it was tried at does not count")
+    SECTION("an excluded upstream does not count")
     {
-        auto asked = wanted();
-        asked.excluded = {cj::instance_id("1")};
-        CHECK_FALSE(places.choose(book, service, asked, now, why));
-        CHECK(why.next_send_at == now + 2s);
+        auto request = default_request();
+        request.excluded = {cj::instance_id("1")};
+        CHECK_FALSE(selector.choose(registry, service, request, now, failure));
+        CHECK(failure.next_send_at == now + 2s);
     }
     SECTION("one that loads weights may open at any time")
     {
-        book.apply_record(record("3", "north", "10.0.0.3:80"));
+        registry.apply_record(record("3", "north", "10.0.0.3:80"));
         auto loads = status(1);
         loads.open = false;
-        book.apply_status("10.0.0.3", loads, now);
-        CHECK_FALSE(places.choose(book, service, wanted(), now, why));
-        CHECK_FALSE(why.next_send_at);
+        registry.apply_status("10.0.0.3", loads, now);
+        CHECK_FALSE(selector.choose(registry, service, default_request(), now,
+                                    failure));
+        CHECK_FALSE(failure.next_send_at);
     }
-    SECTION("one that leaves won't")
+    SECTION("one that is leaving does not count")
     {
         auto leaves = record("3", "north", "10.0.0.3:80");
         leaves.leaving = true;
-        book.apply_record(leaves);
-        CHECK_FALSE(places.choose(book, service, wanted(), now, why));
-        CHECK(why.next_send_at == now + 1s);
+        registry.apply_record(leaves);
+        CHECK_FALSE(selector.choose(registry, service, default_request(), now,
+                                    failure));
+        CHECK(failure.next_send_at == now + 1s);
     }
 }
 
-SCENARIO("records that went while the store was away may come back", "[route]")
+SCENARIO("records that disappear in a store outage may return", "[route]")
 {
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     const cj::time_point now{100s};
     const cj::instance_id id("near");
-    book.apply_record(record("near", "north", "10.0.0.1:80"));
+    registry.apply_record(record("near", "north", "10.0.0.1:80"));
 
-    WHEN("one goes in an outage")
+    WHEN("a record disappears in an outage")
     {
-        book.remove(id, true, now);
-        book.expire(now + 1s);
-        CHECK(book.find(id) != nullptr);
-        THEN("it is gone after the grace")
+        registry.remove(id, true, now);
+        registry.expire(now + 1s);
+        CHECK(registry.find(id) != nullptr);
+        THEN("its upstream is dropped after the grace time")
         {
-            book.expire(now + 2s);
-            CHECK(book.find(id) == nullptr);
+            registry.expire(now + 2s);
+            CHECK(registry.find(id) == nullptr);
         }
-        THEN("it stays when it comes back")
+        THEN("its upstream is kept when the record returns")
         {
-            book.apply_record(record("near", "north", "10.0.0.1:80"));
-            book.expire(now + 10s);
-            CHECK(book.find(id) != nullptr);
+            registry.apply_record(record("near", "north", "10.0.0.1:80"));
+            registry.expire(now + 10s);
+            CHECK(registry.find(id) != nullptr);
         }
     }
-    WHEN("one goes otherwise")
+    WHEN("a record disappears while the store is available")
     {
-        book.remove(id, false, now);
-        THEN("it is gone at once")
+        registry.remove(id, false, now);
+        THEN("its upstream is dropped at once")
         {
-            CHECK(book.find(id) == nullptr);
+            CHECK(registry.find(id) == nullptr);
         }
     }
 }
 
-SCENARIO("what others send unseen is counted", "[route]")
+SCENARIO("requests of other entries not yet reported are estimated", "[route]")
 {
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     const cj::time_point now{100s};
     const cj::instance_id id("near");
     const auto service = llm();
-    book.apply_record(record("near", "north", "10.0.0.1:80"));
-    book.apply_status("10.0.0.1", status(1), now);
-    book.begin_attempt(id, 1, 1000, now + 20ms);
+    registry.apply_record(record("near", "north", "10.0.0.1:80"));
+    registry.apply_status("10.0.0.1", status(1), now);
+    registry.begin_attempt(id, 1, 1000, now + 20ms);
     const auto load = [&]
-    { return book.load(*book.find(id), *service.engine, now + 20ms); };
+    { return registry.load(*registry.find(id), *service.engine, now + 20ms); };
 
-    THEN("a lone entry counts its own request")
+    THEN("a single entry counts only its own request")
     {
         CHECK(load().running == Approx(1));
         CHECK(load().unread_tokens == Approx(1000));
     }
-    GIVEN("five entries that see the same empty upstream")
+    GIVEN("five entries that see the same idle upstream")
     {
-        book.set_entry_count(5);
-        THEN("two of the others are taken to send as often as this one")
+        registry.set_entry_count(5);
+        THEN("two of the others are assumed to send as often as this one")
         {
             const auto own =
                 1 / cj::to_seconds(cj::smoothed_rate::default_window);
-            CHECK(book.other_entries_rate(now + 20ms) == Approx(2 * own));
+            CHECK(registry.other_entries_rate(now + 20ms) == Approx(2 * own));
         }
         CHECK(load().running == Approx(3));
         CHECK(load().unread_tokens == Approx(3000));
-        THEN("more than the own request stands for is counted when expected")
+        THEN("requests expected beyond this entry's scaled ones are added")
         {
-            const auto more = [&](double others) {
-                return book.load(*book.find(id), *service.engine, now + 50ms,
-                                 others);
+            const auto more = [&](double others)
+            {
+                return registry.load(*registry.find(id), *service.engine,
+                                     now + 50ms, others);
             };
             CHECK(more(40).expected == Approx(2));
             CHECK(more(40).running == Approx(3));
             CHECK(more(100).running == Approx(1 + 5));
         }
-        THEN("nothing was sent yet, but others are expected to have")
+        THEN("expected requests count even if this entry has sent none")
         {
-            book.end_attempt(id, 1, cj::attempt_result::succeeded, now + 20ms);
-            CHECK(book.load(*book.find(id), *service.engine, now + 50ms, 40.0)
-                      .running == Approx(2));
+            registry.end_attempt(id, 1, cj::attempt_result::succeeded,
+                                 now + 20ms);
+            CHECK(
+                registry
+                    .load(*registry.find(id), *service.engine, now + 50ms, 40.0)
+                    .running == Approx(2));
         }
-        AND_WHEN("a status tells of it")
+        AND_WHEN("a status report includes the request")
         {
-            auto told = status(2);
-            told.running = 1;
-            book.apply_status("10.0.0.1", told, now + 50ms);
+            auto reported = status(2);
+            reported.running = 1;
+            registry.apply_status("10.0.0.1", reported, now + 50ms);
             THEN("it is counted once")
             {
                 CHECK(load().running == Approx(1));
@@ -354,24 +377,24 @@
     constexpr std::size_t upstream_count = 25;
     const auto service = llm();
     cj::time_point now{100s};
-    std::vector<cj::upstream_registry> books(entry_count);
+    std::vector<cj::upstream_registry> registries(entry_count);
     std::vector<cj::placer> placers;
     for (std::size_t at = 0; at < entry_count; ++at)
         placers.emplace_back(cj::placement_weights{}, cj::hall_id("north"),
                              "10.0.0." + std::to_string(100 + at));
     const auto tell = [&](std::uint64_t sequence)
     {
-        for (auto& book : books)
+        for (auto& registry : registries)
         {
-            book.set_entry_count(entry_count);
+            registry.set_entry_count(entry_count);
             for (std::size_t at = 0; at < upstream_count; ++at)
             {
                 const auto host = "10.1.0." + std::to_string(at + 1);
-                auto told = status(sequence);
-                told.running = at == 0 ? 0 : 2;
-                book.apply_record(
+                auto reported = status(sequence);
+                reported.running = at == 0 ? 0 : 2;
+                registry.apply_record(
                     record("up" + std::to_string(at), "north", host + ":80"));
-                book.apply_status(host, told, now);
+                registry.apply_status(host, reported, now);
             }
         }
     };
@@ -379,20 +402,20 @@
     std::size_t chosen = 0;
     const auto send = [&](std::size_t entry)
     {
-        cj::placement_failure why;
-        auto& book = books[entry];
-        const auto at =
-            placers[entry].choose(book, service, wanted(), now, why);
+        cj::placement_failure failure;
+        auto& registry = registries[entry];
+        const auto at = placers[entry].choose(registry, service,
+                                              default_request(), now, failure);
         if (!at)
             return;
         chosen += at->upstream.value() == "up0" ? 1 : 0;
-        book.begin_attempt(at->upstream, ++number, 1000, now);
-        book.end_attempt(at->upstream, number, cj::attempt_result::succeeded,
-                         now);
+        registry.begin_attempt(at->upstream, ++number, 1000, now);
+        registry.end_attempt(at->upstream, number,
+                             cj::attempt_result::succeeded, now);
     };
 
-    // Each entry sends 30 requests a second, one after another; statuses come
-    // each 50 ms until one is late.
+    // Each entry sends 30 requests a second, in turn; status reports arrive
+    // every 50 ms until one is late.
     tell(1);
     for (int step = 0; step < 480; ++step)
     {
@@ -407,83 +430,89 @@
         now += 2083us;
         send(static_cast<std::size_t>(step) % entry_count);
     }
-    THEN("in the 100 ms after its last status it gets a few, not one of each")
+    THEN("in the 100 ms after its last status it gets a few requests, not one "
+         "per entry")
     {
         CHECK(chosen >= 1);
         CHECK(chosen <= entry_count / 2);
     }
 }
 
-SCENARIO("first events that come late correct the prediction", "[route]")
+SCENARIO("late first events correct the prediction", "[route]")
 {
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     const cj::time_point now{100s};
-    const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
-    book.apply_record(record("near", "north", "10.0.0.1:80"));
-    book.apply_record(record("far", "south", "10.0.0.2:80"));
-    book.apply_status("10.0.0.1", status(1), now);
-    book.apply_status("10.0.0.2", status(1), now);
-    cj::placement_failure why;
+    const cj::placer selector({}, cj::hall_id("north"), "10.0.0.9");
+    registry.apply_record(record("near", "north", "10.0.0.1:80"));
+    registry.apply_record(record("far", "south", "10.0.0.2:80"));
+    registry.apply_status("10.0.0.1", status(1), now);
+    registry.apply_status("10.0.0.2", status(1), now);
+    cj::placement_failure failure;
     const auto before =
-        places.choose(book, llm(), wanted(), now, why)->predicted_ms;
+        selector.choose(registry, llm(), default_request(), now, failure)
+            ->predicted_ms;
 
-    WHEN("they come three times later than predicted at one upstream")
+    WHEN("first events at one upstream take three times as long as predicted")
     {
         for (int at = 0; at < 200; ++at)
-            book.record_first_event_time(cj::instance_id("far"), 100, 300);
-        THEN("all predictions rise: others send what this entry does not see")
+            registry.record_first_event_time(cj::instance_id("far"), 100, 300);
+        THEN("all predictions rise, as unseen load of other entries affects "
+             "them all")
         {
             const auto after =
-                places.choose(book, llm(), wanted(), now, why)->predicted_ms;
+                selector
+                    .choose(registry, llm(), default_request(), now, failure)
+                    ->predicted_ms;
             CHECK(after == Approx(3 * before).epsilon(0.05));
         }
     }
-    WHEN("they come sooner")
+    WHEN("first events are faster than predicted")
     {
         for (int at = 0; at < 200; ++at)
-            book.record_first_event_time(cj::instance_id("far"), 100, 60);
-        THEN("a prediction is not trusted to be too high")
+            registry.record_first_event_time(cj::instance_id("far"), 100, 60);
+        THEN("the prediction is not lowered")
         {
-            CHECK(
-                places.choose(book, llm(), wanted(), now, why)->predicted_ms ==
-                Approx(before));
+            CHECK(selector
+                      .choose(registry, llm(), default_request(), now, failure)
+                      ->predicted_ms == Approx(before));
         }
     }
 }
 
-SCENARIO("an upstream whose side is silent is used last", "[route]")
+SCENARIO("an upstream with a silent sidecar is the last choice", "[route]")
 {
-    cj::upstream_registry book;
+    cj::upstream_registry registry;
     cj::time_point now{100s};
-    const cj::placer places({}, cj::hall_id("north"), "10.0.0.9");
+    const cj::placer selector({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
-    cj::placement_failure why;
-    book.apply_record(record("still", "north", "10.0.0.1:80"));
-    book.apply_record(record("far", "south", "10.0.0.2:80"));
-    book.apply_status("10.0.0.1", status(1), now);
+    cj::placement_failure failure;
+    registry.apply_record(record("still", "north", "10.0.0.1:80"));
+    registry.apply_record(record("far", "south", "10.0.0.2:80"));
+    registry.apply_status("10.0.0.1", status(1), now);
     now += 2s;
-    book.apply_status("10.0.0.2", status(1), now);
+    registry.apply_status("10.0.0.2", status(1), now);
 
-    THEN("one of another hall is preferred")
+    THEN("an upstream of another hall is preferred")
     {
-        const auto found = places.choose(book, service, wanted(), now, why);
+        const auto found =
+            selector.choose(registry, service, default_request(), now, failure);
         REQUIRE(found);
         CHECK(found->upstream == cj::instance_id("far"));
     }
-    WHEN("an attempt fails there")
+    WHEN("an attempt there fails")
     {
         const cj::instance_id still("still");
-        book.begin_attempt(still, 1, 1000, now);
-        book.end_attempt(still, 1, cj::attempt_result::failed, now);
-        THEN("it is left alone for long")
+        registry.begin_attempt(still, 1, 1000, now);
+        registry.end_attempt(still, 1, cj::attempt_result::failed, now);
+        THEN("it is avoided for a long time")
         {
-            CHECK(book.find(still)->avoid_until >= now + 5s);
+            CHECK(registry.find(still)->avoid_until >= now + 5s);
         }
-        THEN("but only until its side is heard again")
+        THEN("that ends when its sidecar reports again")
         {
             now += 1s;
-            book.apply_status("10.0.0.1", status(2), now);
-            CHECK(book.find(still)->avoid_until <= now + 1s);
+            registry.apply_status("10.0.0.1", status(2), now);
+            CHECK(registry.find(still)->avoid_until <= now + 1s);
         }
     }
 }
--- a/tests/route/placement_queue.cpp
+++ b/tests/route/placement_queue.cpp
@@ -7,36 +7,36 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("who is looked at first when a place comes free", "[route]")
+SCENARIO("order in which waiting requests are tried", "[route]")
 {
-    cj::placement_queue line;
+    cj::placement_queue queue;
     const cj::time_point now{100s};
     const cj::waiting_request late{true, now - 2s, 1};
     const cj::waiting_request loose{false, now + 400ms, 2};
     const cj::waiting_request tight{false, now + 200ms, 3};
-    line.push(late);
-    line.push(loose);
-    line.push(tight);
+    queue.push(late);
+    queue.push(loose);
+    queue.push(tight);
 
-    THEN("the least time left goes first, and lost targets go last")
+    THEN("the earliest target goes first, requests past their target go last")
     {
-        CHECK(line.request_numbers() == std::vector<std::uint64_t>{3, 2, 1});
+        CHECK(queue.request_numbers() == std::vector<std::uint64_t>{3, 2, 1});
     }
-    THEN("who has a place leaves the line")
+    THEN("a placed request is removed")
     {
-        line.erase(tight);
-        CHECK(line.request_numbers() == std::vector<std::uint64_t>{2, 1});
-        CHECK(line.size() == 2);
+        queue.erase(tight);
+        CHECK(queue.request_numbers() == std::vector<std::uint64_t>{2, 1});
+        CHECK(queue.size() == 2);
     }
 }
 
-SCENARIO("who is let in first by an engine", "[route]")
+SCENARIO("urgency of requests that wait at an engine", "[route]")
 {
     THEN("less time left is more urgent")
     {
         CHECK(cj::urgency_of(300ms) < cj::urgency_of(400ms));
     }
-    THEN("streams that go on come before all, late requests after all")
+    THEN("resumed streams come before all others, late requests after")
     {
         CHECK(cj::stream_urgency < cj::urgency_of(0ms));
         CHECK(cj::urgency_of(60s) < cj::late_urgency);
--- a/tests/route/recent_refusals.cpp
+++ b/tests/route/recent_refusals.cpp
@@ -21,121 +21,121 @@
 
 } // namespace
 
-SCENARIO("a refused caller is known when it comes back", "[route]")
+SCENARIO("a client retry is matched to its refusal", "[route]")
 {
-    cj::recent_refusals memory;
+    cj::recent_refusals refusals;
     const cj::time_point now{100s};
     const auto one = refused_at(now);
-    const auto back = now + 260ms;
+    const auto retry_at = now + 260ms;
 
-    GIVEN("an entry refused a request")
+    GIVEN("this entry refused a request")
     {
-        memory.record(one);
-        THEN("the same request with the same deadline is its next try")
+        refusals.record(one);
+        THEN("the same request with the same deadline is its retry")
         {
-            CHECK(memory.match_retry(one.fingerprint, one.deadline, back) ==
-                  now);
-            AND_THEN("only once")
+            CHECK(refusals.match_retry(one.fingerprint, one.deadline,
+                                       retry_at) == now);
+            AND_THEN("it matches only once")
             {
-                CHECK_FALSE(
-                    memory.match_retry(one.fingerprint, one.deadline, back));
+                CHECK_FALSE(refusals.match_retry(one.fingerprint, one.deadline,
+                                                 retry_at));
             }
         }
-        THEN("ways and timers move its deadline by some ms")
+        THEN("its deadline may differ by a few ms")
         {
-            CHECK(memory.match_retry(one.fingerprint, *one.deadline + 8ms,
-                                     back) == now);
+            CHECK(refusals.match_retry(one.fingerprint, *one.deadline + 8ms,
+                                       retry_at) == now);
         }
-        THEN("another caller of the same has another deadline")
+        THEN("an equal request with another deadline is another client's")
         {
-            CHECK_FALSE(memory.match_retry(one.fingerprint,
-                                           *one.deadline + 40ms, back));
+            CHECK_FALSE(refusals.match_retry(one.fingerprint,
+                                             *one.deadline + 40ms, retry_at));
             CHECK_FALSE(
-                memory.match_retry(one.fingerprint, std::nullopt, back));
+                refusals.match_retry(one.fingerprint, std::nullopt, retry_at));
         }
-        THEN("nobody comes back before the time that was told")
+        THEN("no retry is expected before the requested time")
         {
-            CHECK_FALSE(
-                memory.match_retry(one.fingerprint, one.deadline, now + 170ms));
+            CHECK_FALSE(refusals.match_retry(one.fingerprint, one.deadline,
+                                             now + 170ms));
         }
-        THEN("but some come at once")
+        THEN("except immediately after the refusal")
         {
-            CHECK(memory.match_retry(one.fingerprint, one.deadline,
-                                     now + 30ms) == now);
+            CHECK(refusals.match_retry(one.fingerprint, one.deadline,
+                                       now + 30ms) == now);
         }
-        THEN("another request is another caller's")
+        THEN("a different request does not match")
         {
-            CHECK_FALSE(memory.match_retry(cj::request_fingerprint(8),
-                                           one.deadline, back));
+            CHECK_FALSE(refusals.match_retry(cj::request_fingerprint(8),
+                                             one.deadline, retry_at));
         }
-        THEN("a request without any fingerprint is nobody's")
+        THEN("a request without fingerprint does not match")
         {
-            CHECK_FALSE(memory.match_retry({}, one.deadline, back));
+            CHECK_FALSE(refusals.match_retry({}, one.deadline, retry_at));
         }
-        THEN("it is told to other entries once")
+        THEN("the refusal is sent to other entries once")
         {
-            REQUIRE(memory.has_unsent());
-            CHECK(memory.take_unsent(10).size() == 1);
-            CHECK_FALSE(memory.has_unsent());
+            REQUIRE(refusals.has_unsent());
+            CHECK(refusals.take_unsent(10).size() == 1);
+            CHECK_FALSE(refusals.has_unsent());
         }
-        THEN("it is forgotten when its caller must have left")
+        THEN("it is dropped once its client must have left")
         {
-            memory.expire(now + 1s);
-            CHECK(memory.size() == 1);
-            memory.expire(now + 2s);
-            CHECK(memory.size() == 0);
+            refusals.expire(now + 1s);
+            CHECK(refusals.size() == 1);
+            refusals.expire(now + 2s);
+            CHECK(refusals.size() == 0);
         }
     }
-    GIVEN("another entry tells of a refusal")
+    GIVEN("another entry reports a refusal")
     {
-        memory.record_remote(one);
-        THEN("its caller is known here too, and nobody else is told")
+        refusals.record_remote(one);
+        THEN("its client is recognised here, and the refusal is not sent on")
         {
-            CHECK(memory.match_retry(one.fingerprint, one.deadline, back) ==
-                  now);
-            CHECK_FALSE(memory.has_unsent());
+            CHECK(refusals.match_retry(one.fingerprint, one.deadline,
+                                       retry_at) == now);
+            CHECK_FALSE(refusals.has_unsent());
         }
     }
-    GIVEN("two callers of the same were refused one after the other")
+    GIVEN("two clients with equal requests were refused one after the other")
     {
         auto second = one;
         second.first_arrival = now + 10ms;
         second.deadline = *one.deadline + 10ms;
-        memory.record(one);
-        memory.record(second);
-        THEN("each is known by its own deadline")
+        refusals.record(one);
+        refusals.record(second);
+        THEN("each is recognised by its deadline")
         {
-            CHECK(memory.match_retry(one.fingerprint, second.deadline, back) ==
-                  second.first_arrival);
-            CHECK(memory.match_retry(one.fingerprint, one.deadline, back) ==
-                  one.first_arrival);
+            CHECK(refusals.match_retry(one.fingerprint, second.deadline,
+                                       retry_at) == second.first_arrival);
+            CHECK(refusals.match_retry(one.fingerprint, one.deadline,
+                                       retry_at) == one.first_arrival);
         }
     }
-    GIVEN("the caller told no deadline")
+    GIVEN("a refused request without deadline")
     {
         auto open = one;
         open.deadline.reset();
-        memory.record(open);
-        THEN("it is known about when it was told to return")
+        refusals.record(open);
+        THEN("it is matched around the requested time")
         {
-            CHECK(memory.match_retry(open.fingerprint, std::nullopt, back) ==
-                  now);
+            CHECK(refusals.match_retry(open.fingerprint, std::nullopt,
+                                       retry_at) == now);
         }
-        THEN("much later the same request is another caller's")
+        THEN("a much later equal request is another client's")
         {
-            CHECK_FALSE(memory.match_retry(open.fingerprint, std::nullopt,
-                                           now + 1500ms));
+            CHECK_FALSE(refusals.match_retry(open.fingerprint, std::nullopt,
+                                             now + 1500ms));
         }
     }
-    GIVEN("more is refused than can be remembered")
+    GIVEN("more refusals than can be stored")
     {
         for (std::size_t at = 0; at < cj::recent_refusals::max_remembered + 10;
              ++at)
-            memory.record(one);
-        THEN("memory and news stay bounded")
+            refusals.record(one);
+        THEN("the stored and the unsent refusals are bounded")
         {
-            CHECK(memory.size() == cj::recent_refusals::max_remembered);
-            CHECK(memory.take_unsent(cj::recent_refusals::max_remembered)
+            CHECK(refusals.size() == cj::recent_refusals::max_remembered);
+            CHECK(refusals.take_unsent(cj::recent_refusals::max_remembered)
                       .size() == cj::recent_refusals::max_unsent);
         }
     }
--- a/tests/route/request_limit.cpp
+++ b/tests/route/request_limit.cpp
@@ -13,11 +13,11 @@
 
 std::vector<cj::entry_demand> entries_of(std::size_t count)
 {
-    std::vector<cj::entry_demand> made;
+    std::vector<cj::entry_demand> result;
     for (std::size_t at = 0; at < count; ++at)
-        made.push_back({cj::hall_id(at % 2 == 0 ? "a" : "b"),
-                        "10.0.0." + std::to_string(at), 1});
-    return made;
+        result.push_back({cj::hall_id(at % 2 == 0 ? "a" : "b"),
+                          "10.0.0." + std::to_string(at), 1});
+    return result;
 }
 
 cj::limit_share share(double per_second, std::size_t entry, std::size_t count)
@@ -29,12 +29,12 @@
 
 } // namespace
 
-SCENARIO("entries divide the limit of an upstream", "[route]")
+SCENARIO("division of an upstream's rate limit between entries", "[route]")
 {
     const double per_second = GENERATE(0.0, 0.3, 1.0, 2.5, 7.0, 1000.0);
     const std::size_t count = GENERATE(1U, 2U, 5U, 53U);
     double sum = 0;
-    std::vector<std::size_t> stand_ins;
+    std::vector<std::size_t> standby_ranks;
     for (std::size_t at = 0; at < count; ++at)
     {
         const auto one = share(per_second, at, count);
@@ -42,52 +42,52 @@
         if (one.holds_share())
             CHECK(at % 2 == 0);
         else
-            stand_ins.push_back(one.standby_rank);
+            standby_ranks.push_back(one.standby_rank);
     }
 
-    THEN("all of it is held, in the upstream's own hall")
+    THEN("all of it is assigned, to entries of the upstream's hall")
     {
         CHECK(sum == Approx(per_second));
     }
-    THEN("the others stand in one after the other")
+    THEN("the others are standby entries with consecutive ranks")
     {
-        std::sort(stand_ins.begin(), stand_ins.end());
-        for (std::size_t at = 0; at < stand_ins.size(); ++at)
-            CHECK(stand_ins[at] == at + 1);
+        std::sort(standby_ranks.begin(), standby_ranks.end());
+        for (std::size_t at = 0; at < standby_ranks.size(); ++at)
+            CHECK(standby_ranks[at] == at + 1);
     }
-    THEN("an entry that does not take callers has no share")
+    THEN("an entry that accepts no requests has no share")
     {
-        const auto none =
+        const auto absent =
             cj::share_of_limit(cj::instance_id("u"), cj::hall_id("a"),
                                per_second, "", entries_of(count));
-        CHECK_FALSE(none.holds_share());
-        CHECK(none.standby_rank == cj::limit_share::not_standby);
+        CHECK_FALSE(absent.holds_share());
+        CHECK(absent.standby_rank == cj::limit_share::not_standby);
     }
 }
 
-SCENARIO("an entry sends at the pace of its share", "[route]")
+SCENARIO("an entry sends at the rate of its share", "[route]")
 {
     cj::request_limit limit(2, moment(0), moment(0));
 
-    GIVEN("no share yet: nothing")
+    GIVEN("an entry without a share sends nothing")
     {
         CHECK(limit.next_send_at() == cj::time_point::max());
     }
-    GIVEN("a share")
+    GIVEN("an entry with a share")
     {
         limit.set_share({2, 0}, moment(0));
-        SECTION("the first request waits: another entry may just have sent")
+        SECTION("its first request waits, as another entry may just have sent")
         {
             CHECK(limit.next_send_at() == moment(0.5));
         }
-        SECTION("then one after the other, with one saved up at most")
+        SECTION("then it sends at its rate, with a burst of two at most")
         {
             limit.record_send(moment(10));
             CHECK(limit.next_send_at() <= moment(10));
             limit.record_send(moment(10));
             CHECK(limit.next_send_at() == moment(10.5));
         }
-        SECTION("a share that is told again changes nothing")
+        SECTION("receiving the same share again changes nothing")
         {
             limit.record_send(moment(10));
             limit.record_send(moment(10));
@@ -95,22 +95,22 @@
             CHECK(limit.next_send_at() == moment(10.5));
         }
     }
-    GIVEN("no share, but a place among those that stand in")
+    GIVEN("a standby entry")
     {
         limit.set_share({0, 2}, moment(0));
         CHECK(limit.next_send_at() == moment(6));
-        SECTION("a holder was answered meanwhile")
+        SECTION("a response to a holder postpones its turn")
         {
             limit.update(2, moment(5));
             CHECK(limit.next_send_at() == moment(11));
         }
-        SECTION("after its own request it waits again")
+        SECTION("its turn comes again after its own request")
         {
             limit.record_send(moment(6));
             CHECK(limit.next_send_at() == moment(12));
         }
     }
-    GIVEN("a limit of none at all: its end is looked for all the same")
+    GIVEN("a limit of zero, whose end must be noticed nevertheless")
     {
         cj::request_limit none(0, moment(0), moment(0));
         none.set_share({0, 1}, moment(0));
@@ -118,83 +118,86 @@
     }
 }
 
-SCENARIO("many entries together exceed the limit of an upstream",
+SCENARIO("many entries together stay within the limit of an upstream",
          "[route][replay]")
 {
-    limit_replay::scene scene;
-    scene.entries = GENERATE(5U, 53U, 340U);
-    // A seed of the largest takes seconds.
-    scene.seed = scene.entries > 53 ? 1U : GENERATE(1U, 2U, 3U);
-    CAPTURE(scene.entries, scene.seed);
+    limit_replay::simulation_options options;
+    options.entries = GENERATE(5U, 53U, 340U);
+    // One seed of the largest size takes seconds.
+    options.seed = options.entries > 53 ? 1U : GENERATE(1U, 2U, 3U);
+    CAPTURE(options.entries, options.seed);
 
-    const auto holds = [&]
+    const auto run_within_limit = [&]
     {
-        const auto made =
-            limit_replay::player<limit_replay::holders>(scene).play();
-        CHECK(static_cast<double>(made.worst_window) <=
-              limit_replay::allowed(scene.per_second));
-        return made;
+        const auto result =
+            limit_replay::simulator<limit_replay::assigned_holders>(options)
+                .run();
+        CHECK(static_cast<double>(result.worst_window) <=
+              limit_replay::allowed(options.per_second));
+        return result;
     };
 
-    WHEN("nothing else happens")
+    WHEN("no faults occur")
     {
-        scene.per_second = GENERATE(1.0, 6.0);
-        const auto made = holds();
-        THEN("the room is used, and everybody is back soon after its end")
+        options.per_second = GENERATE(1.0, 6.0);
+        const auto result = run_within_limit();
+        THEN("the limit is used, and traffic recovers soon after its end")
         {
-            CHECK(made.used > 0.6);
-            CHECK(made.used < 1.5);
-            CHECK(made.recovered < 3);
+            CHECK(result.used_fraction > 0.6);
+            CHECK(result.used_fraction < 1.5);
+            CHECK(result.recovery_seconds < 3);
         }
     }
-    WHEN("entries start again, stop, die, freeze and are cut off")
+    WHEN("entries restart, stop, crash, are suspended and are disconnected")
     {
-        scene.restarted = 2;
-        scene.stopped = 1;
-        scene.killed = 1;
-        scene.frozen = 1;
-        scene.cut = scene.entries > 5 ? 3 : 0;
-        CHECK(holds().used > 0.4);
+        options.restarted = 2;
+        options.stopped = 1;
+        options.crashed = 1;
+        options.suspended = 1;
+        options.disconnected = options.entries > 5 ? 3 : 0;
+        CHECK(run_within_limit().used_fraction > 0.4);
     }
-    WHEN("the upstream takes none at all")
+    WHEN("the limit is zero")
     {
-        scene.per_second = 0;
-        holds();
+        options.per_second = 0;
+        run_within_limit();
     }
-    WHEN("every third heartbeat is lost")
+    WHEN("a third of the heartbeats is lost")
     {
-        scene.loss = 0.33;
-        holds();
+        options.heartbeat_loss = 0.33;
+        run_within_limit();
     }
 }
 
-SCENARIO("ways to share a limit, compared", "[.][compare]")
+SCENARIO("comparison of two ways to share a limit", "[.][compare]")
 {
     const auto print = [](const std::string& way,
-                          const limit_replay::scene& scene,
-                          const limit_replay::outcome& made)
+                          const limit_replay::simulation_options& options,
+                          const limit_replay::simulation_result& result)
     {
-        WARN(way << ", " << scene.entries << " entries, limit "
-                 << scene.per_second << ", seed " << scene.seed
-                 << ": worst 4 s " << made.worst_window << " (allowed "
-                 << limit_replay::allowed(scene.per_second) << "), room used "
-                 << made.used << ", unknowing " << made.unknowing
-                 << ", back after " << made.recovered << " s");
+        WARN(way << ", " << options.entries << " entries, limit "
+                 << options.per_second << ", seed " << options.seed
+                 << ": worst 4 s " << result.worst_window << " (allowed "
+                 << limit_replay::allowed(options.per_second) << "), room used "
+                 << result.used_fraction << ", unknowing "
+                 << result.unaware_requests << ", back after "
+                 << result.recovery_seconds << " s");
     };
-    limit_replay::scene scene;
-    scene.entries = GENERATE(5U, 53U, 340U);
-    scene.per_second = GENERATE(1.0, 6.0);
-    scene.seed = GENERATE(1U, 2U);
-    const bool trouble = GENERATE(false, true);
-    if (trouble)
+    limit_replay::simulation_options options;
+    options.entries = GENERATE(5U, 53U, 340U);
+    options.per_second = GENERATE(1.0, 6.0);
+    options.seed = GENERATE(1U, 2U);
+    const bool with_faults = GENERATE(false, true);
+    if (with_faults)
     {
-        scene.restarted = 2;
-        scene.stopped = scene.killed = scene.frozen = 1;
-        scene.cut = scene.entries > 5 ? 3 : 0;
+        options.restarted = 2;
+        options.stopped = options.crashed = options.suspended = 1;
+        options.disconnected = options.entries > 5 ? 3 : 0;
     }
-    const std::string suffix = trouble ? ", faults" : "";
-    print("holders" + suffix, scene,
-          limit_replay::player<limit_replay::holders>(scene).play());
-    print("equal parts" + suffix, scene,
-          limit_replay::player<limit_replay::equal_parts>(scene).play());
+    const std::string suffix = with_faults ? ", faults" : "";
+    print(
+        "holders" + suffix, options,
+        limit_replay::simulator<limit_replay::assigned_holders>(options).run());
+    print("equal parts" + suffix, options,
+          limit_replay::simulator<limit_replay::equal_shares>(options).run());
 }
--- a/tests/route/retry_detector.cpp
+++ b/tests/route/retry_detector.cpp
@@ -25,31 +25,31 @@
     return made;
 }
 
-/*! @brief More by a third than the engines can end, at entries of which a hall
- * has several; callers come back at another one. */
+/*! @brief A third more requests than the engines can serve, with several
+ * entries per hall; clients retry at another entry. */
 load_pattern overload(std::uint64_t seed)
 {
     constexpr double load = 1.3;
-    constexpr double ended_per_engine = 12.15;
+    constexpr double served_per_engine = 12.15;
     load_pattern made;
     made.entries = 9;
     made.engines = 27;
     made.seconds = 12;
     made.retries_elsewhere = true;
-    made.rate = [](double) { return ended_per_engine * 27 * load; };
+    made.rate = [](double) { return served_per_engine * 27 * load; };
     made.seed = seed;
     return made;
 }
 
-/*! @brief Returns the worst of three seeds. */
+/*! @brief Returns the recognition of the worst of three seeds. */
 load_replay::recognition worst_of(const load_pattern& one)
 {
     load_replay::recognition worst;
     for (const std::uint64_t seed : {1, 2, 3})
     {
-        auto played = one;
-        played.seed = seed;
-        const auto known = simulator(played).run().retry_recognition;
+        auto pattern = one;
+        pattern.seed = seed;
+        const auto known = simulator(pattern).run().retry_recognition;
         REQUIRE(known.retries > 100);
         if (seed == 1 ||
             known.recognised_fraction() < worst.recognised_fraction())
@@ -60,121 +60,121 @@
 
 } // namespace
 
-SCENARIO("how long ago a caller first tried", "[route]")
+SCENARIO("time since the first request of a client", "[route]")
 {
-    cj::retry_detector tries;
+    cj::retry_detector detector;
     const cj::time_point now{100s};
 
-    GIVEN("another entry of the hall sent a caller away")
+    GIVEN("another entry of the hall reported a refusal")
     {
         const auto one = refusal(now);
-        tries.record_remote_refusal(one, now);
-        THEN("it has waited since its first try")
+        detector.record_remote_refusal(one, now);
+        THEN("the retry has waited since the first request")
         {
-            const auto past =
-                tries.record_arrival("a", one.fingerprint, 5350ms, now + 250ms);
+            const auto past = detector.record_arrival("a", one.fingerprint,
+                                                      5350ms, now + 250ms);
             CHECK(past.known_by == cj::retry_evidence::refusal);
             CHECK(past.waited == 550ms);
         }
-        THEN("one that asks for the same with a deadline of its own is new")
+        THEN("an equal request with a different deadline is new")
         {
-            const auto past =
-                tries.record_arrival("a", one.fingerprint, 5900ms, now + 250ms);
+            const auto past = detector.record_arrival("a", one.fingerprint,
+                                                      5900ms, now + 250ms);
             CHECK(past.known_by == cj::retry_evidence::none);
         }
-        THEN("one that asks for the same without a deadline is new")
+        THEN("an equal request without a deadline is new")
         {
-            CHECK(tries
+            CHECK(detector
                       .record_arrival("a", one.fingerprint, std::nullopt,
                                       now + 250ms)
                       .known_by == cj::retry_evidence::none);
         }
     }
-    GIVEN("callers of a route bring 6 s, and entries refuse some")
+    GIVEN("a route whose clients begin with 6 s, while entries refuse some")
     {
         for (std::size_t at = 0; at < cj::deadline_floor::max_samples; ++at)
-            (void)tries.record_arrival("a", {}, 6000ms, now);
-        tries.note_other_entries_refusals(now);
-        THEN("a shorter deadline tells of a try that nobody here heard of")
+            (void)detector.record_arrival("a", {}, 6000ms, now);
+        detector.note_other_entries_refusals(now);
+        THEN("a shorter deadline shows a retry whose refusal is not known here")
         {
-            const auto past = tries.record_arrival("a", {}, 5000ms, now + 1s);
+            const auto past =
+                detector.record_arrival("a", {}, 5000ms, now + 1s);
             CHECK(past.known_by == cj::retry_evidence::deadline);
             CHECK(past.waited == 1000ms);
         }
-        THEN("another route's deadline has nothing to do with it")
+        THEN("the deadlines of another route do not matter")
         {
-            CHECK(tries.record_arrival("b", {}, 1000ms, now).known_by ==
+            CHECK(detector.record_arrival("b", {}, 1000ms, now).known_by ==
                   cj::retry_evidence::none);
         }
-        THEN("a route that is gone is forgotten")
+        THEN("a removed route is forgotten")
         {
-            tries.retain_routes([](const std::string& name)
-                                { return name != "a"; });
-            CHECK(tries.record_arrival("a", {}, 5000ms, now).known_by ==
+            detector.retain_routes([](const std::string& name)
+                                   { return name != "a"; });
+            CHECK(detector.record_arrival("a", {}, 5000ms, now).known_by ==
                   cj::retry_evidence::none);
         }
-        WHEN("nobody has been refused for long")
+        WHEN("no refusals have occurred for long")
         {
-            THEN("a shorter deadline is a new caller's")
+            THEN("a shorter deadline belongs to a new client")
             {
-                CHECK(
-                    tries.record_arrival("a", {}, 5000ms, now + 10s).known_by ==
-                    cj::retry_evidence::none);
+                CHECK(detector.record_arrival("a", {}, 5000ms, now + 10s)
+                          .known_by == cj::retry_evidence::none);
             }
         }
     }
 }
 
-// Entries took the longest deadline of a route for that of every new caller.
-// Where callers begin with 5,100 to 6,000 ms, three of four new ones counted as
-// back after up to 900 ms, were refused, and late ones were served instead.
-SCENARIO("callers that come back are told from new ones under overload",
-         "[route]")
+// Guards against taking the longest deadline seen on a route for that of every
+// new client. Where clients begin with 5,100 to 6,000 ms, three of four new
+// ones then counted as retries after up to 900 ms and were refused, while
+// requests past their target were served instead.
+SCENARIO("client retries are recognised under overload", "[route]")
 {
-    constexpr double least_known = 0.9;
-    constexpr double most_mistaken = 0.02;
+    constexpr double min_recognised = 0.9;
+    constexpr double max_mistaken = 0.02;
     auto load = overload(1);
-    const auto holds = [&](const load_pattern& one)
+    const auto check_recognition = [&](const load_pattern& one)
     {
         const auto known = worst_of(one);
-        CHECK(known.recognised_fraction() > least_known);
-        CHECK(known.mistaken_fraction() < most_mistaken);
+        CHECK(known.recognised_fraction() > min_recognised);
+        CHECK(known.mistaken_fraction() < max_mistaken);
     };
 
-    SECTION("with one deadline for all")
+    SECTION("with one deadline for all clients")
     {
-        holds(load);
+        check_recognition(load);
     }
     SECTION("with spread deadlines")
     {
         load.deadline_spread = 0.15;
-        holds(load);
+        check_recognition(load);
     }
     SECTION("without deadlines")
     {
         load.deadlines = false;
-        holds(load);
+        check_recognition(load);
     }
-    SECTION("with a fourth of the requests alike")
+    SECTION("with a quarter of the requests equal to each other")
     {
         load.identical_fraction = 0.25;
         load.deadline_spread = 0.15;
-        holds(load);
+        check_recognition(load);
     }
-    SECTION("with repeaters that come at once")
+    SECTION("with clients that retry at once")
     {
         load.impatient_fraction = 0.3;
         load.deadline_spread = 0.15;
-        holds(load);
+        check_recognition(load);
     }
-    SECTION("with callers that move to another hall")
+    SECTION("with clients that move to another hall")
     {
         load.moved_fraction = 0.2;
         load.deadline_spread = 0.15;
         const auto known = worst_of(load);
-        CHECK(known.mistaken_fraction() < most_mistaken);
+        CHECK(known.mistaken_fraction() < max_mistaken);
     }
-    SECTION("on a calm day no new caller counts as late")
+    SECTION("without overload no new client counts as a retry")
     {
         load.deadline_spread = 0.15;
         load.rate = [](double) { return 200.0; };
--- a/tests/route/upstream_registry.cpp
+++ b/tests/route/upstream_registry.cpp
@@ -40,91 +40,93 @@
 
 } // namespace
 
-SCENARIO("an upstream starts again under its id", "[route]")
+SCENARIO("an upstream restarts under the same id", "[route]")
 {
     const cj::time_point start{100s};
-    cj::upstream_registry book;
-    book.apply_record(record(1000));
-    book.apply_status(host, status(1000, 1), start);
-    book.begin_attempt(id, 1, 500, start + 10ms);
-    book.apply_status(host, status(1000, 2), start + 500ms);
-    book.begin_attempt(id, 2, 500, start + 550ms);
-    const auto& known = *book.find(id);
+    cj::upstream_registry registry;
+    registry.apply_record(record(1000));
+    registry.apply_status(host, status(1000, 1), start);
+    registry.begin_attempt(id, 1, 500, start + 10ms);
+    registry.apply_status(host, status(1000, 2), start + 500ms);
+    registry.begin_attempt(id, 2, 500, start + 550ms);
+    const auto& known = *registry.find(id);
     const auto ended_attempts = std::vector<std::uint64_t>{1};
 
-    GIVEN("its side tells first")
+    GIVEN("its sidecar reports the new incarnation first")
     {
         const auto ended =
-            book.apply_status(host, status(2000, 3, 0), start + 600ms);
-        THEN("what went to the earlier life is lost, what may have met the new "
-             "one is not")
+            registry.apply_status(host, status(2000, 3, 0), start + 600ms);
+        THEN("attempts sent to the old incarnation are lost, those that may "
+             "have reached the new one are kept")
         {
             REQUIRE(ended.size() == 1);
             CHECK(ended[0].address == host + ":80");
             CHECK(ended[0].attempts == ended_attempts);
             CHECK(known.attempts.size() == 1);
         }
-        THEN("the weights of the earlier life are gone, whatever its record "
-             "tells once the side is silent")
+        THEN("the old incarnation's weights are gone, even if its record lists "
+             "them after the sidecar falls silent")
         {
             CHECK(cj::upstream_registry::served_version(known, "m",
                                                         start + 700ms) == 0);
             CHECK(cj::upstream_registry::served_version(known, "m",
                                                         start + 9s) == 0);
         }
-        THEN("late news of the earlier life change nothing")
+        THEN("late reports of the old incarnation change nothing")
         {
-            book.apply_status(host, status(1000, 9), start + 650ms);
-            book.apply_record(record(1000, true));
+            registry.apply_status(host, status(1000, 9), start + 650ms);
+            registry.apply_record(record(1000, true));
             CHECK_FALSE(known.record.leaving);
             CHECK(known.status->life == 2000);
             CHECK(known.status->version == 0);
         }
-        THEN("its record, when it comes, ends nothing again")
+        THEN(
+            "the new incarnation's record, when it arrives, ends nothing again")
         {
-            CHECK_FALSE(book.apply_record(record(2000)));
+            CHECK_FALSE(registry.apply_record(record(2000)));
             CHECK(known.attempts.size() == 1);
         }
     }
-    GIVEN("its record tells first")
+    GIVEN("its record announces the new incarnation first")
     {
-        const auto ended = book.apply_record(record(2000));
+        const auto ended = registry.apply_record(record(2000));
         REQUIRE(ended);
         CHECK(ended->attempts == ended_attempts);
-        THEN("the status of the earlier life is forgotten, and does not return")
+        THEN("the old incarnation's status is dropped and does not return")
         {
             CHECK_FALSE(known.status);
-            book.apply_status(host, status(1000, 7), start + 700ms);
+            registry.apply_status(host, status(1000, 7), start + 700ms);
             CHECK_FALSE(known.status);
         }
     }
-    GIVEN("it was leaving, and avoided for its failures")
+    GIVEN("the old incarnation was leaving, and avoided after failures")
     {
-        book.apply_record(record(1000, true));
-        book.end_attempt(id, 2, cj::attempt_result::failed, start + 560ms);
+        registry.apply_record(record(1000, true));
+        registry.end_attempt(id, 2, cj::attempt_result::failed, start + 560ms);
         REQUIRE(known.avoid_until > start + 560ms);
-        book.apply_record(record(2000));
-        THEN("the new life is neither")
+        registry.apply_record(record(2000));
+        THEN("the new incarnation is neither")
         {
             CHECK_FALSE(known.record.leaving);
             CHECK(known.avoid_until <= start + 560ms);
             CHECK(known.fault_share == 0);
         }
-        THEN("an attempt of the earlier one that fails now is not held "
-             "against it")
+        THEN("a late failure of an attempt at the old incarnation does not "
+             "count")
         {
-            book.end_attempt(id, 1, cj::attempt_result::failed, start + 700ms);
+            registry.end_attempt(id, 1, cj::attempt_result::failed,
+                                 start + 700ms);
             CHECK(known.fault_share == 0);
             CHECK(known.avoid_until <= start + 560ms);
         }
     }
-    GIVEN("lives are not told")
+    GIVEN("incarnations are not reported")
     {
         cj::upstream_registry silent;
         silent.apply_record(record(0));
         silent.apply_status(host, status(0, 1), start);
         silent.begin_attempt(id, 1, 500, start);
-        THEN("nothing is taken for a restart")
+        THEN("no restart is detected")
         {
             CHECK_FALSE(silent.apply_record(record(0)));
             CHECK(silent.apply_status(host, status(0, 2), start + 1s).empty());
@@ -133,23 +135,23 @@
     }
 }
 
-SCENARIO("statuses come by two ways", "[route]")
+SCENARIO("status reports arrive directly and relayed", "[route]")
 {
     const cj::time_point start{100s};
-    cj::upstream_registry book;
-    book.apply_record(record(0));
-    book.apply_status(host, status(0, 4, 0), start);
+    cj::upstream_registry registry;
+    registry.apply_record(record(0));
+    registry.apply_status(host, status(0, 4, 0), start);
 
-    THEN("one that was passed on late does not open what has closed")
+    THEN("a late relayed one does not reopen a closed upstream")
     {
-        book.apply_status(host, status(0, 3, 1), start + 100ms);
-        CHECK_FALSE(book.find(id)->status->open);
+        registry.apply_status(host, status(0, 3, 1), start + 100ms);
+        CHECK_FALSE(registry.find(id)->status->open);
     }
-    THEN("a side that has started anew counts from the start")
+    THEN("a restarted sidecar counts its reports from the start")
     {
-        auto told = status(0, 1, 1);
-        told.side = 6;
-        book.apply_status(host, told, start + 100ms);
-        CHECK(book.find(id)->status->open);
+        auto reported = status(0, 1, 1);
+        reported.side = 6;
+        registry.apply_status(host, reported, start + 100ms);
+        CHECK(registry.find(id)->status->open);
     }
 }
--- a/tests/route/upstream_table.cpp
+++ b/tests/route/upstream_table.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-SCENARIO("a request goes where it is served best", "[route]")
+SCENARIO("the scored policy chooses the best upstream", "[route]")
 {
     auto table = table_of(2);
     const cj::instance_id a("s0");
@@ -49,12 +49,12 @@
     const auto choose = [&]
     { return table.choose(policy, request, north, east, now); };
 
-    GIVEN("one that is fuller")
+    GIVEN("one with more load")
     {
         table[a].reported_requests = 6;
         CHECK(choose() == b);
     }
-    GIVEN("reports that lag behind what was sent from here")
+    GIVEN("requests sent since the last report")
     {
         table[a].own_requests = 5;
         CHECK(choose() == b);
@@ -67,13 +67,13 @@
         table[b].reported_requests = 8;
         CHECK(choose() == a);
     }
-    GIVEN("one that has the prompt's prefix cached")
+    GIVEN("one that has cached the prompt's prefix")
     {
         request.prefixes = {2, 1};
         table[a].cached = {1, 2};
         table[a].reported_requests = 2;
         CHECK(choose() == a);
-        THEN("it is left when it is much fuller")
+        THEN("a much higher load outweighs the cached prefix")
         {
             table[a].reported_requests = 9;
             CHECK(choose() == b);
@@ -93,7 +93,7 @@
         {
             table[a].reported_requests = 10;
         }
-        SECTION("not heard of")
+        SECTION("no recent report")
         {
             table[a].reported_at = now - 6s;
         }
@@ -116,7 +116,7 @@
         }
         CHECK(choose() == b);
     }
-    GIVEN("a failure in a row of failures")
+    GIVEN("consecutive failures")
     {
         for (int at = 0; at < 3; ++at)
             table.record_failure(a, now);
@@ -127,7 +127,7 @@
     }
 }
 
-SCENARIO("the baselines", "[route]")
+SCENARIO("the baseline policies", "[route]")
 {
     auto table = table_of(3);
     const auto request = wanting();
--- a/tests/route/version_floor.cpp
+++ b/tests/route/version_floor.cpp
@@ -5,7 +5,7 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("each named version binds on its own", "[route]")
+SCENARIO("each published version is enforced at its own time", "[route]")
 {
     cj::version_floor floor;
     const cj::time_point start{100s};
@@ -21,61 +21,62 @@
     CHECK(floor.newest("m") == 3);
     CHECK(floor.minimum("other", start) == 1);
 
-    WHEN("an entry starts when the third version has been named")
+    WHEN("an entry starts after the third version was published")
     {
         cj::version_floor started;
         started.add_found_at_startup("m", 3, start + 4s, 8000ms);
-        THEN("the first may be bound already, the second is as old as told")
+        THEN("the first is excluded at once, the second after the time allowed")
         {
             CHECK(started.minimum("m", start + 5s) == 2);
             CHECK(started.minimum("m", start + 12s) == 3);
         }
-        THEN("what is found again changes nothing")
+        THEN("a version found later changes nothing")
         {
             started.add_found_at_startup("m", 4, start + 6s, 8000ms);
             CHECK(started.minimum("m", start + 7s) == 2);
         }
     }
-    WHEN("an entry starts when only the second has been named")
+    WHEN("an entry starts when only the second version is published")
     {
         cj::version_floor started;
         started.add_found_at_startup("m", 2, start, 8000ms);
-        THEN("the first still begins requests")
+        THEN("the first may still begin requests")
         {
             CHECK(started.minimum("m", start + 5s) == 1);
         }
     }
-    WHEN("the third turns out to be named later")
+    WHEN("the third version turns out to be published later")
     {
         floor.postpone("m", 3, start + 6s, 8000ms, start + 5s);
-        THEN("it binds later, and the second as before")
+        THEN("it is enforced later, the second as before")
         {
             CHECK(floor.minimum("m", start + 13s) == 2);
             CHECK(floor.minimum("m", start + 14s) == 3);
         }
     }
-    WHEN("that is told when it binds already")
+    WHEN("that is learnt after it is enforced")
     {
         floor.postpone("m", 3, start + 6s, 8000ms, start + 12s);
-        THEN("it goes on to")
+        THEN("it remains enforced")
         {
             CHECK(floor.minimum("m", start + 12s) == 3);
         }
     }
-    WHEN("a version is told again later")
+    WHEN("a version is added again later")
     {
         floor.add_published("m", 2, start + 5s, 8000ms);
-        THEN("its time does not start anew")
+        THEN("its time does not start again")
         {
             CHECK(floor.minimum("m", start + 8s) == 2);
         }
     }
 }
 
-// All processes ended together while version 3 was served by nearly all. Those
-// that started counted its time from then on, and sent requests for 6 s to an
-// upstream that had been left on version 2: they began 26 s after the naming.
-SCENARIO("a version that was found at the start and is served by most binds",
+// Guards against counting the time of a version found at startup from then on.
+// When all processes restarted together while nearly all upstreams served
+// version 3, they sent requests for 6 s to an upstream left on version 2, which
+// began 26 s after version 3 was published.
+SCENARIO("a version found at startup that most upstreams serve is enforced",
          "[route]")
 {
     cj::version_floor floor;
@@ -90,33 +91,33 @@
     WHEN("most upstreams serve it")
     {
         floor.mark_widely_served("m", 3);
-        THEN("nothing older is used any more")
+        THEN("no older version is used any more")
         {
             CHECK(floor.known_minimum("m", started) == 1);
             CHECK(floor.minimum("m", started) == 3);
             CHECK_FALSE(floor.publish_time_unknown("m", 3));
         }
     }
-    THEN("what this process only infers is not told to others")
+    THEN("an inferred minimum is not reported to others")
     {
         CHECK(floor.known_minimum("m", started) == 1);
         CHECK(floor.known_minimum("m", started + 6s) == 3);
     }
-    WHEN("it is known to bind")
+    WHEN("another process already enforces it")
     {
         floor.enforce("m", 3);
-        THEN("nothing older is used any more")
+        THEN("no older version is used any more")
         {
             CHECK(floor.minimum("m", started) == 3);
             CHECK(floor.known_minimum("m", started) == 3);
             CHECK(*floor.superseded_at("m", 2) <= started);
         }
     }
-    WHEN("a newer one is named while this process lives")
+    WHEN("a newer version is published while this process runs")
     {
         floor.add_published("m", 4, started + 1s, 6000ms);
         floor.mark_widely_served("m", 4);
-        THEN("its time is known, and it binds when that is over")
+        THEN("its publish time is known, and it is enforced in time")
         {
             CHECK(floor.minimum("m", started + 6500ms) == 3);
             CHECK(floor.minimum("m", started + 7s) == 4);
