--- a/src/coursejunction/route/engine_shares.hpp
+++ b/src/coursejunction/route/engine_shares.hpp
@@ -24,7 +24,7 @@
 struct entry_demand
 {
     hall_id hall;
-    std::string entry; /*!< Its address. */
+    std::string address;
     double per_second{0};
 };
 
@@ -33,7 +33,8 @@
 [[nodiscard]] inline bool operator<(const entry_demand& left,
                                     const entry_demand& right)
 {
-    return std::tie(left.hall, left.entry) < std::tie(right.hall, right.entry);
+    return std::tie(left.hall, left.address) <
+           std::tie(right.hall, right.address);
 }
 
 /*! @brief A part of the interval from 0 to 1. */
@@ -52,21 +53,21 @@
 demand_interval_of(const std::string& own,
                    const std::vector<entry_demand>& entries)
 {
-    const auto self =
-        std::find_if(entries.begin(), entries.end(),
-                     [&](const entry_demand& one) { return one.entry == own; });
+    const auto self = std::find_if(entries.begin(), entries.end(),
+                                   [&](const entry_demand& entry)
+                                   { return entry.address == own; });
     if (self == entries.end())
         return {};
-    double all = 0;
+    double total = 0;
     double before = 0;
-    for (const auto& one : entries)
+    for (const auto& entry : entries)
     {
-        all += one.per_second;
-        before += one < *self ? one.per_second : 0;
+        total += entry.per_second;
+        before += entry < *self ? entry.per_second : 0;
     }
-    if (all <= 0)
+    if (total <= 0)
         return {};
-    return {before / all, (before + self->per_second) / all};
+    return {before / total, (before + self->per_second) / total};
 }
 
 /*! @brief Returns the fraction of each engine that lies within an interval.
@@ -80,19 +81,19 @@
 [[nodiscard]] inline std::vector<double>
 engine_fractions(const demand_interval& own, const std::vector<double>& slots)
 {
-    double all = 0;
-    for (const auto one : slots)
-        all += one;
+    double total = 0;
+    for (const auto count : slots)
+        total += count;
     std::vector<double> fractions;
     fractions.reserve(slots.size());
     double offset = 0;
-    for (const auto one : slots)
+    for (const auto count : slots)
     {
-        const auto covered = std::min(own.to * all, offset + one) -
-                             std::max(own.from * all, offset);
-        fractions.push_back(one > 0 ? std::clamp(covered / one, 0.0, 1.0)
-                                    : 0.0);
-        offset += one;
+        const auto covered = std::min(own.to * total, offset + count) -
+                             std::max(own.from * total, offset);
+        fractions.push_back(count > 0 ? std::clamp(covered / count, 0.0, 1.0)
+                                      : 0.0);
+        offset += count;
     }
     return fractions;
 }
--- a/src/coursejunction/route/placement.hpp
+++ b/src/coursejunction/route/placement.hpp
@@ -127,38 +127,39 @@
         if (all.empty())
             failure.next_send_at = earliest_send_at(registry, request, now);
         const auto rates = other_entries_rates(registry, service, all, now);
-        for (std::size_t at = 0; at < all.size(); ++at)
+        for (std::size_t index = 0; index < all.size(); ++index)
         {
-            const auto& one = *all[at].upstream;
+            const auto& upstream = *all[index].upstream;
             // Without requests expected from other entries the first prediction
             // is valid.
-            const bool recompute = service.engine && rates[at] > 0;
-            const auto load =
-                recompute ? registry.load(one, *service.engine, now, rates[at])
-                          : all[at].load;
-            const auto predicted =
-                recompute
-                    ? predict(registry, one, *service.engine, load, request)
-                    : all[at].predicted_ms;
+            const bool recompute = service.engine && rates[index] > 0;
+            const auto load = recompute
+                                  ? registry.load(upstream, *service.engine,
+                                                  now, rates[index])
+                                  : all[index].load;
+            const auto predicted = recompute
+                                       ? predict(registry, upstream,
+                                                 *service.engine, load, request)
+                                       : all[index].predicted_ms;
             failure.least_ms = failure.usable == 0
                                    ? predicted
                                    : std::min(failure.least_ms, predicted);
             ++failure.usable;
-            if (!fits(one, service, request, load, predicted))
+            if (!fits(upstream, service, request, load, predicted))
                 continue;
-            const auto cost = predicted + penalty(one, now);
+            const auto cost = predicted + penalty(upstream, now);
             if (best && cost >= least_cost)
                 continue;
             least_cost = cost;
-            best = upstream_choice{one.record.id,
-                                   one.record.hall,
-                                   one.record.address,
+            best = upstream_choice{upstream.record.id,
+                                   upstream.record.hall,
+                                   upstream.record.address,
                                    predicted,
-                                   predicted / correction(registry, one),
+                                   predicted / correction(registry, upstream),
                                    request.model.empty()
                                        ? 0
                                        : upstream_registry::served_version(
-                                             one, request.model, now),
+                                             upstream, request.model, now),
                                    load};
         }
         return best;
@@ -173,12 +174,12 @@
                      const placement_request& request, time_point now)
     {
         std::optional<time_point> soonest;
-        for (const auto& [id, one] : registry.all())
+        for (const auto& [id, upstream] : registry.all())
         {
-            if (one.record.service != request.service || one.leaving() ||
-                excluded(one, request))
+            if (upstream.record.service != request.service ||
+                upstream.leaving() || excluded(upstream, request))
                 continue;
-            const auto send_at = one.terms.next_send_at();
+            const auto send_at = upstream.terms.next_send_at();
             if (send_at <= now)
                 return std::nullopt;
             soonest = std::min(soonest.value_or(send_at), send_at);
@@ -186,30 +187,31 @@
         return soonest;
     }
 
-    [[nodiscard]] static bool excluded(const known_upstream& one,
+    [[nodiscard]] static bool excluded(const known_upstream& upstream,
                                        const placement_request& request)
     {
         return std::find(request.excluded.begin(), request.excluded.end(),
-                         one.record.id) != request.excluded.end();
+                         upstream.record.id) != request.excluded.end();
     }
 
-    [[nodiscard]] static bool usable(const known_upstream& one,
+    [[nodiscard]] static bool usable(const known_upstream& upstream,
                                      const placement_request& request,
                                      time_point now)
     {
-        if (one.record.service != request.service || one.leaving() ||
-            now < one.avoid_until || now < one.terms.next_send_at())
+        if (upstream.record.service != request.service || upstream.leaving() ||
+            now < upstream.avoid_until || now < upstream.terms.next_send_at())
             return false;
-        if (excluded(one, request))
+        if (excluded(upstream, request))
             return false;
         if (request.model.empty())
             return true;
-        const bool fresh = one.status && now - one.status_at <=
-                                             upstream_registry::status_validity;
-        if (fresh && (!one.status->open || !one.status->reachable))
+        const bool fresh =
+            upstream.status &&
+            now - upstream.status_at <= upstream_registry::status_validity;
+        if (fresh && (!upstream.status->open || !upstream.status->reachable))
             return false;
         const auto version =
-            upstream_registry::served_version(one, request.model, now);
+            upstream_registry::served_version(upstream, request.model, now);
         return version > 0 && version >= request.min_version;
     }
 
@@ -227,18 +229,18 @@
                time_point now)
     {
         std::vector<candidate> all;
-        for (const auto& [id, one] : registry.all())
+        for (const auto& [id, upstream] : registry.all())
         {
-            if (!usable(one, request, now))
+            if (!usable(upstream, request, now))
                 continue;
-            const auto load = service.engine
-                                  ? registry.load(one, *service.engine, now)
-                                  : engine_load{};
-            const auto predicted =
-                service.engine
-                    ? predict(registry, one, *service.engine, load, request)
-                    : plain_ms(one, request);
-            all.push_back({&one, load, predicted});
+            const auto load =
+                service.engine ? registry.load(upstream, *service.engine, now)
+                               : engine_load{};
+            const auto predicted = service.engine
+                                       ? predict(registry, upstream,
+                                                 *service.engine, load, request)
+                                       : plain_ms(upstream, request);
+            all.push_back({&upstream, load, predicted});
         }
         return all;
     }
@@ -262,55 +264,55 @@
                              { return a.predicted_ms < b.predicted_ms; })
                 ->predicted_ms;
         double sum = 0;
-        for (std::size_t at = 0; at < all.size(); ++at)
+        for (std::size_t index = 0; index < all.size(); ++index)
         {
             // Where this entry holds a share of a rate limit the others do not
             // send.
-            if (all[at].upstream->terms.limit())
+            if (all[index].upstream->terms.limit())
                 continue;
-            rates[at] = std::exp((soonest - all[at].predicted_ms) /
-                                 weights.softmax_scale_ms);
-            sum += rates[at];
+            rates[index] = std::exp((soonest - all[index].predicted_ms) /
+                                    weights.softmax_scale_ms);
+            sum += rates[index];
         }
         const auto total = registry.other_entries_rate(now);
         const auto equal = total / static_cast<double>(all.size());
-        for (auto& one : rates)
-            one = sum > 0 ? std::max(0.0, one / sum * total - equal) : 0.0;
+        for (auto& rate : rates)
+            rate = sum > 0 ? std::max(0.0, rate / sum * total - equal) : 0.0;
         return rates;
     }
 
     /*! @brief Returns by which factor first events were later than predicted
      * recently. */
     [[nodiscard]] static double correction(const upstream_registry& registry,
-                                           const known_upstream& one)
+                                           const known_upstream& upstream)
     {
-        return std::max(one.lateness, registry.lateness());
+        return std::max(upstream.lateness, registry.lateness());
     }
 
     [[nodiscard]] static double predict(const upstream_registry& registry,
-                                        const known_upstream& one,
+                                        const known_upstream& upstream,
                                         const engine_profile& engine,
                                         const engine_load& load,
                                         const placement_request& request)
     {
         return first_event_ms(engine, load, request.prompt_tokens) *
-               correction(registry, one);
+               correction(registry, upstream);
     }
 
     /*! @brief Returns the estimate in ms for an upstream without an engine
      * model: a request takes a quarter of its target alone, and longer in
      * proportion to the requests per slot. */
-    [[nodiscard]] static double plain_ms(const known_upstream& one,
+    [[nodiscard]] static double plain_ms(const known_upstream& upstream,
                                          const placement_request& request)
     {
-        const auto in_flight = static_cast<double>(one.attempts.size());
-        const auto slots =
-            static_cast<double>(std::max<std::size_t>(one.record.slots, 1));
+        const auto in_flight = static_cast<double>(upstream.attempts.size());
+        const auto slots = static_cast<double>(
+            std::max<std::size_t>(upstream.record.slots, 1));
         const auto typical_ms = static_cast<double>(request.target.count()) / 4;
         return typical_ms * (1 + in_flight / slots);
     }
 
-    [[nodiscard]] bool fits(const known_upstream& one,
+    [[nodiscard]] bool fits(const known_upstream& upstream,
                             const service_profile& service,
                             const placement_request& request,
                             const engine_load& load, double predicted) const
@@ -326,40 +328,41 @@
             return predicted <= limits.first_event_ms &&
                    typical_ms <= limits.typical_first_event_ms &&
                    load.running + load.waiting <= limits.max_in_flight &&
-                   (!limits.own_share_only || within_share(one, service) ||
+                   (!limits.own_share_only || within_share(upstream, service) ||
                     load.running + load.waiting + 1 <=
                         static_cast<double>(service.engine->slots) *
                             limits.unowned_fraction);
         }
-        return static_cast<double>(one.attempts.size()) <
-               static_cast<double>(one.record.slots) + weights.max_plain_queue;
+        return static_cast<double>(upstream.attempts.size()) <
+               static_cast<double>(upstream.record.slots) +
+                   weights.max_plain_queue;
     }
 
     /*! @brief Returns whether a slot of this entry's share of the engine is
      * free. A slot that two entries share in part counts for both. */
-    [[nodiscard]] static bool within_share(const known_upstream& one,
+    [[nodiscard]] static bool within_share(const known_upstream& upstream,
                                            const service_profile& service)
     {
-        return one.share > 0 &&
-               static_cast<double>(one.attempts.size()) <=
-                   static_cast<double>(service.engine->slots) * one.share;
+        return upstream.share > 0 &&
+               static_cast<double>(upstream.attempts.size()) <=
+                   static_cast<double>(service.engine->slots) * upstream.share;
     }
 
-    [[nodiscard]] double penalty(const known_upstream& one,
+    [[nodiscard]] double penalty(const known_upstream& upstream,
                                  time_point now) const
     {
         constexpr double range = 1024;
         const auto position =
             static_cast<double>(
-                rendezvous_weight(own_address, one.record.id.value()) %
+                rendezvous_weight(own_address, upstream.record.id.value()) %
                 static_cast<std::uint64_t>(range)) /
             range;
         auto cost = position * weights.spread_ms +
-                    (1 - one.share) * weights.unowned_ms +
-                    one.fault_share * weights.failure_ms;
-        if (one.record.hall != own_hall)
+                    (1 - upstream.share) * weights.unowned_ms +
+                    upstream.fault_share * weights.failure_ms;
+        if (upstream.record.hall != own_hall)
             cost += weights.other_hall_ms;
-        if (upstream_registry::side_silent(one, now))
+        if (upstream_registry::side_silent(upstream, now))
             cost += weights.silent_ms;
         return cost;
     }
--- a/src/coursejunction/route/placement_queue.hpp
+++ b/src/coursejunction/route/placement_queue.hpp
@@ -33,9 +33,9 @@
 class placement_queue
 {
 public:
-    void push(const waiting_request& one) { requests.insert(one); }
+    void push(const waiting_request& request) { requests.insert(request); }
 
-    void erase(const waiting_request& one) { requests.erase(one); }
+    void erase(const waiting_request& request) { requests.erase(request); }
 
     [[nodiscard]] std::size_t size() const { return requests.size(); }
 
@@ -45,8 +45,8 @@
     {
         std::vector<std::uint64_t> all;
         all.reserve(requests.size());
-        for (const auto& one : requests)
-            all.push_back(one.number);
+        for (const auto& request : requests)
+            all.push_back(request.number);
         return all;
     }
 
--- a/src/coursejunction/route/recent_refusals.cpp
+++ b/src/coursejunction/route/recent_refusals.cpp
@@ -10,27 +10,27 @@
 {
 
 /*! @brief Returns whether a retry of a refused client may arrive now. */
-bool retry_possible(const refusal_record& one, time_point now)
+bool retry_possible(const refusal_record& refusal, time_point now)
 {
-    if (now - one.refused_at <= recent_refusals::immediate_retry_window)
+    if (now - refusal.refused_at <= recent_refusals::immediate_retry_window)
         return true;
-    return now >= one.retry_at - recent_refusals::early_retry_tolerance &&
-           now <= one.retry_at + recent_refusals::retry_expiry;
+    return now >= refusal.retry_at - recent_refusals::early_retry_tolerance &&
+           now <= refusal.retry_at + recent_refusals::retry_expiry;
 }
 
 /*! @brief Returns how far a request is from the expected retry of a refused
  * one; nothing if it can't be that. */
 std::optional<std::chrono::microseconds>
-distance(const refusal_record& one, const std::optional<time_point>& deadline,
-         time_point now)
+distance(const refusal_record& refusal,
+         const std::optional<time_point>& deadline, time_point now)
 {
-    if (one.deadline.has_value() != deadline.has_value() ||
-        !retry_possible(one, now))
+    if (refusal.deadline.has_value() != deadline.has_value() ||
+        !retry_possible(refusal, now))
         return std::nullopt;
     if (!deadline)
-        return std::chrono::abs(now - one.retry_at);
+        return std::chrono::abs(now - refusal.retry_at);
     const std::chrono::microseconds difference =
-        std::chrono::abs(*deadline - *one.deadline);
+        std::chrono::abs(*deadline - *refusal.deadline);
     if (difference > recent_refusals::deadline_tolerance)
         return std::nullopt;
     return difference;
@@ -38,19 +38,19 @@
 
 } // namespace
 
-void recent_refusals::record(const refusal_record& one)
+void recent_refusals::record(const refusal_record& refusal)
 {
-    if (one.fingerprint.empty())
+    if (refusal.fingerprint.empty())
         return;
-    record_remote(one);
+    record_remote(refusal);
     if (unsent.size() < max_unsent)
-        unsent.push_back(one);
+        unsent.push_back(refusal);
 }
 
-void recent_refusals::record_remote(const refusal_record& one)
+void recent_refusals::record_remote(const refusal_record& refusal)
 {
-    if (!one.fingerprint.empty() && refusals.size() < max_remembered)
-        refusals.emplace(one.fingerprint, one);
+    if (!refusal.fingerprint.empty() && refusals.size() < max_remembered)
+        refusals.emplace(refusal.fingerprint, refusal);
 }
 
 std::optional<time_point>
@@ -62,13 +62,13 @@
     auto nearest = refusals.end();
     std::chrono::microseconds least_difference{0};
     const auto [from, to] = refusals.equal_range(fingerprint);
-    for (auto at = from; at != to; ++at)
+    for (auto candidate = from; candidate != to; ++candidate)
     {
-        const auto difference = distance(at->second, deadline, now);
+        const auto difference = distance(candidate->second, deadline, now);
         if (!difference ||
             (nearest != refusals.end() && *difference >= least_difference))
             continue;
-        nearest = at;
+        nearest = candidate;
         least_difference = *difference;
     }
     if (nearest == refusals.end())
@@ -89,8 +89,8 @@
 
 void recent_refusals::expire(time_point now)
 {
-    std::erase_if(refusals, [now](const auto& one)
-                  { return now > one.second.retry_at + retry_expiry; });
+    std::erase_if(refusals, [now](const auto& item)
+                  { return now > item.second.retry_at + retry_expiry; });
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/route/recent_refusals.hpp
+++ b/src/coursejunction/route/recent_refusals.hpp
@@ -62,10 +62,10 @@
     static constexpr milliseconds early_retry_tolerance{20};
 
     /*! @brief Records a refusal of this entry, to be sent to others too. */
-    void record(const refusal_record& one);
+    void record(const refusal_record& refusal);
 
     /*! @brief Records a refusal that another entry reported. */
-    void record_remote(const refusal_record& one);
+    void record_remote(const refusal_record& refusal);
 
     /*! @brief Finds the refusal that a request is the retry of, and drops it,
      * as a client retries once. Clients with equal requests are told apart by
--- a/src/coursejunction/route/request_limit.hpp
+++ b/src/coursejunction/route/request_limit.hpp
@@ -52,25 +52,25 @@
                double per_second, const std::string& own,
                const std::vector<entry_demand>& entries)
 {
-    const auto self =
-        std::find_if(entries.begin(), entries.end(),
-                     [&](const entry_demand& one) { return one.entry == own; });
+    const auto self = std::find_if(entries.begin(), entries.end(),
+                                   [&](const entry_demand& entry)
+                                   { return entry.address == own; });
     if (self == entries.end())
         return {};
-    const auto weight = [&](const entry_demand& one)
-    { return rendezvous_weight(upstream.value(), one.entry); };
+    const auto weight = [&](const entry_demand& entry)
+    { return rendezvous_weight(upstream.value(), entry.address); };
     const auto own_weight = weight(*self);
     const bool in_upstream_hall = self->hall == hall;
     std::size_t hall_entries = 0;
     std::size_t entries_before = 0;
-    for (const auto& one : entries)
+    for (const auto& entry : entries)
     {
-        const bool one_in_hall = one.hall == hall;
-        hall_entries += one_in_hall ? 1 : 0;
-        if (one_in_hall != in_upstream_hall)
-            entries_before += one_in_hall ? 1 : 0;
+        const bool entry_in_hall = entry.hall == hall;
+        hall_entries += entry_in_hall ? 1 : 0;
+        if (entry_in_hall != in_upstream_hall)
+            entries_before += entry_in_hall ? 1 : 0;
         else
-            entries_before += weight(one) > own_weight ? 1 : 0;
+            entries_before += weight(entry) > own_weight ? 1 : 0;
     }
     // Nobody holds a limit of 0, but its end must be noticed too.
     if (per_second <= 0)
--- a/src/coursejunction/route/retained_terms.hpp
+++ b/src/coursejunction/route/retained_terms.hpp
@@ -20,10 +20,11 @@
 public:
     /*! @brief Stores the terms of an upstream that is about to be dropped, if
      * they restrict requests. */
-    void keep(const known_upstream& one, time_point now)
+    void keep(const known_upstream& upstream, time_point now)
     {
-        if (one.terms.restricts_sends(now))
-            retained[one.record.id] = {one.life, one.terms, now + retention};
+        if (upstream.terms.restricts_sends(now))
+            retained[upstream.record.id] = {upstream.life, upstream.terms,
+                                            now + retention};
     }
 
     /*! @brief Restores the terms of an upstream that is added again.
@@ -44,8 +45,8 @@
     /*! @brief Drops terms retained for long enough. */
     void expire(time_point now)
     {
-        std::erase_if(retained,
-                      [&](const auto& one) { return now >= one.second.until; });
+        std::erase_if(retained, [&](const auto& item)
+                      { return now >= item.second.until; });
     }
 
 private:
--- a/src/coursejunction/route/retry_detector.hpp
+++ b/src/coursejunction/route/retry_detector.hpp
@@ -82,17 +82,17 @@
     }
 
     /*! @brief Records a refusal of this entry. */
-    void record_refusal(const refusal_record& one, time_point now)
+    void record_refusal(const refusal_record& refusal, time_point now)
     {
         last_refusal = now;
-        refusals.record(one);
+        refusals.record(refusal);
     }
 
     /*! @brief Records a refusal that another entry reported. */
-    void record_remote_refusal(const refusal_record& one, time_point now)
+    void record_remote_refusal(const refusal_record& refusal, time_point now)
     {
         last_refusal = now;
-        refusals.record_remote(one);
+        refusals.record_remote(refusal);
     }
 
     /*! @brief Records that other entries refuse clients at present, whichever.
@@ -118,7 +118,7 @@
     void retain_routes(Predicate wanted)
     {
         std::erase_if(deadline_floors,
-                      [&](const auto& one) { return !wanted(one.first); });
+                      [&](const auto& item) { return !wanted(item.first); });
     }
 
 private:
--- a/src/coursejunction/route/upstream_registry.hpp
+++ b/src/coursejunction/route/upstream_registry.hpp
@@ -43,17 +43,17 @@
     /*! @brief Adds or replaces a record; ignores one of an earlier incarnation
      * than the known one.
      * @return The earlier incarnation that the record replaced, if any. */
-    std::optional<ended_incarnation> apply_record(upstream_record one)
+    std::optional<ended_incarnation> apply_record(upstream_record record)
     {
-        const auto [position, added] = upstreams.try_emplace(one.id);
+        const auto [position, added] = upstreams.try_emplace(record.id);
         auto& known = position->second;
         if (added)
-            retained.restore(one.id, one.life, known);
-        if (!one.life.empty() && one.life < known.life)
+            retained.restore(record.id, record.life, known);
+        if (!record.life.empty() && record.life < known.life)
             return std::nullopt;
-        auto ended = start_incarnation(known, one.life);
+        auto ended = start_incarnation(known, record.life);
         known.lapses_at.reset();
-        known.record = std::move(one);
+        known.record = std::move(record);
         return ended;
     }
 
@@ -80,12 +80,12 @@
     {
         retained.expire(now);
         std::erase_if(upstreams,
-                      [&](const auto& one)
+                      [&](const auto& entry)
                       {
-                          const auto& at = one.second.lapses_at;
+                          const auto& at = entry.second.lapses_at;
                           if (!at || now < *at)
                               return false;
-                          retained.keep(one.second, now);
+                          retained.keep(entry.second, now);
                           return true;
                       });
     }
@@ -99,41 +99,41 @@
     apply_status(const std::string& host,
                  const message::upstream_status& reported, time_point now)
     {
-        std::vector<ended_incarnation> all;
+        std::vector<ended_incarnation> ended_incarnations;
         const incarnation life(reported.life);
-        for (auto& [id, one] : upstreams)
+        for (auto& [id, upstream] : upstreams)
         {
-            if (one.record.address.substr(0, one.record.address.rfind(':')) !=
-                host)
+            if (upstream.record.address.substr(
+                    0, upstream.record.address.rfind(':')) != host)
                 continue;
-            if ((one.status && !is_newer(reported, *one.status)) ||
-                (!life.empty() && life < one.life))
+            if ((upstream.status && !is_newer(reported, *upstream.status)) ||
+                (!life.empty() && life < upstream.life))
                 continue;
-            if (auto ended = start_incarnation(one, life))
+            if (auto ended = start_incarnation(upstream, life))
             {
                 // The record belongs to the earlier incarnation until the next
                 // one arrives.
-                one.record.weights.clear();
-                all.push_back(std::move(*ended));
+                upstream.record.weights.clear();
+                ended_incarnations.push_back(std::move(*ended));
             }
             // The instance runs again: end a long avoidance due to its silence.
-            if (one.status && side_silent(one, now))
-                one.avoid_until =
-                    std::min(one.avoid_until, now + min_avoid_time);
-            one.status = reported;
-            one.status_at = now;
-            one.ended_since_status = 0;
+            if (upstream.status && side_silent(upstream, now))
+                upstream.avoid_until =
+                    std::min(upstream.avoid_until, now + min_avoid_time);
+            upstream.status = reported;
+            upstream.status_at = now;
+            upstream.ended_since_status = 0;
         }
-        return all;
+        return ended_incarnations;
     }
 
     /*! @brief Records an attempt that is about to be sent. */
     void begin_attempt(const instance_id& id, std::uint64_t attempt,
                        double prompt_tokens, time_point now)
     {
-        auto& one = upstreams[id];
-        one.attempts[attempt] = open_attempt{now, prompt_tokens, false};
-        one.terms.record_send(now);
+        auto& upstream = upstreams[id];
+        upstream.attempts[attempt] = open_attempt{now, prompt_tokens, false};
+        upstream.terms.record_send(now);
         if (prompt_tokens > 0)
             engine_sends.record(now);
     }
@@ -144,9 +144,9 @@
         const auto found = upstreams.find(id);
         if (found == upstreams.end())
             return;
-        const auto one = found->second.attempts.find(attempt);
-        if (one != found->second.attempts.end())
-            one->second.first_event_seen = true;
+        const auto open = found->second.attempts.find(attempt);
+        if (open != found->second.attempts.end())
+            open->second.first_event_seen = true;
     }
 
     /*! @brief Records the end of an attempt. An upstream that answers with an
@@ -158,21 +158,22 @@
         const auto found = upstreams.find(id);
         if (found == upstreams.end())
             return;
-        auto& one = found->second;
-        const auto open = one.attempts.find(attempt);
+        auto& upstream = found->second;
+        const auto open = upstream.attempts.find(attempt);
         // Sent to an earlier incarnation: says nothing of this one.
-        if (open == one.attempts.end())
+        if (open == upstream.attempts.end())
             return;
-        if (open->second.sent_at < one.status_at)
-            ++one.ended_since_status;
-        one.attempts.erase(open);
+        if (open->second.sent_at < upstream.status_at)
+            ++upstream.ended_since_status;
+        upstream.attempts.erase(open);
         constexpr double smoothing = 0.15;
         const bool good = result == attempt_result::succeeded;
-        one.fault_share += ((good ? 0.0 : 1.0) - one.fault_share) * smoothing;
+        upstream.fault_share +=
+            ((good ? 0.0 : 1.0) - upstream.fault_share) * smoothing;
         if (result == attempt_result::failed)
-            avoid(one, now);
+            avoid(upstream, now);
         else
-            one.failures = 0;
+            upstream.failures = 0;
     }
 
     /*! @brief Applies what an upstream announced in a response.
@@ -207,14 +208,15 @@
                              const std::vector<entry_demand>& entries,
                              time_point now)
     {
-        for (auto& [id, one] : upstreams)
+        for (auto& [id, upstream] : upstreams)
         {
-            if (!one.terms.limit())
+            if (!upstream.terms.limit())
                 continue;
-            one.terms.set_share(share_of_limit(id, one.record.hall,
-                                               one.terms.limit()->per_second(),
-                                               own, entries),
-                                now);
+            upstream.terms.set_share(
+                share_of_limit(id, upstream.record.hall,
+                               upstream.terms.limit()->per_second(), own,
+                               entries),
+                now);
         }
     }
 
@@ -266,22 +268,23 @@
 
     /*! @brief Returns whether the sidecar of an upstream has reported before
      * but is silent now. */
-    [[nodiscard]] static bool side_silent(const known_upstream& one,
+    [[nodiscard]] static bool side_silent(const known_upstream& upstream,
                                           time_point now)
     {
-        return one.status && now - one.status_at > status_validity;
+        return upstream.status && now - upstream.status_at > status_validity;
     }
 
     /*! @brief Returns which version of a model's weights an upstream serves; 0
      * if none. */
-    [[nodiscard]] static std::uint64_t served_version(const known_upstream& one,
-                                                      const std::string& model,
-                                                      time_point now)
+    [[nodiscard]] static std::uint64_t
+    served_version(const known_upstream& upstream, const std::string& model,
+                   time_point now)
     {
-        if (one.status && now - one.status_at <= status_validity)
-            return one.status->model == model ? one.status->version : 0;
-        const auto found = one.record.weights.find(model);
-        return found == one.record.weights.end() ? 0 : found->second;
+        if (upstream.status && now - upstream.status_at <= status_validity)
+            return upstream.status->model == model ? upstream.status->version
+                                                   : 0;
+        const auto found = upstream.record.weights.find(model);
+        return found == upstream.record.weights.end() ? 0 : found->second;
     }
 
     /*! @brief Divides the engines between the entries.
@@ -291,11 +294,11 @@
     void assign_engine_shares(const demand_interval& own, Usable usable)
     {
         std::vector<known_upstream*> engines;
-        for (auto& [id, one] : upstreams)
+        for (auto& [id, upstream] : upstreams)
         {
-            one.share = limit_fraction(one);
-            if (usable(one) && !one.terms.limit())
-                engines.push_back(&one);
+            upstream.share = limit_fraction(upstream);
+            if (usable(upstream) && !upstream.terms.limit())
+                engines.push_back(&upstream);
         }
         std::stable_sort(
             engines.begin(), engines.end(),
@@ -303,11 +306,11 @@
             { return left->record.hall < right->record.hall; });
         std::vector<double> slots;
         slots.reserve(engines.size());
-        for (const auto* one : engines)
-            slots.push_back(static_cast<double>(one->record.slots));
+        for (const auto* upstream : engines)
+            slots.push_back(static_cast<double>(upstream->record.slots));
         const auto fractions = engine_fractions(own, slots);
-        for (std::size_t at = 0; at < engines.size(); ++at)
-            engines[at]->share = fractions[at];
+        for (std::size_t index = 0; index < engines.size(); ++index)
+            engines[index]->share = fractions[index];
     }
 
     /*! @brief Sets how many entries share the upstreams, including this one. */
@@ -332,21 +335,22 @@
      * yet, as to an upstream that has just opened, `others` is used instead.
      * @param others Requests a second that other entries are expected to send
      * there beyond an equal share. */
-    [[nodiscard]] engine_load load(const known_upstream& one,
+    [[nodiscard]] engine_load load(const known_upstream& upstream,
                                    const engine_profile& engine, time_point now,
                                    double others = 0) const
     {
         engine_load result;
-        const auto scale = 1 + (competing_entries - 1) * (1 - one.share);
-        const bool fresh = one.status && now - one.status_at <= status_validity;
+        const auto scale = 1 + (competing_entries - 1) * (1 - upstream.share);
+        const bool fresh =
+            upstream.status && now - upstream.status_at <= status_validity;
         double seen_unread = 0;
         double new_unread = 0;
         double new_attempts = 0;
         double own_unread = 0;
-        for (const auto& [number, attempt] : one.attempts)
+        for (const auto& [number, attempt] : upstream.attempts)
         {
             const bool unseen =
-                !fresh || attempt.sent_at + status_latency > one.status_at;
+                !fresh || attempt.sent_at + status_latency > upstream.status_at;
             new_attempts += unseen ? 1 : 0;
             if (attempt.first_event_seen)
                 continue;
@@ -358,16 +362,16 @@
         result.unread_tokens = seen_unread + new_unread * scale;
         if (!fresh)
             return result;
-        const auto reported =
-            static_cast<double>(one.status->running + one.status->waiting);
+        const auto reported = static_cast<double>(upstream.status->running +
+                                                  upstream.status->waiting);
         result.running += std::max(
-            0.0, reported - static_cast<double>(one.ended_since_status));
-        result.pace = one.status->pace;
+            0.0, reported - static_cast<double>(upstream.ended_since_status));
+        result.pace = upstream.status->pace;
         constexpr double ms = 1000;
-        result.age_ms = to_seconds(now - one.status_at) * ms;
+        result.age_ms = to_seconds(now - upstream.status_at) * ms;
         // Prompts of other entries are not reported: assume a typical length.
         const auto waiting = std::max(
-            0.0, static_cast<double>(one.status->waiting) - own_unread);
+            0.0, static_cast<double>(upstream.status->waiting) - own_unread);
         result.unread_tokens += waiting * engine.usual_prompt;
         result.expected = others * result.age_ms / ms;
         result.running +=
@@ -396,9 +400,9 @@
 
     /*! @brief Returns this entry's fraction of an upstream's rate limit; 0 if
      * there is no limit. */
-    static double limit_fraction(const known_upstream& one)
+    static double limit_fraction(const known_upstream& upstream)
     {
-        const auto& limit = one.terms.limit();
+        const auto& limit = upstream.terms.limit();
         return limit && limit->per_second() > 0
                    ? limit->own_share().per_second / limit->per_second()
                    : 0;
@@ -418,29 +422,31 @@
      * either.
      * @return The incarnation that ended, if any. */
     static std::optional<ended_incarnation>
-    start_incarnation(known_upstream& one, const incarnation& reported)
+    start_incarnation(known_upstream& upstream, const incarnation& reported)
     {
-        if (reported.empty() || reported == one.life)
+        if (reported.empty() || reported == upstream.life)
             return std::nullopt;
-        const auto before = std::exchange(one.life, reported);
+        const auto before = std::exchange(upstream.life, reported);
         if (before.empty())
             return std::nullopt;
-        ended_incarnation result{one.record.address, {}, one.record.id, before};
-        for (const auto& [number, attempt] : one.attempts)
+        ended_incarnation result{
+            upstream.record.address, {}, upstream.record.id, before};
+        for (const auto& [number, attempt] : upstream.attempts)
         {
-            if (one.status && attempt.sent_at + status_latency < one.status_at)
+            if (upstream.status &&
+                attempt.sent_at + status_latency < upstream.status_at)
                 result.attempts.push_back(number);
         }
         for (const auto number : result.attempts)
-            one.attempts.erase(number);
-        one.status.reset();
-        one.status_at = {};
-        one.ended_since_status = 0;
-        one.failures = 0;
-        one.fault_share = 0;
-        one.lateness = 1;
-        one.avoid_until = {};
-        one.terms = {};
+            upstream.attempts.erase(number);
+        upstream.status.reset();
+        upstream.status_at = {};
+        upstream.ended_since_status = 0;
+        upstream.failures = 0;
+        upstream.fault_share = 0;
+        upstream.lateness = 1;
+        upstream.avoid_until = {};
+        upstream.terms = {};
         return result;
     }
 
@@ -448,14 +454,14 @@
      * sidecar is silent too, the instance is suspended or cut off: a request
      * sent there waits, and may begin after the instance resumes, on weights
      * that are too old by then. */
-    static void avoid(known_upstream& one, time_point now)
+    static void avoid(known_upstream& upstream, time_point now)
     {
-        one.avoid_until =
-            side_silent(one, now)
+        upstream.avoid_until =
+            side_silent(upstream, now)
                 ? now + silent_avoid_time
                 : now + min_avoid_time *
-                            (1 << std::min(one.failures, max_doublings));
-        ++one.failures;
+                            (1 << std::min(upstream.failures, max_doublings));
+        ++upstream.failures;
     }
 
     /*! @brief How long an upstream is avoided that failed while its sidecar was
--- a/src/coursejunction/route/upstream_table.hpp
+++ b/src/coursejunction/route/upstream_table.hpp
@@ -68,13 +68,12 @@
 /*! @brief A policy chooses among the upstreams that can accept the request now.
  */
 template <typename Policy>
-concept Route_policy = requires(Policy policy,
-                                const std::vector<const upstream_state*>& from,
-                                const route_request& request,
-                                const hall_id& hall, const region_id& region)
+concept Route_policy = requires(
+    Policy policy, const std::vector<const upstream_state*>& candidates,
+    const route_request& request, const hall_id& hall, const region_id& region)
 {
     {
-        policy.choose(from, request, hall, region)
+        policy.choose(candidates, request, hall, region)
         } -> std::same_as<const upstream_state*>;
 };
 
@@ -92,50 +91,52 @@
     static constexpr double region_cost = 0.3;
 
     [[nodiscard]] const upstream_state*
-    choose(const std::vector<const upstream_state*>& from,
+    choose(const std::vector<const upstream_state*>& candidates,
            const route_request& request, const hall_id& hall,
            const region_id& region) const
     {
         const upstream_state* best = nullptr;
         double lowest = 0;
-        for (const auto* one : from)
+        for (const auto* state : candidates)
         {
-            const auto cost = score(*one, request, hall, region);
+            const auto cost = score(*state, request, hall, region);
             if (best != nullptr && cost >= lowest)
                 continue;
-            best = one;
+            best = state;
             lowest = cost;
         }
         return best;
     }
 
 private:
-    static double score(const upstream_state& one, const route_request& request,
-                        const hall_id& hall, const region_id& region)
+    static double score(const upstream_state& state,
+                        const route_request& request, const hall_id& hall,
+                        const region_id& region)
     {
-        double cost = static_cast<double>(one.load()) /
-                      static_cast<double>(std::max<std::size_t>(one.slots, 1));
-        if (one.region != region)
+        double cost =
+            static_cast<double>(state.load()) /
+            static_cast<double>(std::max<std::size_t>(state.slots, 1));
+        if (state.region != region)
             cost += region_cost;
-        else if (one.hall != hall)
+        else if (state.hall != hall)
             cost += hall_cost;
-        cost -= cached_gain * cached_portion(one, request);
+        cost -= cached_gain * cached_portion(state, request);
         if (!request.affinity.empty())
             cost -= affinity_gain *
                     static_cast<double>(
-                        rendezvous_weight(request.affinity, one.id.value()) >>
+                        rendezvous_weight(request.affinity, state.id.value()) >>
                         11U) /
                     static_cast<double>(std::uint64_t{1} << 53U);
         return cost;
     }
 
-    static double cached_portion(const upstream_state& one,
+    static double cached_portion(const upstream_state& state,
                                  const route_request& request)
     {
         const auto count = request.prefixes.size();
         for (std::size_t index = 0; index < count; ++index)
         {
-            if (one.cached.contains(request.prefixes[index]))
+            if (state.cached.contains(request.prefixes[index]))
                 return static_cast<double>(count - index) /
                        static_cast<double>(count);
         }
@@ -148,10 +149,11 @@
 {
 public:
     [[nodiscard]] const upstream_state*
-    choose(const std::vector<const upstream_state*>& from, const route_request&,
-           const hall_id&, const region_id&)
+    choose(const std::vector<const upstream_state*>& candidates,
+           const route_request&, const hall_id&, const region_id&)
     {
-        return from.empty() ? nullptr : from[turn++ % from.size()];
+        return candidates.empty() ? nullptr
+                                  : candidates[turn++ % candidates.size()];
     }
 
 private:
@@ -164,19 +166,19 @@
 {
 public:
     [[nodiscard]] const upstream_state*
-    choose(const std::vector<const upstream_state*>& from, const route_request&,
-           const hall_id&, const region_id&) const
+    choose(const std::vector<const upstream_state*>& candidates,
+           const route_request&, const hall_id&, const region_id&) const
     {
-        const auto fill = [](const upstream_state* one)
+        const auto used_fraction = [](const upstream_state* state)
         {
-            return static_cast<double>(one->load()) /
-                   static_cast<double>(std::max<std::size_t>(one->slots, 1));
+            return static_cast<double>(state->load()) /
+                   static_cast<double>(std::max<std::size_t>(state->slots, 1));
         };
-        const auto lowest =
-            std::min_element(from.begin(), from.end(),
-                             [&](const auto* left, const auto* right)
-                             { return fill(left) < fill(right); });
-        return lowest == from.end() ? nullptr : *lowest;
+        const auto lowest = std::min_element(
+            candidates.begin(), candidates.end(),
+            [&](const auto* left, const auto* right)
+            { return used_fraction(left) < used_fraction(right); });
+        return lowest == candidates.end() ? nullptr : *lowest;
     }
 };
 
@@ -194,9 +196,9 @@
     /*! @brief Returns the state of an upstream, adding it if absent. */
     upstream_state& operator[](const instance_id& id)
     {
-        auto& one = states[id];
-        one.id = id;
-        return one;
+        auto& state = states[id];
+        state.id = id;
+        return state;
     }
 
     [[nodiscard]] upstream_state* find(const instance_id& id)
@@ -225,13 +227,13 @@
            const region_id& region, time_point now) const
     {
         std::vector<const upstream_state*> candidates;
-        for (const auto& [id, one] : states)
+        for (const auto& [id, state] : states)
         {
-            if (serves(one, request, now) && now >= one.avoid_until &&
-                one.load() < one.slots &&
+            if (serves(state, request, now) && now >= state.avoid_until &&
+                state.load() < state.slots &&
                 std::find(request.excluded.begin(), request.excluded.end(),
                           id) == request.excluded.end())
-                candidates.push_back(&one);
+                candidates.push_back(&state);
         }
         const auto* best = policy.choose(candidates, request, hall, region);
         if (best == nullptr)
@@ -245,8 +247,8 @@
                                  time_point now) const
     {
         return std::any_of(states.begin(), states.end(),
-                           [&](const auto& one)
-                           { return serves(one.second, request, now); });
+                           [&](const auto& item)
+                           { return serves(item.second, request, now); });
     }
 
     /*! @brief Returns the slots of all upstreams that serve the model. */
@@ -254,8 +256,8 @@
                                      time_point now) const
     {
         size_type total = 0;
-        for (const auto& [id, one] : states)
-            total += serves(one, request, now) ? one.slots : 0;
+        for (const auto& [id, state] : states)
+            total += serves(state, request, now) ? state.slots : 0;
         return total;
     }
 
@@ -263,42 +265,42 @@
      * doubles with each consecutive failure. */
     void record_failure(const instance_id& id, time_point now)
     {
-        auto* one = find(id);
-        if (one == nullptr)
+        auto* state = find(id);
+        if (state == nullptr)
             return;
         constexpr unsigned max_doublings = 5;
-        one->avoid_until =
+        state->avoid_until =
             now +
-            min_avoid_time * (1 << std::min(one->failures, max_doublings));
-        ++one->failures;
+            min_avoid_time * (1 << std::min(state->failures, max_doublings));
+        ++state->failures;
     }
 
     /*! @brief Records a successful attempt.
      * @param took How long the request ran. */
     void record_success(const instance_id& id, std::chrono::microseconds took)
     {
-        auto* one = find(id);
-        if (one == nullptr)
+        auto* state = find(id);
+        if (state == nullptr)
             return;
         constexpr double smoothing = 0.1;
         const auto seconds = to_seconds(took);
-        one->failures = 0;
-        one->service_s =
-            one->service_s == 0
+        state->failures = 0;
+        state->service_s =
+            state->service_s == 0
                 ? seconds
-                : one->service_s + (seconds - one->service_s) * smoothing;
+                : state->service_s + (seconds - state->service_s) * smoothing;
     }
 
 private:
     static constexpr milliseconds min_avoid_time{250};
 
-    static bool serves(const upstream_state& one, const route_request& request,
-                       time_point now)
+    static bool serves(const upstream_state& state,
+                       const route_request& request, time_point now)
     {
-        return one.open && !one.leaving && one.model == request.model &&
-               one.kind == request.kind &&
-               (request.weights.empty() || one.weights == request.weights) &&
-               now - one.reported_at <= report_validity;
+        return state.open && !state.leaving && state.model == request.model &&
+               state.kind == request.kind &&
+               (request.weights.empty() || state.weights == request.weights) &&
+               now - state.reported_at <= report_validity;
     }
 
     std::map<instance_id, upstream_state> states;
--- a/src/coursejunction/route/upstream_terms.hpp
+++ b/src/coursejunction/route/upstream_terms.hpp
@@ -47,26 +47,26 @@
 
     /*! @brief Applies a response of the upstream.
      * @return Whether the terms changed. */
-    bool apply_notice(const received_notice& one, time_point now)
+    bool apply_notice(const received_notice& response, time_point now)
     {
         const bool leaving_changed =
-            one.notice.leaving && set_leaving(response_source, now);
+            response.notice.leaving && set_leaving(response_source, now);
         if (leaving_changed)
             reportable_at = now;
-        const bool backoff_began =
-            one.notice.retry_after && back_off(*one.notice.retry_after, now);
-        return apply_announced_limit(one, now) || leaving_changed ||
+        const bool backoff_began = response.notice.retry_after &&
+                                   back_off(*response.notice.retry_after, now);
+        return apply_announced_limit(response, now) || leaving_changed ||
                backoff_began;
     }
 
     /*! @brief Applies terms that another entry reported; ignores a limit that
      * is older than the newest known one.
      * @return Whether the terms changed. */
-    bool apply_report(const reported_terms& one, const std::string& from,
+    bool apply_report(const reported_terms& report, const std::string& from,
                       time_point now)
     {
-        const bool leaving_changed = one.leaving && set_leaving(from, now);
-        return apply_reported_limit(one, from, now) || leaving_changed;
+        const bool leaving_changed = report.leaving && set_leaving(from, now);
+        return apply_reported_limit(report, from, now) || leaving_changed;
     }
 
     /*! @brief Records that a request is sent there. */
@@ -164,14 +164,14 @@
         return begins;
     }
 
-    bool apply_announced_limit(const received_notice& one, time_point now)
+    bool apply_announced_limit(const received_notice& response, time_point now)
     {
-        if (const auto& per_second = one.notice.requests_per_second)
+        if (const auto& per_second = response.notice.requests_per_second)
             return set_announced_limit(*per_second, now);
         // A request sent before the limit was known may have been answered
         // before the upstream announced it.
-        if (!rate_limit || !one.succeeded || one.notice.unreadable ||
-            one.sent_at <= rate_limit->known_since())
+        if (!rate_limit || !response.succeeded || response.notice.unreadable ||
+            response.sent_at <= rate_limit->known_since())
             return false;
         rate_limit.reset();
         newest_response_at = reportable_at = known_since = now;
@@ -179,14 +179,14 @@
         return true;
     }
 
-    bool apply_reported_limit(const reported_terms& one,
+    bool apply_reported_limit(const reported_terms& report,
                               const std::string& from, time_point now)
     {
-        if (one.received_at <= newest_response_at)
+        if (report.received_at <= newest_response_at)
             return false;
-        newest_response_at = one.received_at;
-        if (one.per_second)
-            return set_limit(*one.per_second, one.received_at, from, now);
+        newest_response_at = report.received_at;
+        if (report.per_second)
+            return set_limit(*report.per_second, report.received_at, from, now);
         if (!rate_limit)
             return false;
         rate_limit.reset();
--- a/tests/route/engine_shares.cpp
+++ b/tests/route/engine_shares.cpp
@@ -82,7 +82,7 @@
             for (const auto& one : all)
             {
                 const auto parts =
-                    cj::engine_fractions(cj::demand_interval_of(one.entry, all),
+                    cj::engine_fractions(cj::demand_interval_of(one.address, all),
                                          std::vector<double>(engines, 8));
                 for (std::size_t at = 0; at < engines; ++at)
                     given[at] += parts[at];
