--- a/tests/route/engine_estimate.cpp
+++ b/tests/route/engine_estimate.cpp
@@ -10,30 +10,30 @@
 
 cj::engine_profile engine()
 {
-    cj::engine_profile one;
-    one.slots = 16;
-    one.step_ms = 8.87;
-    one.step_per_running = 0.0388;
-    one.step_per_kilo = 0.0227;
-    one.read_per_ms = 19.1;
-    one.pairs_per_million = 1.47;
-    one.read_chunk = 2048;
-    one.stride = 5;
-    one.usual_prompt = 977;
-    one.usual_answer = 94;
-    return one;
+    cj::engine_profile profile;
+    profile.slots = 16;
+    profile.step_ms = 8.87;
+    profile.step_per_running = 0.0388;
+    profile.step_per_kilo = 0.0227;
+    profile.read_per_ms = 19.1;
+    profile.pairs_per_million = 1.47;
+    profile.read_chunk = 2048;
+    profile.stride = 5;
+    profile.usual_prompt = 977;
+    profile.usual_answer = 94;
+    return profile;
 }
 
 } // namespace
 
 SCENARIO("prediction of the first event from the engine's profile", "[route]")
 {
-    const auto one = engine();
+    const auto profile = engine();
     cj::engine_load idle;
 
     THEN("an idle engine reads the prompt and decodes the first tokens")
     {
-        const auto ms = cj::first_event_ms(one, idle, 1000);
+        const auto ms = cj::first_event_ms(profile, idle, 1000);
         CHECK(ms > 1000 / 19.1 + 5 * 8.87);
         CHECK(ms < 150);
     }
@@ -41,15 +41,15 @@
     {
         cj::engine_load full;
         full.running = 16;
-        CHECK(cj::first_event_ms(one, full, 1000) >
-              cj::first_event_ms(one, idle, 1000) + 90);
+        CHECK(cj::first_event_ms(profile, full, 1000) >
+              cj::first_event_ms(profile, idle, 1000) + 90);
     }
     THEN("a slow engine takes longer by its pace factor")
     {
         cj::engine_load slow;
         slow.pace = 3;
-        CHECK(cj::first_event_ms(one, slow, 1000) ==
-              Approx(3 * cj::first_event_ms(one, idle, 1000)));
+        CHECK(cj::first_event_ms(profile, slow, 1000) ==
+              Approx(3 * cj::first_event_ms(profile, idle, 1000)));
     }
 }
 
@@ -58,7 +58,7 @@
     rc::prop("the prediction does not decrease as load grows",
              []
              {
-                 const auto one = engine();
+                 const auto profile = engine();
                  cj::engine_load less;
                  less.running = *rc::gen::inRange(0, 40);
                  less.unread_tokens = *rc::gen::inRange(0, 20'000);
@@ -66,7 +66,7 @@
                  more.running += *rc::gen::inRange(0, 10);
                  more.unread_tokens += *rc::gen::inRange(0, 5000);
                  const auto prompt = *rc::gen::inRange(1, 4000);
-                 RC_ASSERT(cj::first_event_ms(one, less, prompt) <=
-                           cj::first_event_ms(one, more, prompt) + 1e-9);
+                 RC_ASSERT(cj::first_event_ms(profile, less, prompt) <=
+                           cj::first_event_ms(profile, more, prompt) + 1e-9);
              });
 }
--- a/tests/route/engine_shares.cpp
+++ b/tests/route/engine_shares.cpp
@@ -26,12 +26,12 @@
 SCENARIO("engines are divided between entries in proportion to demand",
          "[route]")
 {
-    const std::vector<double> places(6, 8);
+    const std::vector<double> slots(6, 8);
 
     THEN("a single entry gets every engine")
     {
         const auto own = cj::demand_interval_of("a", {demand("n", "a", 0.5)});
-        CHECK(cj::engine_fractions(own, places) == std::vector<double>(6, 1.0));
+        CHECK(cj::engine_fractions(own, slots) == std::vector<double>(6, 1.0));
     }
     GIVEN("two entries, one with twice the demand")
     {
@@ -40,10 +40,10 @@
         THEN("each gets whole engines")
         {
             CHECK(cj::engine_fractions(cj::demand_interval_of("a", both),
-                                       places) ==
+                                       slots) ==
                   std::vector<double>{1, 1, 0, 0, 0, 0});
             CHECK(cj::engine_fractions(cj::demand_interval_of("b", both),
-                                       places) ==
+                                       slots) ==
                   std::vector<double>{0, 0, 1, 1, 1, 1});
         }
     }
@@ -55,39 +55,39 @@
         THEN("it gets those of its hall and one of the other")
         {
             CHECK(cj::engine_fractions(cj::demand_interval_of("a", both),
-                                       places) ==
+                                       slots) ==
                   std::vector<double>{0, 0, 0, 1, 1, 1});
         }
     }
     THEN("an entry that is not in the list gets nothing")
     {
         const auto own = cj::demand_interval_of("c", {demand("n", "a", 1)});
-        CHECK(sum(cj::engine_fractions(own, places)) == 0);
+        CHECK(sum(cj::engine_fractions(own, slots)) == 0);
     }
     THEN("dividing no engines yields no fractions")
     {
         CHECK(cj::engine_fractions({0, 1}, {}).empty());
     }
-    rc::prop(
-        "each engine is assigned exactly once",
-        [&]
-        {
-            const auto count = *rc::gen::inRange<std::size_t>(1, 40);
-            const auto engines = *rc::gen::inRange<std::size_t>(1, 60);
-            std::vector<cj::entry_demand> all;
-            for (std::size_t at = 0; at < count; ++at)
-                all.push_back(demand(std::to_string(at % 3), std::to_string(at),
-                                     *rc::gen::inRange(1, 100)));
-            std::vector<double> given(engines, 0.0);
-            for (const auto& one : all)
-            {
-                const auto parts =
-                    cj::engine_fractions(cj::demand_interval_of(one.address, all),
-                                         std::vector<double>(engines, 8));
-                for (std::size_t at = 0; at < engines; ++at)
-                    given[at] += parts[at];
-            }
-            for (const auto one : given)
-                RC_ASSERT(std::abs(one - 1) < 1e-6);
-        });
+    rc::prop("each engine is assigned exactly once",
+             [&]
+             {
+                 const auto count = *rc::gen::inRange<std::size_t>(1, 40);
+                 const auto engines = *rc::gen::inRange<std::size_t>(1, 60);
+                 std::vector<cj::entry_demand> all;
+                 for (std::size_t at = 0; at < count; ++at)
+                     all.push_back(demand(std::to_string(at % 3),
+                                          std::to_string(at),
+                                          *rc::gen::inRange(1, 100)));
+                 std::vector<double> given(engines, 0.0);
+                 for (const auto& entry : all)
+                 {
+                     const auto parts = cj::engine_fractions(
+                         cj::demand_interval_of(entry.address, all),
+                         std::vector<double>(engines, 8));
+                     for (std::size_t at = 0; at < engines; ++at)
+                         given[at] += parts[at];
+                 }
+                 for (const auto fraction : given)
+                     RC_ASSERT(std::abs(fraction - 1) < 1e-6);
+             });
 }
--- a/tests/route/fair_queue.cpp
+++ b/tests/route/fair_queue.cpp
@@ -86,9 +86,9 @@
     }
     GIVEN("a deadline that became too close while the request waited")
     {
-        auto one = request(1, "a");
-        one.deadline = now + 1s;
-        REQUIRE(queue.offer(one, 200ms, now).accepted);
+        auto expiring = request(1, "a");
+        expiring.deadline = now + 1s;
+        REQUIRE(queue.offer(expiring, 200ms, now).accepted);
         CHECK(queue.remove_late(200ms, now + 700ms).empty());
         CHECK(queue.remove_late(200ms, now + 900ms).size() == 1);
         CHECK(queue.empty());
--- a/tests/route/load_engine.hpp
+++ b/tests/route/load_engine.hpp
@@ -24,35 +24,35 @@
 /*! @brief Profile of the default engine: 16 slots, 7.2 ms a step when full. */
 inline cj::engine_profile fast_engine_profile()
 {
-    cj::engine_profile made;
-    made.slots = 16;
-    made.step_ms = 6.73;
-    made.step_per_running = 0.0219;
-    made.step_per_kilo = 0.0068;
-    made.read_per_ms = 30.6;
-    made.pairs_per_million = 0.647;
-    made.read_chunk = 2048;
-    made.stride = 6;
-    made.usual_prompt = 930;
-    made.usual_answer = 120;
-    return made;
+    cj::engine_profile result;
+    result.slots = 16;
+    result.step_ms = 6.73;
+    result.step_per_running = 0.0219;
+    result.step_per_kilo = 0.0068;
+    result.read_per_ms = 30.6;
+    result.pairs_per_million = 0.647;
+    result.read_chunk = 2048;
+    result.stride = 6;
+    result.usual_prompt = 930;
+    result.usual_answer = 120;
+    return result;
 }
 
 /*! @brief Profile of a slower engine: 8 slots, 14 ms a step when full. */
 inline cj::engine_profile slow_engine_profile()
 {
-    cj::engine_profile made;
-    made.slots = 8;
-    made.step_ms = 13.3;
-    made.step_per_running = 0.0582;
-    made.step_per_kilo = 0.0341;
-    made.read_per_ms = 12.7;
-    made.pairs_per_million = 2.21;
-    made.read_chunk = 2048;
-    made.stride = 5;
-    made.usual_prompt = 960;
-    made.usual_answer = 73;
-    return made;
+    cj::engine_profile result;
+    result.slots = 8;
+    result.step_ms = 13.3;
+    result.step_per_running = 0.0582;
+    result.step_per_kilo = 0.0341;
+    result.read_per_ms = 12.7;
+    result.pairs_per_million = 2.21;
+    result.read_chunk = 2048;
+    result.stride = 5;
+    result.usual_prompt = 960;
+    result.usual_answer = 73;
+    return result;
 }
 
 /*! @brief One request of a client including its retry. */
--- a/tests/route/load_replay.hpp
+++ b/tests/route/load_replay.hpp
@@ -103,7 +103,7 @@
     [[nodiscard]] double in_time_fraction() const { return in_time / requests; }
 };
 
-/*! @brief How well client retries were told from new requests. */
+/*! @brief How well client retries were distinguished from new ones. */
 struct recognition
 {
     double new_callers{0};
--- a/tests/route/placement.cpp
+++ b/tests/route/placement.cpp
@@ -11,50 +11,50 @@
 cj::upstream_record record(const std::string& id, const std::string& hall,
                            const std::string& address)
 {
-    cj::upstream_record one;
-    one.id = cj::instance_id(id);
-    one.service = cj::service_name("llm");
-    one.address = address;
-    one.hall = cj::hall_id(hall);
-    one.slots = 4;
-    one.weights["m"] = 1;
-    return one;
+    cj::upstream_record result;
+    result.id = cj::instance_id(id);
+    result.service = cj::service_name("llm");
+    result.address = address;
+    result.hall = cj::hall_id(hall);
+    result.slots = 4;
+    result.weights["m"] = 1;
+    return result;
 }
 
 cj::service_profile llm()
 {
-    cj::service_profile one;
-    one.name = cj::service_name("llm");
+    cj::service_profile result;
+    result.name = cj::service_name("llm");
     cj::engine_profile engine;
     engine.slots = 4;
     engine.step_ms = 9;
     engine.read_per_ms = 19;
     engine.stride = 5;
-    one.engine = engine;
-    return one;
+    result.engine = engine;
+    return result;
 }
 
 cj::message::upstream_status status(std::uint64_t sequence)
 {
-    cj::message::upstream_status one;
-    one.model = "m";
-    one.version = 1;
-    one.sequence = sequence;
-    one.open = true;
-    one.reachable = true;
-    return one;
+    cj::message::upstream_status result;
+    result.model = "m";
+    result.version = 1;
+    result.sequence = sequence;
+    result.open = true;
+    result.reachable = true;
+    return result;
 }
 
 cj::placement_request default_request()
 {
-    cj::placement_request one;
-    one.service = cj::service_name("llm");
-    one.model = "m";
-    one.min_version = 1;
-    one.prompt_tokens = 1000;
-    one.target = 400ms;
-    one.limits.first_event_ms = 460;
-    return one;
+    cj::placement_request result;
+    result.service = cj::service_name("llm");
+    result.model = "m";
+    result.min_version = 1;
+    result.prompt_tokens = 1000;
+    result.target = 400ms;
+    result.limits.first_event_ms = 460;
+    return result;
 }
 
 } // namespace
--- a/tests/route/recent_refusals.cpp
+++ b/tests/route/recent_refusals.cpp
@@ -10,13 +10,13 @@
 
 cj::refusal_record refused_at(cj::time_point now)
 {
-    cj::refusal_record made;
-    made.fingerprint = cj::request_fingerprint(7);
-    made.first_arrival = now;
-    made.deadline = now + 5600ms;
-    made.refused_at = now;
-    made.retry_at = now + 200ms;
-    return made;
+    cj::refusal_record result;
+    result.fingerprint = cj::request_fingerprint(7);
+    result.first_arrival = now;
+    result.deadline = now + 5600ms;
+    result.refused_at = now;
+    result.retry_at = now + 200ms;
+    return result;
 }
 
 } // namespace
@@ -25,52 +25,53 @@
 {
     cj::recent_refusals refusals;
     const cj::time_point now{100s};
-    const auto one = refused_at(now);
+    const auto refusal = refused_at(now);
     const auto retry_at = now + 260ms;
 
     GIVEN("this entry refused a request")
     {
-        refusals.record(one);
+        refusals.record(refusal);
         THEN("the same request with the same deadline is its retry")
         {
-            CHECK(refusals.match_retry(one.fingerprint, one.deadline,
+            CHECK(refusals.match_retry(refusal.fingerprint, refusal.deadline,
                                        retry_at) == now);
             AND_THEN("it matches only once")
             {
-                CHECK_FALSE(refusals.match_retry(one.fingerprint, one.deadline,
-                                                 retry_at));
+                CHECK_FALSE(refusals.match_retry(refusal.fingerprint,
+                                                 refusal.deadline, retry_at));
             }
         }
         THEN("its deadline may differ by a few ms")
         {
-            CHECK(refusals.match_retry(one.fingerprint, *one.deadline + 8ms,
+            CHECK(refusals.match_retry(refusal.fingerprint,
+                                       *refusal.deadline + 8ms,
                                        retry_at) == now);
         }
         THEN("an equal request with another deadline is another client's")
         {
-            CHECK_FALSE(refusals.match_retry(one.fingerprint,
-                                             *one.deadline + 40ms, retry_at));
-            CHECK_FALSE(
-                refusals.match_retry(one.fingerprint, std::nullopt, retry_at));
+            CHECK_FALSE(refusals.match_retry(
+                refusal.fingerprint, *refusal.deadline + 40ms, retry_at));
+            CHECK_FALSE(refusals.match_retry(refusal.fingerprint, std::nullopt,
+                                             retry_at));
         }
         THEN("no retry is expected before the requested time")
         {
-            CHECK_FALSE(refusals.match_retry(one.fingerprint, one.deadline,
-                                             now + 170ms));
+            CHECK_FALSE(refusals.match_retry(refusal.fingerprint,
+                                             refusal.deadline, now + 170ms));
         }
         THEN("except immediately after the refusal")
         {
-            CHECK(refusals.match_retry(one.fingerprint, one.deadline,
+            CHECK(refusals.match_retry(refusal.fingerprint, refusal.deadline,
                                        now + 30ms) == now);
         }
         THEN("a different request does not match")
         {
             CHECK_FALSE(refusals.match_retry(cj::request_fingerprint(8),
-                                             one.deadline, retry_at));
+                                             refusal.deadline, retry_at));
         }
         THEN("a request without fingerprint does not match")
         {
-            CHECK_FALSE(refusals.match_retry({}, one.deadline, retry_at));
+            CHECK_FALSE(refusals.match_retry({}, refusal.deadline, retry_at));
         }
         THEN("the refusal is sent to other entries once")
         {
@@ -88,32 +89,32 @@
     }
     GIVEN("another entry reports a refusal")
     {
-        refusals.record_remote(one);
+        refusals.record_remote(refusal);
         THEN("its client is recognised here, and the refusal is not sent on")
         {
-            CHECK(refusals.match_retry(one.fingerprint, one.deadline,
+            CHECK(refusals.match_retry(refusal.fingerprint, refusal.deadline,
                                        retry_at) == now);
             CHECK_FALSE(refusals.has_unsent());
         }
     }
     GIVEN("two clients with equal requests were refused one after the other")
     {
-        auto second = one;
+        auto second = refusal;
         second.first_arrival = now + 10ms;
-        second.deadline = *one.deadline + 10ms;
-        refusals.record(one);
+        second.deadline = *refusal.deadline + 10ms;
+        refusals.record(refusal);
         refusals.record(second);
         THEN("each is recognised by its deadline")
         {
-            CHECK(refusals.match_retry(one.fingerprint, second.deadline,
+            CHECK(refusals.match_retry(refusal.fingerprint, second.deadline,
                                        retry_at) == second.first_arrival);
-            CHECK(refusals.match_retry(one.fingerprint, one.deadline,
-                                       retry_at) == one.first_arrival);
+            CHECK(refusals.match_retry(refusal.fingerprint, refusal.deadline,
+                                       retry_at) == refusal.first_arrival);
         }
     }
     GIVEN("a refused request without deadline")
     {
-        auto open = one;
+        auto open = refusal;
         open.deadline.reset();
         refusals.record(open);
         THEN("it is matched around the requested time")
@@ -131,7 +132,7 @@
     {
         for (std::size_t at = 0; at < cj::recent_refusals::max_remembered + 10;
              ++at)
-            refusals.record(one);
+            refusals.record(refusal);
         THEN("the stored and the unsent refusals are bounded")
         {
             CHECK(refusals.size() == cj::recent_refusals::max_remembered);
--- a/tests/route/request_limit.cpp
+++ b/tests/route/request_limit.cpp
@@ -37,12 +37,12 @@
     std::vector<std::size_t> standby_ranks;
     for (std::size_t at = 0; at < count; ++at)
     {
-        const auto one = share(per_second, at, count);
-        sum += one.per_second;
-        if (one.holds_share())
+        const auto entry_share = share(per_second, at, count);
+        sum += entry_share.per_second;
+        if (entry_share.holds_share())
             CHECK(at % 2 == 0);
         else
-            standby_ranks.push_back(one.standby_rank);
+            standby_ranks.push_back(entry_share.standby_rank);
     }
 
     THEN("all of it is assigned, to entries of the upstream's hall")
--- a/tests/route/retry_detector.cpp
+++ b/tests/route/retry_detector.cpp
@@ -16,13 +16,13 @@
 
 cj::refusal_record refusal(cj::time_point now)
 {
-    cj::refusal_record made;
-    made.fingerprint = cj::request_fingerprint(7);
-    made.first_arrival = now - 300ms;
-    made.deadline = now + 5600ms;
-    made.refused_at = now;
-    made.retry_at = now + 200ms;
-    return made;
+    cj::refusal_record result;
+    result.fingerprint = cj::request_fingerprint(7);
+    result.first_arrival = now - 300ms;
+    result.deadline = now + 5600ms;
+    result.refused_at = now;
+    result.retry_at = now + 200ms;
+    return result;
 }
 
 /*! @brief A third more requests than the engines can serve, with several
@@ -31,14 +31,14 @@
 {
     constexpr double load = 1.3;
     constexpr double served_per_engine = 12.15;
-    load_pattern made;
-    made.entries = 9;
-    made.engines = 27;
-    made.seconds = 12;
-    made.retries_elsewhere = true;
-    made.rate = [](double) { return served_per_engine * 27 * load; };
-    made.seed = seed;
-    return made;
+    load_pattern pattern;
+    pattern.entries = 9;
+    pattern.engines = 27;
+    pattern.seconds = 12;
+    pattern.retries_elsewhere = true;
+    pattern.rate = [](double) { return served_per_engine * 27 * load; };
+    pattern.seed = seed;
+    return pattern;
 }
 
 /*! @brief Returns the recognition of the worst of three seeds. */
@@ -67,25 +67,25 @@
 
     GIVEN("another entry of the hall reported a refusal")
     {
-        const auto one = refusal(now);
-        detector.record_remote_refusal(one, now);
+        const auto refused = refusal(now);
+        detector.record_remote_refusal(refused, now);
         THEN("the retry has waited since the first request")
         {
-            const auto past = detector.record_arrival("a", one.fingerprint,
-                                                      5350ms, now + 250ms);
-            CHECK(past.known_by == cj::retry_evidence::refusal);
-            CHECK(past.waited == 550ms);
+            const auto history = detector.record_arrival(
+                "a", refused.fingerprint, 5350ms, now + 250ms);
+            CHECK(history.known_by == cj::retry_evidence::refusal);
+            CHECK(history.waited == 550ms);
         }
         THEN("an equal request with a different deadline is new")
         {
-            const auto past = detector.record_arrival("a", one.fingerprint,
-                                                      5900ms, now + 250ms);
-            CHECK(past.known_by == cj::retry_evidence::none);
+            const auto history = detector.record_arrival(
+                "a", refused.fingerprint, 5900ms, now + 250ms);
+            CHECK(history.known_by == cj::retry_evidence::none);
         }
         THEN("an equal request without a deadline is new")
         {
             CHECK(detector
-                      .record_arrival("a", one.fingerprint, std::nullopt,
+                      .record_arrival("a", refused.fingerprint, std::nullopt,
                                       now + 250ms)
                       .known_by == cj::retry_evidence::none);
         }
@@ -97,10 +97,10 @@
         detector.note_other_entries_refusals(now);
         THEN("a shorter deadline shows a retry whose refusal is not known here")
         {
-            const auto past =
+            const auto history =
                 detector.record_arrival("a", {}, 5000ms, now + 1s);
-            CHECK(past.known_by == cj::retry_evidence::deadline);
-            CHECK(past.waited == 1000ms);
+            CHECK(history.known_by == cj::retry_evidence::deadline);
+            CHECK(history.waited == 1000ms);
         }
         THEN("the deadlines of another route do not matter")
         {
--- a/tests/route/upstream_registry.cpp
+++ b/tests/route/upstream_registry.cpp
@@ -13,29 +13,29 @@
 
 cj::upstream_record record(std::uint64_t life, bool leaving = false)
 {
-    cj::upstream_record one;
-    one.id = id;
-    one.life = cj::incarnation(life);
-    one.service = cj::service_name("llm");
-    one.address = host + ":80";
-    one.slots = 4;
-    one.leaving = leaving;
-    one.weights["m"] = 1;
-    return one;
+    cj::upstream_record result;
+    result.id = id;
+    result.life = cj::incarnation(life);
+    result.service = cj::service_name("llm");
+    result.address = host + ":80";
+    result.slots = 4;
+    result.leaving = leaving;
+    result.weights["m"] = 1;
+    return result;
 }
 
 cj::message::upstream_status status(std::uint64_t life, std::uint64_t sequence,
                                     std::uint64_t version = 1)
 {
-    cj::message::upstream_status one;
-    one.model = "m";
-    one.version = version;
-    one.side = 5;
-    one.sequence = sequence;
-    one.life = life;
-    one.open = version > 0;
-    one.reachable = true;
-    return one;
+    cj::message::upstream_status result;
+    result.model = "m";
+    result.version = version;
+    result.side = 5;
+    result.sequence = sequence;
+    result.life = life;
+    result.open = version > 0;
+    result.reachable = true;
+    return result;
 }
 
 } // namespace
