--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -43,7 +43,7 @@
     /*! @brief A stop that takes longer is ended by force. */
     milliseconds stop_grace{8000};
     exchange_options exchange;
-    placement_weights weights;
+    placement_options weights;
 };
 
 /*! @brief Serves callers.
--- a/src/coursejunction/route/admission.hpp
+++ b/src/coursejunction/route/admission.hpp
@@ -2,10 +2,11 @@
  * @brief Admission control: decides how loaded an upstream may be to accept a
  * request, and when a refused client should retry; pure.
  * Load pattern: demand exceeds the engines' capacity, for seconds or for a
- * whole day, so that admitting one client means refusing another. A request
- * counts fully if its first event arrives within its target. A client that
- * retries is past its target whatever happens, and requests of a kind with a
- * long target must not crowd out those with a shorter one.
+ * whole day, so that admitting one request means refusing another. Only a
+ * request whose first event arrives within its target is a full success. A
+ * client that waits before it retries misses its target whatever happens, and
+ * requests of a kind with a long target must not crowd out those with a shorter
+ * one.
  */
 #ifndef COURSEJUNCTION_ROUTE_ADMISSION_HPP
 #define COURSEJUNCTION_ROUTE_ADMISSION_HPP
@@ -33,9 +34,10 @@
      * the target of the request itself. Otherwise kinds with a longer target
      * fill the engines before those with a shorter one. */
     double common_target_fraction{1.0};
-    /*! @brief Under overload, fraction of an engine's slots that requests past
-     * their target may fill; all slots without overload. The rest is left to
-     * requests that can still meet theirs. */
+    /*! @brief Under overload, an engine accepts requests that can no longer
+     * meet their target only while less than this fraction of its slots is in
+     * use; without overload while a slot is free. The rest is left to requests
+     * that can still meet theirs. */
     double late_fraction{0.5};
     /*! @brief Ratio of refused to new requests at which the overload limits
      * apply in full; below it they apply in proportion. The ratio is that of
@@ -43,10 +45,10 @@
      * larger value the clients of the most loaded entry are refused before the
      * other entries admit less. */
     double full_refusal_ratio{0.05};
-    /*! @brief Fraction of `full_refusal_ratio` above which an entry fills only
-     * its own share of each engine (see `engine_shares.hpp`). Otherwise many
-     * entries fill one engine at once, since none sees the requests of the
-     * others in time. */
+    /*! @brief Fraction of `full_refusal_ratio` from which on an entry fills
+     * only its own share of each engine (see `engine_shares.hpp`). Otherwise
+     * many entries fill one engine at once, since none sees the requests of
+     * the others in time. */
     double own_share_threshold{0.5};
     /*! @brief Fraction of its slots up to which an engine accepts requests of
      * entries that hold no share of it, or have used theirs: nobody needs the
@@ -58,8 +60,8 @@
      * moment. */
     milliseconds min_retry_after{200};
     /*! @brief Largest Retry-After, as a fraction of what is left of the
-     * client's deadline: clients follow it up to here. Under overload, the
-     * later a client retries, the likelier it is served. */
+     * client's deadline; clients do not follow a larger one. Under overload,
+     * the later a client retries, the likelier it is served. */
     double retry_deadline_fraction{1.0 / 3};
 };
 
@@ -109,7 +111,7 @@
     }
 
     /*! @brief Returns whether a request can no longer have its first event
-     * within its target.
+     * within its target; always false for a new request.
      * @param waited Time since the client's first request; zero for a new
      * request. */
     [[nodiscard]] bool misses_target(const engine_profile& engine,
@@ -146,11 +148,11 @@
         other_entries = reported;
     }
 
-    /*! @brief Time over which refusals are smoothed. Short, so that clients
-     * that retry after a burst are not refused because of it. It still covers
-     * enough refusals, as those of all entries count: hundreds a second under
-     * load. */
-    static constexpr milliseconds refusal_window{250};
+    /*! @brief Time over which arrivals and refusals are smoothed for the
+     * refusal ratio. Short, so that clients that retry after a burst are not
+     * refused because of it. It still covers enough refusals, as those of all
+     * entries count: hundreds a second under load. */
+    static constexpr milliseconds ratio_window{250};
 
     /*! @brief Time over which the demand is smoothed by which engines are
      * divided between entries. An entry with 14 requests a second counts about
@@ -163,7 +165,7 @@
      * fill the engines, and one that refuses many would refuse ever more. */
     [[nodiscard]] double refusal_ratio(time_point now) const
     {
-        const auto single_refusal = 1 / to_seconds(refusal_window);
+        const auto single_refusal = 1 / to_seconds(ratio_window);
         return std::max(refusals.per_second(now) + other_entries.refused -
                             single_refusal,
                         0.0) /
@@ -180,13 +182,12 @@
                                           time_point now) const
     {
         admission_limits result;
-        const auto overload = strictness(now);
+        const auto degree = overload_degree(now);
         result.unowned_fraction = options.unowned_fraction;
-        result.own_share_only = overload >= options.own_share_threshold;
+        result.own_share_only = degree >= options.own_share_threshold;
         if (misses_target(engine, target, waited))
         {
-            const auto slot_fraction =
-                1 - (1 - options.late_fraction) * overload;
+            const auto slot_fraction = 1 - (1 - options.late_fraction) * degree;
             result.max_in_flight =
                 static_cast<double>(engine.slots) * slot_fraction - 1;
             return result;
@@ -202,7 +203,7 @@
             options.target_fraction * static_cast<double>(target.count());
         result.typical_first_event_ms =
             own_limit_ms -
-            (own_limit_ms - std::min(common_limit_ms, own_limit_ms)) * overload;
+            (own_limit_ms - std::min(common_limit_ms, own_limit_ms)) * degree;
         return result;
     }
 
@@ -218,34 +219,34 @@
         const auto max_ms =
             static_cast<double>(left.count()) * options.retry_deadline_fraction;
         return milliseconds(static_cast<std::int64_t>(
-            min_ms + std::max(max_ms - min_ms, 0.0) * strictness(now)));
+            min_ms + std::max(max_ms - min_ms, 0.0) * overload_degree(now)));
     }
 
 private:
-    /*! @brief Returns the fraction, 0 to 1, to which the overload limits apply.
-     */
-    [[nodiscard]] double strictness(time_point now) const
+    /*! @brief Returns the degree of overload, 0 to 1, to which the overload
+     * limits apply. */
+    [[nodiscard]] double overload_degree(time_point now) const
     {
         return std::min(refusal_ratio(now) / options.full_refusal_ratio, 1.0);
     }
 
     /*! @brief Smallest fraction of the requests that must have a target for it
      * to count as in use. */
-    static constexpr double min_target_fraction{0.05};
+    static constexpr double min_fraction_of_requests{0.05};
 
     /*! @brief Returns the tightest target that is in use. */
     [[nodiscard]] milliseconds tightest_target(time_point now) const
     {
         const auto total_rate = arrivals.per_second(now);
         for (const auto& [target, rate] : arrivals_by_target)
-            if (rate.per_second(now) >= total_rate * min_target_fraction)
+            if (rate.per_second(now) >= total_rate * min_fraction_of_requests)
                 return target;
         return milliseconds(std::numeric_limits<std::int32_t>::max());
     }
 
     admission_options options;
-    smoothed_rate arrivals{refusal_window};
-    smoothed_rate refusals{refusal_window};
+    smoothed_rate arrivals{ratio_window};
+    smoothed_rate refusals{ratio_window};
     request_rates other_entries;
     smoothed_rate smoothed_demand{demand_window};
     std::map<milliseconds, smoothed_rate> arrivals_by_target;
--- a/src/coursejunction/route/deadline_floor.hpp
+++ b/src/coursejunction/route/deadline_floor.hpp
@@ -18,7 +18,8 @@
 namespace coursejunction
 {
 
-/*! @brief The lower end of the deadlines seen recently on one route. */
+/*! @brief The lower end of the deadlines seen recently on one route. The floor
+ * is the lowest of them after `ignored_lowest` others. */
 class deadline_floor
 {
 public:
@@ -30,13 +31,14 @@
     static constexpr std::size_t ignored_lowest = 3;
 
     /*! @brief A deadline at most this much below the floor does not count as a
-     * client retry. Few of the new clients with spread deadlines are further
-     * below all but `ignored_lowest` of `max_samples` others. */
+     * client retry. Where the deadlines of new clients are spread, few are
+     * further below it. */
     static constexpr milliseconds tolerance{50};
 
-    /*! @brief If no deadline of a new client came for this long, clients begin
-     * with shorter deadlines than before, and learning starts again. */
-    static constexpr milliseconds max_age{30'000};
+    /*! @brief If no deadline of a new client came for this long, clients are
+     * assumed to begin with shorter deadlines than before, and learning starts
+     * again. */
+    static constexpr milliseconds max_time_without_new{30'000};
 
     /*! @brief Records the deadline of a request that matches no refusal.
      * @param no_recent_refusals Whether nobody was refused recently: a shorter
@@ -48,9 +50,9 @@
     {
         const auto waited = distance_below(deadline);
         if (waited > milliseconds(0) && !no_recent_refusals &&
-            now - last_new_at < max_age)
+            now - last_new_at < max_time_without_new)
             return waited;
-        if (now - last_new_at >= max_age)
+        if (now - last_new_at >= max_time_without_new)
             count = 0;
         last_new_at = now;
         samples[next] = static_cast<std::uint32_t>(deadline.count());
--- a/src/coursejunction/route/dispatcher.hpp
+++ b/src/coursejunction/route/dispatcher.hpp
@@ -40,8 +40,9 @@
      * as its client tolerates the pause. Pauses up to 400 ms still count as in
      * time. */
     milliseconds max_stream_pause{900};
-    /*! @brief Retry-After where no upstream is usable at all. Such times lasted
-     * 1.3 to 6 s, and clients with a deadline of 6 s wait 2 s at most. */
+    /*! @brief Retry-After where no upstream is usable at all. Times without a
+     * usable upstream last 1.3 to 6 s, and clients with a deadline of 6 s wait
+     * 2 s at most. */
     milliseconds no_upstream_retry_after{2000};
     admission_options admission;
 };
@@ -74,9 +75,10 @@
 class dispatcher
 {
 public:
-    dispatcher(const upstream_registry& upstreams, placer choice,
+    dispatcher(const upstream_registry& upstreams, placer selector,
                dispatch_options configured)
-        : registry(upstreams), placement(std::move(choice)), options(configured)
+        : registry(upstreams), placement(std::move(selector)),
+          options(configured)
     {
     }
 
@@ -161,11 +163,12 @@
         return sum;
     }
 
-    /*! @brief Sets the rates of such requests at all other entries together. */
+    /*! @brief Sets the rates of requests for engine services at all other
+     * entries together. */
     void set_other_entries_rates(const request_rates& reported, time_point now)
     {
-        constexpr double min_rate = 0.1;
-        if (reported.refused > min_rate)
+        constexpr double min_refused_per_second = 0.1;
+        if (reported.refused > min_refused_per_second)
             client_retries.note_other_entries_refusals(now);
         for (const auto& name : engine_services)
             admissions.at(name).set_other_entries_rates(reported);
@@ -187,9 +190,9 @@
             return send_to{std::move(*found),
                            urgency_for(service, request, now)};
         const auto wait_deadline = request.waiting_since + max_wait(request);
-        const bool opens_too_late =
+        const bool next_send_too_late =
             failure.next_send_at && *failure.next_send_at > wait_deadline;
-        if (now < wait_deadline && !opens_too_late)
+        if (now < wait_deadline && !next_send_too_late)
             return wait_for_slot{failure};
         if (!request.arrival.is_retry())
             control.record_refusal(now);
@@ -209,10 +212,10 @@
     {
         if (request.bypasses_limits)
             return options.max_stream_pause;
-        constexpr double microseconds = 1000;
+        constexpr double microseconds_per_ms = 1000;
         return std::chrono::microseconds(static_cast<std::int64_t>(
             static_cast<double>(request.target.count()) *
-            options.wait_fraction * microseconds));
+            options.wait_fraction * microseconds_per_ms));
     }
 
     [[nodiscard]] static urgency urgency_for(const service_profile& service,
@@ -242,9 +245,9 @@
         return control.retry_after(left, now);
     }
 
-    /*! @brief Returns the Retry-After of a client that no upstream could serve.
-     * Where only other entries may send to the upstreams, the retry may reach
-     * one of them. */
+    /*! @brief Returns the Retry-After of a client that no upstream could serve:
+     * until this entry may send to one again. If it may send to none of them,
+     * returns the fixed time, as the retry may reach an entry that may. */
     [[nodiscard]] milliseconds
     retry_after_outage(const placement_failure& failure, time_point now) const
     {
--- a/src/coursejunction/route/engine_estimate.hpp
+++ b/src/coursejunction/route/engine_estimate.hpp
@@ -21,7 +21,8 @@
     double unread_tokens{0}; /*!< Prompt tokens that await prefill. */
     double pace{1};          /*!< Factor by which it is slower than profiled. */
     double age_ms{0};        /*!< Since the load was reported. */
-    double expected{0};      /*!< Sent since by others beyond an equal share. */
+    double expected{
+        0}; /*!< Requests of others since then, beyond an equal share. */
 };
 
 /*! @brief Returns the ms of one decode step of the running requests. */
@@ -35,11 +36,12 @@
 
 /*! @brief Returns the ms that the prefill of a prompt takes alone. */
 [[nodiscard]] inline double prefill_ms(const engine_profile& engine,
-                                       double prompt)
+                                       double prompt_tokens)
 {
     constexpr double million = 1e6;
-    return prompt / engine.read_per_ms +
-           engine.pairs_per_million * prompt * prompt / 2 / million;
+    return prompt_tokens / engine.read_per_ms + engine.pairs_per_million *
+                                                    prompt_tokens *
+                                                    prompt_tokens / 2 / million;
 }
 
 /*! @brief Returns the ms for which a typical request occupies its slot on a
@@ -63,26 +65,27 @@
  * free after the occupancy of a slot divided by the number of slots. */
 [[nodiscard]] inline double first_event_ms(const engine_profile& engine,
                                            const engine_load& load,
-                                           double prompt)
+                                           double prompt_tokens)
 {
     const auto slots = static_cast<double>(engine.slots);
     const auto in_flight = load.running + load.waiting;
     const auto decoding = std::min(in_flight, slots);
     const auto pass_ms =
         engine.stride * step_ms(engine, std::min(decoding + 1, slots));
-    const auto tokens = load.unread_tokens + prompt;
+    const auto tokens = load.unread_tokens + prompt_tokens;
     const auto passes =
         std::max(1.0, std::ceil(tokens / std::max(engine.read_chunk, 1.0)));
-    const auto prefill =
-        prefill_ms(engine, prompt) + load.unread_tokens / engine.read_per_ms;
-    const auto arrivals = in_flight / slot_occupancy_ms(engine);
-    const auto others_prefill = arrivals *
-                                (pass_ms / 2 + prefill + load.age_ms) *
-                                prefill_ms(engine, engine.usual_prompt);
-    auto total = pass_ms / 2 + prefill + others_prefill + passes * pass_ms;
+    const auto prefill_time_ms = prefill_ms(engine, prompt_tokens) +
+                                 load.unread_tokens / engine.read_per_ms;
+    const auto arrivals_per_ms = in_flight / slot_occupancy_ms(engine);
+    const auto others_prefill_ms =
+        arrivals_per_ms * (pass_ms / 2 + prefill_time_ms + load.age_ms) *
+        prefill_ms(engine, engine.usual_prompt);
+    auto total_ms =
+        pass_ms / 2 + prefill_time_ms + others_prefill_ms + passes * pass_ms;
     if (in_flight >= slots)
-        total += (in_flight - slots + 1) * slot_occupancy_ms(engine) / slots;
-    return total * std::max(load.pace, 1.0);
+        total_ms += (in_flight - slots + 1) * slot_occupancy_ms(engine) / slots;
+    return total_ms * std::max(load.pace, 1.0);
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/route/engine_shares.hpp
+++ b/src/coursejunction/route/engine_shares.hpp
@@ -73,8 +73,8 @@
 /*! @brief Returns the fraction of each engine that lies within an interval.
  *
  * The engines divide the interval from 0 to 1 as well, hall by hall like the
- * entries. So an entry has whole engines of its own hall except for two at
- * most, and engines of the next hall where its own has less capacity than
+ * entries. So an entry has whole engines of its own hall and parts of at most
+ * two, and engines of the next hall where its own has less capacity than
  * demand.
  * @param slots Slots of each engine, in the common order.
  * @return Fractions from 0 to 1, one for each engine. */
--- a/src/coursejunction/route/fair_queue.hpp
+++ b/src/coursejunction/route/fair_queue.hpp
@@ -45,7 +45,7 @@
     using value_type = queued_request;
     using size_type = std::size_t;
 
-    /*! @param most Largest number of waiting requests in total. */
+    /*! @param max_waiting Largest number of waiting requests in total. */
     explicit fair_queue(size_type max_waiting) : max_total(max_waiting) {}
 
     /*! @brief Sets the weight of an organisation; the default is 1. */
@@ -73,19 +73,21 @@
         return wait_at(organisation, own, now);
     }
 
-    /*! @brief Queues a request if it can be served before its deadline.
-     * @param service Expected duration of the request itself. */
-    [[nodiscard]] offer_result offer(queued_request request,
-                                     std::chrono::microseconds service,
-                                     time_point now)
+    /*! @brief Queues a request if the queue is not full and the request can be
+     * served before its deadline.
+     * @param expected_duration Expected duration of the request itself. */
+    [[nodiscard]] offer_result
+    offer(queued_request request, std::chrono::microseconds expected_duration,
+          time_point now)
     {
         const auto wait = expected_wait(request.organisation, now);
-        if (total >= max_total || now + wait + service > request.deadline)
+        if (total >= max_total ||
+            now + wait + expected_duration > request.deadline)
             return {false, retry_after(wait)};
         forget_idle();
         auto& flow = flows[request.organisation];
         if (flow.waiting.empty())
-            flow.start = std::max(flow.start, virtual_now);
+            flow.virtual_start = std::max(flow.virtual_start, virtual_now);
         const auto position = std::upper_bound(
             flow.waiting.begin(), flow.waiting.end(), request.priority,
             [](std::int32_t priority, const queued_request& other)
@@ -103,7 +105,7 @@
         for (const auto& [id, flow] : flows)
         {
             if (!flow.waiting.empty())
-                due.emplace_back(flow.start, id);
+                due.emplace_back(flow.virtual_start, id);
         }
         std::sort(due.begin(), due.end());
         std::vector<organisation_id> ids;
@@ -152,15 +154,17 @@
     {
         forget_idle();
         auto& flow = flows[organisation];
-        flow.start = std::max(flow.start, virtual_now);
+        flow.virtual_start = std::max(flow.virtual_start, virtual_now);
         charge(flow);
     }
 
     /*! @brief Removes and returns the requests that can't meet their deadline
      * any more, or that clearly won't because of the requests before them, so
-     * that their callers can be refused at once. */
+     * that their clients can be refused at once. As the wait is an estimate,
+     * it must exceed the time left by `late_factor`.
+     * @param expected_duration Expected duration of a request itself. */
     [[nodiscard]] std::vector<queued_request>
-    remove_late(std::chrono::microseconds service, time_point now)
+    remove_late(std::chrono::microseconds expected_duration, time_point now)
     {
         std::vector<queued_request> removed;
         for (auto& [id, flow] : flows)
@@ -169,7 +173,7 @@
             std::size_t position = 0;
             for (auto it = waiting.begin(); it != waiting.end();)
             {
-                const auto left = it->deadline - now - service;
+                const auto left = it->deadline - now - expected_duration;
                 const auto wait = wait_at(id, position, now);
                 if (left.count() >= 0 &&
                     to_seconds(wait) <= to_seconds(left) * late_factor)
@@ -186,7 +190,7 @@
         return removed;
     }
 
-    /*! @brief Removes one request whose caller has disconnected.
+    /*! @brief Removes one request whose client has disconnected.
      * @return Whether it was queued. */
     bool remove(const organisation_id& organisation, std::uint64_t number)
     {
@@ -223,7 +227,7 @@
     static constexpr size_type max_flows = 1024;
     static constexpr size_type dispatch_samples = 32;
     static constexpr size_type min_flow_samples = 8;
-    static constexpr std::chrono::seconds max_flow_age{2};
+    static constexpr std::chrono::seconds max_dispatch_age{2};
     static constexpr double late_factor = 1.3;
     static constexpr milliseconds min_retry_after{100};
     static constexpr milliseconds max_retry_after{60'000};
@@ -231,7 +235,7 @@
     struct flow_state
     {
         double weight{1};
-        double start{0};
+        double virtual_start{0};
         std::deque<queued_request> waiting;
         std::deque<time_point> dispatches;
     };
@@ -250,8 +254,8 @@
 
     void charge(flow_state& flow)
     {
-        virtual_now = std::max(virtual_now, flow.start);
-        flow.start += 1.0 / flow.weight;
+        virtual_now = std::max(virtual_now, flow.virtual_start);
+        flow.virtual_start += 1.0 / flow.weight;
     }
 
     static double rate_of(const std::deque<time_point>& times, time_point now)
@@ -273,7 +277,7 @@
         const auto ahead = static_cast<double>(position + 1);
         if (found != flows.end() &&
             found->second.dispatches.size() >= min_flow_samples &&
-            now - found->second.dispatches.front() < max_flow_age)
+            now - found->second.dispatches.front() < max_dispatch_age)
             return from_seconds(ahead / rate_of(found->second.dispatches, now));
         const auto rate = rate_of(completions, now);
         if (rate <= 0)
--- a/src/coursejunction/route/fwd.hpp
+++ b/src/coursejunction/route/fwd.hpp
@@ -23,7 +23,7 @@
 class recent_refusals;
 class deadline_floor;
 struct refusal_record;
-struct caller_history;
+struct client_history;
 class placement_queue;
 class dispatcher;
 struct entry_demand;
--- a/src/coursejunction/route/known_upstream.hpp
+++ b/src/coursejunction/route/known_upstream.hpp
@@ -43,13 +43,17 @@
     std::optional<message::upstream_status> status;
     time_point status_at{};
     std::map<std::uint64_t, open_attempt> attempts;
-    std::size_t ended_since_status{0}; /*!< Attempts. */
-    unsigned failures{0};              /*!< Consecutive. */
+    /*! @brief Attempts that ended since the last status and are counted in it.
+     */
+    std::size_t ended_since_status{0};
+    unsigned failures{0};  /*!< Consecutive. */
     double fault_share{0}; /*!< Smoothed fraction of attempts that failed. */
     double lateness{1};    /*!< Smoothed ratio of observed to predicted time. */
     time_point avoid_until{};
     std::optional<time_point> lapses_at; /*!< Set if its record may return. */
-    double share{0}; /*!< Fraction of it that belongs to this entry. */
+    /*! @brief Fraction of its slots, or of its rate limit if it has one, that
+     * belongs to this entry. */
+    double share{0};
     upstream_terms terms;
 
     /*! @brief Returns whether it accepts no new requests, according to its
--- a/src/coursejunction/route/placement.hpp
+++ b/src/coursejunction/route/placement.hpp
@@ -23,9 +23,9 @@
 namespace coursejunction
 {
 
-/*! @brief Costs of a candidate, added to its predicted time to the first event,
- * in ms. */
-struct placement_weights
+/*! @brief Parameters of the choice: costs in ms that are added to the predicted
+ * time to the first event, and limits. */
+struct placement_options
 {
     /*! @brief Cost of an upstream in another hall: the round trip to it, and
      * the traffic between regions, which the platform prices highest. */
@@ -56,8 +56,8 @@
 /*! @brief What is known of a request when it arrives. */
 struct arrival_state
 {
-    caller_history history;
-    bool late{false}; /*!< Its target can no longer be met. */
+    client_history history;
+    bool late{false}; /*!< It can no longer meet its target. */
 
     /*! @brief Returns whether it is a client retry. */
     [[nodiscard]] bool is_retry() const
@@ -78,7 +78,9 @@
     time_point waiting_since{}; /*!< Arrival, or the end of the last attempt. */
     time_point deadline{};      /*!< Deadline of the client. */
     admission_limits limits;
-    bool bypasses_limits{false}; /*!< To resume a stream, even if late. */
+    /*! @brief Ignores `limits`, but not the terms of an upstream; set to resume
+     * a stream. */
+    bool bypasses_limits{false};
     std::vector<instance_id> excluded;
     std::vector<instance_id> avoided; /*!< Used only as a last resort. */
     /*! @brief The last attempt ended with an error response of the upstream: if
@@ -90,7 +92,7 @@
 class placer
 {
 public:
-    placer(placement_weights configured, hall_id home_hall, std::string self)
+    placer(placement_options configured, hall_id home_hall, std::string self)
         : weights(configured), own_hall(std::move(home_hall)),
           own_address(std::move(self))
     {
@@ -300,8 +302,8 @@
     }
 
     /*! @brief Returns the estimate in ms for an upstream without an engine
-     * model: a request takes a quarter of its target alone, and longer in
-     * proportion to the requests per slot. */
+     * model: a request takes a quarter of its target if there are no others,
+     * and longer in proportion to the requests per slot. */
     [[nodiscard]] static double plain_ms(const known_upstream& upstream,
                                          const placement_request& request)
     {
@@ -367,7 +369,7 @@
         return cost;
     }
 
-    placement_weights weights;
+    placement_options weights;
     hall_id own_hall;
     std::string own_address;
 };
--- a/src/coursejunction/route/recent_refusals.hpp
+++ b/src/coursejunction/route/recent_refusals.hpp
@@ -38,7 +38,8 @@
 class recent_refusals
 {
 public:
-    /*! @brief Largest number of refusals kept, some 1.5 MB. */
+    /*! @brief Largest number of refusals kept, some 1.5 MB; further ones are
+     * ignored until some expire. */
     static constexpr std::size_t max_remembered = 16'384;
 
     /*! @brief Largest number of refusals kept to be sent to other entries. */
@@ -49,8 +50,8 @@
     static constexpr milliseconds deadline_tolerance{20};
 
     /*! @brief A client that has not retried this long after the requested time
-     * has left: a new connection is given a second. A later equal request is
-     * another client's. */
+     * has left; opening a new connection may take up to a second. A later
+     * equal request is another client's. */
     static constexpr milliseconds retry_expiry{1200};
 
     /*! @brief Clients that ignore the requested time retry within this time
--- a/src/coursejunction/route/request_limit.hpp
+++ b/src/coursejunction/route/request_limit.hpp
@@ -30,11 +30,11 @@
 {
     /*! @brief Requests a second; 0 for a standby entry. */
     double per_second{0};
-    /*! @brief Position among the standby entries, from 1. An entry with
-     * `not_standby` may not send at all unless it holds a share. */
-    std::size_t standby_rank{not_standby};
+    /*! @brief Position among the standby entries, from 1; 0 for a holder.
+     * `may_not_send` for an entry that may send nothing at all. */
+    std::size_t standby_rank{may_not_send};
 
-    static constexpr std::size_t not_standby =
+    static constexpr std::size_t may_not_send =
         std::numeric_limits<std::size_t>::max();
 
     [[nodiscard]] bool holds_share() const { return per_second > 0; }
@@ -42,9 +42,9 @@
 
 /*! @brief Returns an entry's share of a limit. Every entry computes the same
  * division. There are as many holders as the limit has whole requests a
- * second, at least one, and they are of the upstream's hall if that has
- * entries: shares of less than one request a second would leave a part of the
- * limit unused.
+ * second, at least one, as shares of less than one request a second would
+ * leave a part of the limit unused. They are of the upstream's hall if that
+ * has entries.
  * @param own Address of the entry.
  * @param entries Those that accept requests, in any order. */
 [[nodiscard]] inline limit_share
@@ -111,7 +111,8 @@
             next_due = now + interval();
     }
 
-    /*! @brief Records that a request is sent there. */
+    /*! @brief Records that a request is sent there. A holder may catch up on
+     * one unused interval, but not on more. */
     void record_send(time_point now)
     {
         sent_at = now;
@@ -124,7 +125,7 @@
     {
         if (own.holds_share())
             return next_due;
-        if (own.standby_rank == limit_share::not_standby)
+        if (own.standby_rank == limit_share::may_not_send)
             return time_point::max();
         return std::max(announced_at, sent_at) +
                silence() * static_cast<std::int64_t>(own.standby_rank);
--- a/src/coursejunction/route/retry_detector.hpp
+++ b/src/coursejunction/route/retry_detector.hpp
@@ -2,7 +2,8 @@
  * @brief Finds out how long ago a client first sent a request; pure.
  * Load pattern: refused clients retry with the rest of their deadline. Their
  * target counts from the first request, so an entry that takes them for new
- * ones gives them slots that new clients would use in time.
+ * ones gives them slots in which requests of new clients would meet their
+ * target.
  */
 #ifndef COURSEJUNCTION_ROUTE_RETRY_DETECTOR_HPP
 #define COURSEJUNCTION_ROUTE_RETRY_DETECTOR_HPP
@@ -47,7 +48,7 @@
 }
 
 /*! @brief What is known of a client's earlier requests. */
-struct caller_history
+struct client_history
 {
     retry_evidence known_by{retry_evidence::none};
     milliseconds waited{0}; /*!< Since its first request, at least. */
@@ -60,7 +61,7 @@
 public:
     /*! @brief Records the arrival of a request.
      * @param deadline How long the client waits from now on. */
-    caller_history record_arrival(const std::string& route,
+    client_history record_arrival(const std::string& route,
                                   request_fingerprint fingerprint,
                                   const std::optional<milliseconds>& deadline,
                                   time_point now)
@@ -95,8 +96,8 @@
         refusals.record_remote(refusal);
     }
 
-    /*! @brief Records that other entries refuse clients at present, whichever.
-     */
+    /*! @brief Records that other entries refuse clients at present, according
+     * to their rates; which clients is not known. */
     void note_other_entries_refusals(time_point now) { last_refusal = now; }
 
     /*! @brief Returns refusals not yet sent to the other entries, and marks
--- a/src/coursejunction/route/smoothed_rate.hpp
+++ b/src/coursejunction/route/smoothed_rate.hpp
@@ -22,8 +22,8 @@
 
     smoothed_rate() = default;
 
-    /*! @param window Time over which it is smoothed. */
-    explicit smoothed_rate(milliseconds window) : smoothing(window) {}
+    /*! @param over Time over which it is smoothed. */
+    explicit smoothed_rate(milliseconds over) : window(over) {}
 
     void record(time_point now)
     {
@@ -35,7 +35,7 @@
 
     [[nodiscard]] double per_second(time_point now) const
     {
-        return decayed(now) / to_seconds(smoothing);
+        return decayed(now) / to_seconds(window);
     }
 
     /*! @brief Returns the rate since the first event if that is more recent
@@ -44,7 +44,7 @@
     {
         constexpr double min_covered = 0.1;
         const auto covered =
-            1 - std::exp(-to_seconds(now - first_at) / to_seconds(smoothing));
+            1 - std::exp(-to_seconds(now - first_at) / to_seconds(window));
         return per_second(now) / std::max(covered, min_covered);
     }
 
@@ -52,10 +52,10 @@
     [[nodiscard]] double decayed(time_point now) const
     {
         return weighted_count *
-               std::exp(-to_seconds(now - last_at) / to_seconds(smoothing));
+               std::exp(-to_seconds(now - last_at) / to_seconds(window));
     }
 
-    milliseconds smoothing{default_window};
+    milliseconds window{default_window};
     time_point first_at{};
     double weighted_count{0}; /*!< Events weighted by their age. */
     time_point last_at{};
--- a/src/coursejunction/route/upstream_registry.hpp
+++ b/src/coursejunction/route/upstream_registry.hpp
@@ -93,11 +93,11 @@
     /*! @brief Applies a status that the sidecar at an address reported,
      * received from it or relayed. Ignores a status older than the last one or
      * of an earlier incarnation of the upstream.
-     * @param now When the sidecar sent it.
+     * @param sent_at When the sidecar sent it.
      * @return The earlier incarnations that ended. */
     std::vector<ended_incarnation>
     apply_status(const std::string& host,
-                 const message::upstream_status& reported, time_point now)
+                 const message::upstream_status& reported, time_point sent_at)
     {
         std::vector<ended_incarnation> ended_incarnations;
         const incarnation life(reported.life);
@@ -117,11 +117,11 @@
                 ended_incarnations.push_back(std::move(*ended));
             }
             // The instance runs again: end a long avoidance due to its silence.
-            if (upstream.status && side_silent(upstream, now))
+            if (upstream.status && side_silent(upstream, sent_at))
                 upstream.avoid_until =
-                    std::min(upstream.avoid_until, now + min_avoid_time);
+                    std::min(upstream.avoid_until, sent_at + min_avoid_time);
             upstream.status = reported;
-            upstream.status_at = now;
+            upstream.status_at = sent_at;
             upstream.ended_since_status = 0;
         }
         return ended_incarnations;
@@ -233,17 +233,18 @@
     /*! @brief Records how long the first event took compared with its
      * prediction. */
     void record_first_event_time(const instance_id& id, double predicted_ms,
-                                 double seen_ms)
+                                 double observed_ms)
     {
         const auto found = upstreams.find(id);
         if (found == upstreams.end() || predicted_ms <= 0)
             return;
-        constexpr double own_smoothing = 0.1;
+        constexpr double upstream_smoothing = 0.1;
         constexpr double all_smoothing = 0.15;
         constexpr double max_ratio = 8;
-        const auto ratio = std::clamp(seen_ms / predicted_ms, 0.5, max_ratio);
+        const auto ratio =
+            std::clamp(observed_ms / predicted_ms, 0.5, max_ratio);
         found->second.lateness +=
-            (ratio - found->second.lateness) * own_smoothing;
+            (ratio - found->second.lateness) * upstream_smoothing;
         all_lateness += (ratio - all_lateness) * all_smoothing;
     }
 
@@ -287,7 +288,9 @@
         return found == upstream.record.weights.end() ? 0 : found->second;
     }
 
-    /*! @brief Divides the engines between the entries.
+    /*! @brief Divides the engines between the entries. The share of an upstream
+     * with a rate limit is this entry's fraction of the limit; that of one
+     * that takes no part is 0.
      * @param own This entry's interval of the total demand.
      * @param usable Returns whether an upstream takes part. */
     template <typename Usable>
@@ -316,7 +319,7 @@
     /*! @brief Sets how many entries share the upstreams, including this one. */
     void set_entry_count(std::size_t count)
     {
-        competing_entries =
+        effective_entries =
             1 + competing_fraction *
                     static_cast<double>(std::max<std::size_t>(count, 1) - 1);
     }
@@ -325,14 +328,15 @@
      * to send to engines: each as many as this one. */
     [[nodiscard]] double other_entries_rate(time_point now) const
     {
-        return engine_sends.per_second(now) * (competing_entries - 1);
+        return engine_sends.per_second(now) * (effective_entries - 1);
     }
 
     /*! @brief Estimates the current load of an engine from its last status and
      * the requests sent since. Requests of this entry stand for those of all
      * entries, as they see the same loads and choose alike; less so where the
-     * engine belongs to this entry's share. Where this entry has sent none
-     * yet, as to an upstream that has just opened, `others` is used instead.
+     * engine belongs to this entry's share. What `others` predicts beyond
+     * these is added, which matters most where this entry has sent none yet,
+     * as to an upstream that has just opened.
      * @param others Requests a second that other entries are expected to send
      * there beyond an equal share. */
     [[nodiscard]] engine_load load(const known_upstream& upstream,
@@ -340,26 +344,28 @@
                                    double others = 0) const
     {
         engine_load result;
-        const auto scale = 1 + (competing_entries - 1) * (1 - upstream.share);
+        const auto scale = 1 + (effective_entries - 1) * (1 - upstream.share);
         const bool fresh =
             upstream.status && now - upstream.status_at <= status_validity;
-        double seen_unread = 0;
-        double new_unread = 0;
-        double new_attempts = 0;
-        double own_unread = 0;
+        double reported_unread_tokens = 0;
+        double unreported_unread_tokens = 0;
+        double unreported_attempts = 0;
+        double own_awaiting_first_event = 0;
         for (const auto& [number, attempt] : upstream.attempts)
         {
-            const bool unseen =
+            const bool unreported =
                 !fresh || attempt.sent_at + status_latency > upstream.status_at;
-            new_attempts += unseen ? 1 : 0;
+            unreported_attempts += unreported ? 1 : 0;
             if (attempt.first_event_seen)
                 continue;
-            own_unread += 1;
-            (unseen ? new_unread : seen_unread) += attempt.prompt_tokens;
+            own_awaiting_first_event += 1;
+            (unreported ? unreported_unread_tokens : reported_unread_tokens) +=
+                attempt.prompt_tokens;
         }
         // Scale the requests of this entry up to all entries.
-        result.running = new_attempts * scale;
-        result.unread_tokens = seen_unread + new_unread * scale;
+        result.running = unreported_attempts * scale;
+        result.unread_tokens =
+            reported_unread_tokens + unreported_unread_tokens * scale;
         if (!fresh)
             return result;
         const auto reported = static_cast<double>(upstream.status->running +
@@ -367,20 +373,21 @@
         result.running += std::max(
             0.0, reported - static_cast<double>(upstream.ended_since_status));
         result.pace = upstream.status->pace;
-        constexpr double ms = 1000;
-        result.age_ms = to_seconds(now - upstream.status_at) * ms;
+        constexpr double ms_per_second = 1000;
+        result.age_ms = to_seconds(now - upstream.status_at) * ms_per_second;
         // Prompts of other entries are not reported: assume a typical length.
-        const auto waiting = std::max(
-            0.0, static_cast<double>(upstream.status->waiting) - own_unread);
+        const auto waiting =
+            std::max(0.0, static_cast<double>(upstream.status->waiting) -
+                              own_awaiting_first_event);
         result.unread_tokens += waiting * engine.usual_prompt;
-        result.expected = others * result.age_ms / ms;
+        result.expected = others * result.age_ms / ms_per_second;
         result.running +=
-            std::max(0.0, result.expected - new_attempts * (scale - 1));
+            std::max(0.0, result.expected - unreported_attempts * (scale - 1));
         const auto expected_unread = others *
                                      std::min(result.age_ms, unread_window_ms) /
-                                     ms * engine.usual_prompt;
-        result.unread_tokens +=
-            std::max(0.0, expected_unread - new_unread * (scale - 1));
+                                     ms_per_second * engine.usual_prompt;
+        result.unread_tokens += std::max(
+            0.0, expected_unread - unreported_unread_tokens * (scale - 1));
         return result;
     }
 
@@ -465,13 +472,14 @@
     }
 
     /*! @brief How long an upstream is avoided that failed while its sidecar was
-     * silent, unless the sidecar reports again. Instances were suspended for
+     * silent, unless the sidecar reports again. Instances may be suspended for
      * up to 7 s. */
     static constexpr milliseconds silent_avoid_time{8000};
 
     std::map<instance_id, known_upstream> upstreams;
     retained_terms retained;
-    double competing_entries{1};
+    /*! @brief This entry and the others assumed to choose the same upstream. */
+    double effective_entries{1};
     double all_lateness{1};
     smoothed_rate engine_sends; /*!< Of this entry, to all engines. */
 };
--- a/src/coursejunction/route/upstream_table.hpp
+++ b/src/coursejunction/route/upstream_table.hpp
@@ -1,6 +1,7 @@
 /*! @file
- * @brief What an entry knows of the upstreams from reports, and the policies
- * that choose one.
+ * @brief What an entry knows of the upstreams that report to it over
+ * connections, and policies that choose one by a score. `upstream_registry.hpp`
+ * is for upstreams that the store lists.
  */
 #ifndef COURSEJUNCTION_ROUTE_UPSTREAM_TABLE_HPP
 #define COURSEJUNCTION_ROUTE_UPSTREAM_TABLE_HPP
@@ -33,14 +34,14 @@
     std::size_t slots{0};
     std::size_t reported_requests{0}; /*!< Running there as last reported. */
     std::size_t own_requests{0};      /*!< Of this entry, running there now. */
-    std::size_t own_at_report{0};
+    std::size_t own_at_report{0};     /*!< `own_requests` at the last report. */
     double service_s{0}; /*!< Smoothed duration of a request; 0 if unknown. */
     bool open{false};
     bool leaving{false};
     time_point reported_at{};
     time_point avoid_until{};
     unsigned failures{0};
-    std::unordered_set<std::uint64_t> cached;
+    std::unordered_set<std::uint64_t> cached; /*!< Hashes of prefixes. */
 
     /*! @brief Returns the estimated number of requests that run there now. */
     [[nodiscard]] std::size_t load() const
@@ -80,8 +81,8 @@
 /*! @brief Combines load, distance and cached prompt prefix in one score.
  *
  * A cached prefix saves prefill, a fuller upstream decodes more slowly and a
- * more distant one adds latency. All are expressed as fractions of a request,
- * so that outdated state costs time only. */
+ * more distant one adds latency. All are expressed as fractions of a request's
+ * duration. Outdated state can only make a request slower. */
 class scored_policy
 {
 public:
--- a/src/coursejunction/route/upstream_terms.hpp
+++ b/src/coursejunction/route/upstream_terms.hpp
@@ -24,7 +24,7 @@
 struct received_notice
 {
     upstream_notice notice;
-    time_point sent_at{};  /*!< When the request was sent. */
+    time_point request_sent_at{}; /*!< When the request was sent. */
     bool succeeded{false}; /*!< Success without a limit ends a known limit. */
 };
 
@@ -129,8 +129,8 @@
     /*! @brief Returns when this entry learnt the current terms. */
     [[nodiscard]] time_point since() const { return known_since; }
 
-    /*! @brief Returns where the current terms come from: the address of an
-     * entry, or `answer` for a response to this one. */
+    /*! @brief Returns who announced the current terms: the address of the entry
+     * that reported them, or `answer` if a response to this entry did. */
     [[nodiscard]] const std::string& told_by() const { return source; }
 
 private:
@@ -171,7 +171,7 @@
         // A request sent before the limit was known may have been answered
         // before the upstream announced it.
         if (!rate_limit || !response.succeeded || response.notice.unreadable ||
-            response.sent_at <= rate_limit->known_since())
+            response.request_sent_at <= rate_limit->known_since())
             return false;
         rate_limit.reset();
         newest_response_at = reportable_at = known_since = now;
--- a/src/coursejunction/route/urgency.hpp
+++ b/src/coursejunction/route/urgency.hpp
@@ -1,7 +1,7 @@
 /*! @file
- * @brief Orders the requests that wait at one upstream; pure.
- * Load pattern: all slots are taken, and requests of kinds with different
- * targets wait at an engine, some of them past their target already.
+ * @brief Orders the requests that wait at one upstream; pure. Load pattern: all
+ * slots are taken, and requests of kinds with different targets wait at an
+ * engine, some of which can no longer meet them.
  */
 #ifndef COURSEJUNCTION_ROUTE_URGENCY_HPP
 #define COURSEJUNCTION_ROUTE_URGENCY_HPP
@@ -24,8 +24,8 @@
  */
 inline const urgency stream_urgency{0};
 
-/*! @brief Urgency of a request past its target: those that can still meet
- * theirs go first. */
+/*! @brief Urgency of a request that can no longer meet its target; those that
+ * can go first. */
 inline const urgency late_urgency{9};
 
 /*! @brief Returns the urgency of a request that can still meet its target: one
--- a/src/coursejunction/route/version_floor.hpp
+++ b/src/coursejunction/route/version_floor.hpp
@@ -37,9 +37,9 @@
     }
 
     /*! @brief Adds the newest version that this process finds when it starts.
-     * The version published before it may be enforced earlier, at a time
-     * unknown here, so anything older than that version may not begin requests
-     * any more. Without this, an entry that starts between two versions
+     * The version before it may be enforced by others already. As this process
+     * can't know, it enforces the version before at once, and the newest after
+     * its grace. Without this, an entry that starts between two versions
      * published 2 s apart uses the oldest weights 2 s longer than the others.
      */
     void add_found_at_startup(const std::string& model, std::uint64_t version,
@@ -49,7 +49,7 @@
             published_versions[model].push_back(
                 {version - 1, time_point{}, time_point::max()});
         add_published(model, version, published, grace);
-        publish_time_missing[model] = version;
+        found_at_startup[model] = version;
     }
 
     /*! @brief Corrects the publish time of a version to a later one; a version
@@ -87,8 +87,8 @@
     [[nodiscard]] bool publish_time_unknown(const std::string& model,
                                             std::uint64_t version) const
     {
-        const auto found = publish_time_missing.find(model);
-        return found != publish_time_missing.end() && found->second == version;
+        const auto found = found_at_startup.find(model);
+        return found != found_at_startup.end() && found->second == version;
     }
 
     /*! @brief Enforces a version found at startup that most upstreams serve: it
@@ -99,7 +99,7 @@
     {
         if (!publish_time_unknown(model, version))
             return;
-        publish_time_missing.erase(model);
+        found_at_startup.erase(model);
         for (auto& one : published_versions[model])
             if (one.version == version)
                 one.enforced_at = time_point{};
@@ -174,7 +174,7 @@
 
     std::map<std::string, std::vector<published_version>> published_versions;
     /*! @brief Versions found at startup, whose publish time is not known. */
-    std::map<std::string, std::uint64_t> publish_time_missing;
+    std::map<std::string, std::uint64_t> found_at_startup;
 };
 
 } // namespace coursejunction
--- a/tests/route/admission.cpp
+++ b/tests/route/admission.cpp
@@ -19,7 +19,7 @@
     return result;
 }
 
-/*! @brief Refuses every second request for one second. */
+/*! @brief Refuses every other request for one second. */
 void refuse_half(cj::admission& control, cj::time_point from)
 {
     for (int number = 0; number < 50; ++number)
@@ -53,8 +53,8 @@
             const auto limits = control.limits(engine(), 400ms, 150ms, start);
             CHECK(limits.first_event_ms == Approx(310));
         }
-        THEN(
-            "a request past its target needs a free slot but no predicted time")
+        THEN("a request that can no longer meet its target needs a free slot "
+             "only")
         {
             const auto limits = control.limits(engine(), 400ms, 900ms, start);
             CHECK(limits.first_event_ms > 1e9);
@@ -98,7 +98,7 @@
             tight.record_arrival(20ms, start);
             tight.record_refusal(start);
         }
-        THEN("it does not keep that slot empty")
+        THEN("the slot is used nevertheless")
         {
             CHECK(tight.limits(engine(), 400ms, 0ms, start)
                       .typical_first_event_ms >=
--- a/tests/route/dispatcher.cpp
+++ b/tests/route/dispatcher.cpp
@@ -36,7 +36,7 @@
     return pattern;
 }
 
-/*! @brief Admission that treats requests past their target like new ones. */
+/*! @brief Admission that treats late requests like new ones. */
 coursejunction::dispatch_options late_treated_as_new()
 {
     coursejunction::dispatch_options options;
@@ -79,7 +79,8 @@
         for (const auto& [entry, one] : result.entries)
             CHECK(one.in_time_fraction() > 0.5);
     }
-    WHEN("requests past their target are treated like new ones")
+    WHEN("requests that can no longer meet their target are treated like new "
+         "ones")
     {
         auto pattern = sustained_overload(seed);
         pattern.options = late_treated_as_new();
--- a/tests/route/fair_queue.cpp
+++ b/tests/route/fair_queue.cpp
@@ -42,7 +42,7 @@
             CHECK(small == 5);
         }
     }
-    GIVEN("organisations with different weights")
+    GIVEN("organisations are served in proportion to their weights")
     {
         queue.set_weight(cj::organisation_id("large"), 3);
         for (int at = 0; at < 40; ++at)
@@ -55,7 +55,7 @@
             large += take(queue) == "large" ? 1 : 0;
         CHECK(large == 30);
     }
-    GIVEN("priorities within one organisation")
+    GIVEN("higher priorities come first within one organisation")
     {
         REQUIRE(queue.offer(request(1, "a", 0), 0s, now).accepted);
         REQUIRE(queue.offer(request(2, "a", 5), 0s, now).accepted);
@@ -70,7 +70,7 @@
     // The service rate is ten requests a second.
     for (int at = 0; at < 64; ++at)
         queue.record_completion(now - 6400ms + at * 100ms);
-    GIVEN("a deadline before the end of the expected wait")
+    GIVEN("a request whose deadline is before the end of the expected wait")
     {
         for (std::uint64_t at = 0; at < 20; ++at)
             REQUIRE(queue.offer(request(at, "a"), 0s, now).accepted);
@@ -84,7 +84,7 @@
             CHECK(verdict.retry_after <= 2500ms);
         }
     }
-    GIVEN("a deadline that became too close while the request waited")
+    GIVEN("a waiting request is removed when its deadline is too close")
     {
         auto expiring = request(1, "a");
         expiring.deadline = now + 1s;
@@ -93,7 +93,7 @@
         CHECK(queue.remove_late(200ms, now + 900ms).size() == 1);
         CHECK(queue.empty());
     }
-    GIVEN("a full queue")
+    GIVEN("a full queue refuses requests")
     {
         cj::fair_queue small(1);
         REQUIRE(small.offer(request(1, "a"), 0s, now).accepted);
--- a/tests/route/limit_replay.hpp
+++ b/tests/route/limit_replay.hpp
@@ -51,7 +51,7 @@
 struct simulation_result
 {
     /*! @brief Most requests in any 4 s, from entries that knew the limit. */
-    std::size_t worst_window{0};
+    std::size_t max_in_window{0};
     std::size_t unaware_requests{0}; /*!< Requests of entries that did not. */
     /*! @brief Fraction of the limit used once entries knew it. */
     double used_fraction{0};
@@ -63,10 +63,10 @@
 /*! @brief Returns the requests that the service's rules allow in 4 s. */
 inline double allowed(double per_second)
 {
-    constexpr double window = 4;
+    constexpr double window_seconds = 4;
     constexpr double excess = 1.5;
     constexpr double extra = 5;
-    return excess * per_second * window + extra;
+    return excess * per_second * window_seconds + extra;
 }
 
 inline cj::time_point moment(double seconds)
@@ -219,12 +219,13 @@
     explicit simulator(simulation_options configured)
         : options(configured), random(configured.seed)
     {
-        for (std::size_t at = 0; at < options.entries; ++at)
+        for (std::size_t index = 0; index < options.entries; ++index)
         {
-            entries.push_back(
-                {Keeper(name(at), options.seed + static_cast<unsigned>(at))});
+            entries.push_back({Keeper(
+                name(index), options.seed + static_cast<unsigned>(index))});
             demands.push_back(
-                {cj::hall_id("hall-" + std::to_string(hall(at))), name(at), 1});
+                {cj::hall_id("hall-" + std::to_string(hall(index))),
+                 name(index), 1});
         }
         schedule_faults();
     }
@@ -233,13 +234,14 @@
     {
         std::poisson_distribution<int> arrivals(options.requests_per_second *
                                                 step_seconds);
-        for (std::size_t at = 0;
-             static_cast<double>(at) * step_seconds < options.duration; ++at)
+        for (std::size_t tick = 0;
+             static_cast<double>(tick) * step_seconds < options.duration;
+             ++tick)
         {
-            now = static_cast<double>(at) * step_seconds;
+            now = static_cast<double>(tick) * step_seconds;
             run_due_events();
             for (std::size_t one = 0; one < entries.size(); ++one)
-                step(one, at, arrivals(random));
+                step(one, tick, arrivals(random));
         }
         return evaluate();
     }
@@ -248,12 +250,16 @@
     static constexpr double step_seconds = 0.01;
     static constexpr std::size_t share_steps = 10;
     static constexpr std::size_t heartbeat_steps = 20;
-    static constexpr double response_time = 0.1;
-    static constexpr double latency = 0.003;
-    static constexpr double learning_time = 3;
-    static constexpr double notice_time = 0.5;
-    static constexpr double window = 4;
-    static constexpr double alive_time = 1;
+    static constexpr double response_seconds = 0.1;
+    static constexpr double latency_seconds = 0.003;
+    /*! @brief Time after a start or a fault in which the requests of an entry
+     * are not checked, as it may not know the limit. */
+    static constexpr double exempt_seconds = 3;
+    /*! @brief Time after which an entry must follow a limit that a response
+     * announced to it. */
+    static constexpr double awareness_seconds = 0.5;
+    static constexpr double window_seconds = 4;
+    static constexpr double heartbeat_timeout_seconds = 1;
     static constexpr double never = std::numeric_limits<double>::infinity();
 
     struct entry
@@ -266,7 +272,7 @@
         double starts_again{never};
         double suspended_from{never};
         double disconnected_from{never};
-        double exempt_until{-1}; /*!< May not know the limit. */
+        double exempt_until{-1}; /*!< Not checked until then. */
     };
 
     struct arrival
@@ -288,14 +294,14 @@
         }
     };
 
-    static std::string name(std::size_t at)
+    static std::string name(std::size_t index)
     {
-        return "10.0.0." + std::to_string(at);
+        return "10.0.0." + std::to_string(index);
     }
 
-    [[nodiscard]] std::size_t hall(std::size_t at) const
+    [[nodiscard]] std::size_t hall(std::size_t index) const
     {
-        return at % options.halls;
+        return index % options.halls;
     }
 
     /*! @brief Schedules faults one a second, between the announcement of the
@@ -303,8 +309,8 @@
     void schedule_faults()
     {
         std::vector<std::size_t> order(entries.size());
-        for (std::size_t at = 0; at < order.size(); ++at)
-            order[at] = at;
+        for (std::size_t index = 0; index < order.size(); ++index)
+            order[index] = index;
         std::shuffle(order.begin(), order.end(), random);
         std::size_t next = 0;
         double fault_at = options.announced_at + 4.3;
@@ -354,59 +360,61 @@
                now < one.disconnected_from + duration;
     }
 
-    void step(std::size_t at, std::size_t tick, int arrivals)
+    void step(std::size_t index, std::size_t tick, int arrivals)
     {
-        auto& one = entries[at];
+        auto& one = entries[index];
         if (!runs(one))
         {
-            one.exempt_until = now + learning_time;
+            one.exempt_until = now + exempt_seconds;
             return;
         }
         if (disconnected(one))
-            one.exempt_until = now + learning_time;
+            one.exempt_until = now + exempt_seconds;
         if (now >= one.starts_again && one.starts_again != never)
         {
-            one = entry{Keeper(name(at), options.seed)};
-            one.exempt_until = now + learning_time;
+            one = entry{Keeper(name(index), options.seed)};
+            one.exempt_until = now + exempt_seconds;
         }
-        if (tick % share_steps == at % share_steps && one.keeper.knows_limit())
-            assign_shares(at);
-        if (tick % heartbeat_steps == at % heartbeat_steps &&
+        if (tick % share_steps == index % share_steps &&
+            one.keeper.knows_limit())
+            assign_shares(index);
+        if (tick % heartbeat_steps == index % heartbeat_steps &&
             !disconnected(one))
-            send_heartbeat(at, (tick / heartbeat_steps) % 2 == 0);
+            send_heartbeat(index, (tick / heartbeat_steps) % 2 == 0);
         if (now >= one.stops)
             return;
         for (; arrivals > 0; --arrivals)
             if (one.keeper.may_send(moment(now)))
-                send(at);
+                send(index);
     }
 
-    void assign_shares(std::size_t at)
+    void assign_shares(std::size_t index)
     {
-        auto& one = entries[at];
+        auto& one = entries[index];
         std::vector<cj::entry_demand> alive;
         for (std::size_t other = 0; other < entries.size(); ++other)
         {
-            const bool self = other == at;
+            const bool self = other == index;
             const auto found = one.last_heartbeat.find(other);
             const bool known = found != one.last_heartbeat.end() &&
-                               now - found->second < alive_time;
+                               now - found->second < heartbeat_timeout_seconds;
             if (self ? now < one.stops : known)
                 alive.push_back(demands[other]);
         }
         one.keeper.assign_shares(alive, moment(now));
     }
 
-    void send_heartbeat(std::size_t from, bool far)
+    void send_heartbeat(std::size_t from, bool to_all_halls)
     {
         const auto reports = entries[from].keeper.pending_reports(moment(now));
         const bool leaving = now >= entries[from].stops;
         std::bernoulli_distribution lost(options.heartbeat_loss);
         for (std::size_t to = 0; to < entries.size(); ++to)
         {
-            if (to == from || (hall(to) != hall(from) && !far) || lost(random))
+            if (to == from || (hall(to) != hall(from) && !to_all_halls) ||
+                lost(random))
                 continue;
-            schedule(latency,
+            schedule(latency_seconds,
                      [this, from, to, reports, leaving]
                      {
                          auto& one = entries[to];
@@ -420,28 +428,29 @@
         }
     }
 
-    void send(std::size_t at)
+    void send(std::size_t index)
     {
-        auto& one = entries[at];
+        auto& one = entries[index];
         one.keeper.record_send(moment(now));
         const auto sent = now;
-        schedule(latency,
-                 [this, at, sent]
+        schedule(latency_seconds,
+                 [this, index, sent]
                  {
-                     const auto& from = entries[at];
-                     arrived.push_back({now, at,
-                                        from.limited_since + notice_time <= now,
-                                        now < from.exempt_until});
+                     const auto& from = entries[index];
+                     arrived.push_back(
+                         {now, index,
+                          from.limited_since + awareness_seconds <= now,
+                          now < from.exempt_until});
                      const bool limited =
                          now >= options.announced_at && now < options.ends_at;
-                     schedule(response_time, [this, at, sent, limited]
-                              { receive_response(at, sent, limited); });
+                     schedule(response_seconds, [this, index, sent, limited]
+                              { receive_response(index, sent, limited); });
                  });
     }
 
-    void receive_response(std::size_t at, double sent, bool limited)
+    void receive_response(std::size_t index, double sent, bool limited)
     {
-        auto& one = entries[at];
+        auto& one = entries[index];
         if (!runs(one))
             return;
         cj::received_notice notice{{}, moment(sent), true};
@@ -456,7 +465,7 @@
     [[nodiscard]] simulation_result evaluate() const
     {
         simulation_result result;
-        const auto from = options.announced_at + learning_time;
+        const auto from = options.announced_at + exempt_seconds;
         std::deque<double> in_window;
         double used = 0;
         double after = 0;
@@ -475,10 +484,10 @@
             if (!one.knew_limit || one.exempt)
                 continue;
             in_window.push_back(one.at);
-            while (in_window.front() <= one.at - window)
+            while (in_window.front() <= one.at - window_seconds)
                 in_window.pop_front();
-            result.worst_window =
-                std::max(result.worst_window, in_window.size());
+            result.max_in_window =
+                std::max(result.max_in_window, in_window.size());
         }
         result.used_fraction =
             used / ((options.ends_at - from) * options.per_second);
--- a/tests/route/load_replay.hpp
+++ b/tests/route/load_replay.hpp
@@ -56,7 +56,7 @@
         {"short", 62, cj::milliseconds(300), 607, 70}};
     cj::engine_profile engine{fast_engine_profile()};
     cj::dispatch_options options;
-    cj::placement_weights weights;
+    cj::placement_options weights;
     bool shares_rates{true}; /*!< Entries report their rates to each other. */
     bool deadlines{true};    /*!< Clients send a deadline. */
     /*! @brief Deadlines of new clients are 6 s, shorter by up to this fraction.
@@ -65,10 +65,12 @@
     /*! @brief Whether requests have fingerprints, and refusals are reported
      * within a hall. */
     bool fingerprints{true};
-    /*! @brief Whether refused clients retry at another entry. */
+    /*! @brief Whether refused clients retry at another entry of their hall. */
     bool retries_elsewhere{false};
-    double moved_fraction{0};     /*!< Of them that retry in another hall. */
-    double identical_fraction{0}; /*!< Of the requests that are equal. */
+    /*! @brief Fraction of those clients that retry in another hall instead. */
+    double moved_fraction{0};
+    /*! @brief Fraction of the requests that are equal to each other. */
+    double identical_fraction{0};
     std::uint64_t seed{1};
 };
 
@@ -106,7 +108,7 @@
 /*! @brief How well client retries were distinguished from new ones. */
 struct recognition
 {
-    double new_callers{0};
+    double new_clients{0};
     double new_mistaken{0}; /*!< New, but taken for a retry. */
     double retries{0};
     double retries_missed{0}; /*!< A retry, but taken for new. */
@@ -118,7 +120,7 @@
 
     [[nodiscard]] double mistaken_fraction() const
     {
-        return new_mistaken / std::max(new_callers, 1.0);
+        return new_mistaken / std::max(new_clients, 1.0);
     }
 };
 
@@ -346,7 +348,7 @@
     {
         auto& known = results.retry_recognition;
         const bool taken_for_retry = one.arrival.is_retry();
-        ++(one.retried ? known.retries : known.new_callers);
+        ++(one.retried ? known.retries : known.new_clients);
         if (one.retried && !taken_for_retry)
             ++known.retries_missed;
         if (!one.retried && taken_for_retry)
@@ -503,7 +505,7 @@
                number * apart % length;
     }
 
-    void report(std::size_t number, double now, bool far)
+    void report(std::size_t number, double now, bool to_all_halls)
     {
         cj::message::upstream_status status;
         status.model = "m";
@@ -514,7 +516,7 @@
         status.open = true;
         status.reachable = true;
         for (std::size_t to = 0; to < entries.size(); ++to)
-            if (far || hall_of(to) == hall_of(number))
+            if (to_all_halls || hall_of(to) == hall_of(number))
                 entries[to].registry.apply_status(host_of(number), status,
                                                   at(now));
     }
--- a/tests/route/placement.cpp
+++ b/tests/route/placement.cpp
@@ -109,7 +109,8 @@
             }
         }
     }
-    GIVEN("the near upstream closes to load other weights")
+    GIVEN("the near upstream closes to load other weights, so the far one is "
+          "chosen")
     {
         auto reported = status(2);
         reported.open = false;
@@ -118,7 +119,7 @@
             selector.choose(registry, service, default_request(), now, failure)
                 ->upstream.value() == "far");
     }
-    GIVEN("weights below the minimum version")
+    GIVEN("upstreams with weights below the minimum version are not chosen")
     {
         auto newer = default_request();
         newer.min_version = 2;
@@ -131,7 +132,7 @@
             selector.choose(registry, service, newer, now, failure)->version ==
             2);
     }
-    GIVEN("the near upstream is leaving")
+    GIVEN("the near upstream is leaving, so the far one is chosen")
     {
         auto leaving = record("near", "north", "10.0.0.1:80");
         leaving.leaving = true;
@@ -164,7 +165,8 @@
             CHECK(selector.choose(registry, service, repeated, now, failure));
         }
     }
-    GIVEN("an attempt at the near upstream failed without a response")
+    GIVEN("an attempt at the near upstream failed without a response, so the "
+          "far one is chosen")
     {
         registry.begin_attempt(cj::instance_id("near"), 1, 1000, now);
         registry.end_attempt(cj::instance_id("near"), 1,
@@ -210,17 +212,17 @@
     const auto later = now + 100ms;
 
     auto request = default_request();
-    SECTION("a first attempt") {}
-    SECTION("a stream to be resumed")
+    SECTION("not a first attempt") {}
+    SECTION("not a stream to be resumed")
     {
         request.bypasses_limits = true;
     }
-    SECTION("another attempt after an error of the same upstream")
+    SECTION("not another attempt after an error of the same upstream")
     {
         request.may_reuse_excluded = true;
         request.excluded = {near};
     }
-    SECTION("an upstream used only as a last resort")
+    SECTION("not a request that uses the upstream only as a last resort")
     {
         request.avoided = {near};
     }
@@ -235,13 +237,13 @@
     const cj::placer selector({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
     cj::placement_failure failure;
-    cj::received_notice rests;
+    cj::received_notice backoff;
     for (const std::string id : {"1", "2"})
     {
         registry.apply_record(record(id, "north", "10.0.0." + id + ":80"));
         registry.apply_status("10.0.0." + id, status(1), now);
-        rests.notice.retry_after = 1000ms * std::stoi(id);
-        registry.apply_notice(cj::instance_id(id), rests, now);
+        backoff.notice.retry_after = 1000ms * std::stoi(id);
+        registry.apply_notice(cj::instance_id(id), backoff, now);
     }
     CHECK_FALSE(
         selector.choose(registry, service, default_request(), now, failure));
@@ -257,9 +259,9 @@
     SECTION("one that loads weights may open at any time")
     {
         registry.apply_record(record("3", "north", "10.0.0.3:80"));
-        auto loads = status(1);
-        loads.open = false;
-        registry.apply_status("10.0.0.3", loads, now);
+        auto loading = status(1);
+        loading.open = false;
+        registry.apply_status("10.0.0.3", loading, now);
         CHECK_FALSE(selector.choose(registry, service, default_request(), now,
                                     failure));
         CHECK_FALSE(failure.next_send_at);
@@ -380,9 +382,9 @@
     std::vector<cj::upstream_registry> registries(entry_count);
     std::vector<cj::placer> placers;
     for (std::size_t at = 0; at < entry_count; ++at)
-        placers.emplace_back(cj::placement_weights{}, cj::hall_id("north"),
+        placers.emplace_back(cj::placement_options{}, cj::hall_id("north"),
                              "10.0.0." + std::to_string(100 + at));
-    const auto tell = [&](std::uint64_t sequence)
+    const auto report_status = [&](std::uint64_t sequence)
     {
         for (auto& registry : registries)
         {
@@ -416,12 +418,12 @@
 
     // Each entry sends 30 requests a second, in turn; status reports arrive
     // every 50 ms until one is late.
-    tell(1);
+    report_status(1);
     for (int step = 0; step < 480; ++step)
     {
         now += 2083us;
         if (step % 24 == 0)
-            tell(static_cast<std::uint64_t>(step) + 2);
+            report_status(static_cast<std::uint64_t>(step) + 2);
         send(static_cast<std::size_t>(step) % entry_count);
     }
     chosen = 0;
@@ -486,7 +488,7 @@
     const cj::placer selector({}, cj::hall_id("north"), "10.0.0.9");
     const auto service = llm();
     cj::placement_failure failure;
-    registry.apply_record(record("still", "north", "10.0.0.1:80"));
+    registry.apply_record(record("suspended", "north", "10.0.0.1:80"));
     registry.apply_record(record("far", "south", "10.0.0.2:80"));
     registry.apply_status("10.0.0.1", status(1), now);
     now += 2s;
@@ -501,18 +503,18 @@
     }
     WHEN("an attempt there fails")
     {
-        const cj::instance_id still("still");
-        registry.begin_attempt(still, 1, 1000, now);
-        registry.end_attempt(still, 1, cj::attempt_result::failed, now);
+        const cj::instance_id suspended("suspended");
+        registry.begin_attempt(suspended, 1, 1000, now);
+        registry.end_attempt(suspended, 1, cj::attempt_result::failed, now);
         THEN("it is avoided for a long time")
         {
-            CHECK(registry.find(still)->avoid_until >= now + 5s);
+            CHECK(registry.find(suspended)->avoid_until >= now + 5s);
         }
         THEN("that ends when its sidecar reports again")
         {
             now += 1s;
             registry.apply_status("10.0.0.1", status(2), now);
-            CHECK(registry.find(still)->avoid_until <= now + 1s);
+            CHECK(registry.find(suspended)->avoid_until <= now + 1s);
         }
     }
 }
--- a/tests/route/placement_queue.cpp
+++ b/tests/route/placement_queue.cpp
@@ -18,7 +18,8 @@
     queue.push(loose);
     queue.push(tight);
 
-    THEN("the earliest target goes first, requests past their target go last")
+    THEN("the earliest target goes first, requests that can no longer meet "
+         "theirs go last")
     {
         CHECK(queue.request_numbers() == std::vector<std::uint64_t>{3, 2, 1});
     }
--- a/tests/route/recent_refusals.cpp
+++ b/tests/route/recent_refusals.cpp
@@ -35,7 +35,7 @@
         {
             CHECK(refusals.match_retry(refusal.fingerprint, refusal.deadline,
                                        retry_at) == now);
-            AND_THEN("it matches only once")
+            AND_THEN("the refusal matches only once")
             {
                 CHECK_FALSE(refusals.match_retry(refusal.fingerprint,
                                                  refusal.deadline, retry_at));
@@ -54,12 +54,12 @@
             CHECK_FALSE(refusals.match_retry(refusal.fingerprint, std::nullopt,
                                              retry_at));
         }
-        THEN("no retry is expected before the requested time")
+        THEN("a request before the requested time does not match")
         {
             CHECK_FALSE(refusals.match_retry(refusal.fingerprint,
                                              refusal.deadline, now + 170ms));
         }
-        THEN("except immediately after the refusal")
+        THEN("a request immediately after the refusal matches")
         {
             CHECK(refusals.match_retry(refusal.fingerprint, refusal.deadline,
                                        now + 30ms) == now);
--- a/tests/route/request_limit.cpp
+++ b/tests/route/request_limit.cpp
@@ -61,7 +61,7 @@
             cj::share_of_limit(cj::instance_id("u"), cj::hall_id("a"),
                                per_second, "", entries_of(count));
         CHECK_FALSE(absent.holds_share());
-        CHECK(absent.standby_rank == cj::limit_share::not_standby);
+        CHECK(absent.standby_rank == cj::limit_share::may_not_send);
     }
 }
 
@@ -132,7 +132,7 @@
         const auto result =
             limit_replay::simulator<limit_replay::assigned_holders>(options)
                 .run();
-        CHECK(static_cast<double>(result.worst_window) <=
+        CHECK(static_cast<double>(result.max_in_window) <=
               limit_replay::allowed(options.per_second));
         return result;
     };
@@ -177,10 +177,10 @@
     {
         WARN(way << ", " << options.entries << " entries, limit "
                  << options.per_second << ", seed " << options.seed
-                 << ": worst 4 s " << result.worst_window << " (allowed "
-                 << limit_replay::allowed(options.per_second) << "), room used "
-                 << result.used_fraction << ", unknowing "
-                 << result.unaware_requests << ", back after "
+                 << ": worst 4 s " << result.max_in_window << " (allowed "
+                 << limit_replay::allowed(options.per_second)
+                 << "), limit used " << result.used_fraction << ", unaware "
+                 << result.unaware_requests << ", recovered after "
                  << result.recovery_seconds << " s");
     };
     limit_replay::simulation_options options;
@@ -196,8 +196,8 @@
     }
     const std::string suffix = with_faults ? ", faults" : "";
     print(
-        "holders" + suffix, options,
+        "assigned holders" + suffix, options,
         limit_replay::simulator<limit_replay::assigned_holders>(options).run());
-    print("equal parts" + suffix, options,
+    print("equal shares" + suffix, options,
           limit_replay::simulator<limit_replay::equal_shares>(options).run());
 }
--- a/tests/route/retry_detector.cpp
+++ b/tests/route/retry_detector.cpp
@@ -127,8 +127,8 @@
 
 // Guards against taking the longest deadline seen on a route for that of every
 // new client. Where clients begin with 5,100 to 6,000 ms, three of four new
-// ones then counted as retries after up to 900 ms and were refused, while
-// requests past their target were served instead.
+// ones would count as retries that have waited up to 900 ms and be refused,
+// while requests that can no longer meet their target would be served instead.
 SCENARIO("client retries are recognised under overload", "[route]")
 {
     constexpr double min_recognised = 0.9;
--- a/tests/route/upstream_registry.cpp
+++ b/tests/route/upstream_registry.cpp
@@ -105,7 +105,7 @@
         registry.end_attempt(id, 2, cj::attempt_result::failed, start + 560ms);
         REQUIRE(known.avoid_until > start + 560ms);
         registry.apply_record(record(2000));
-        THEN("the new incarnation is neither")
+        THEN("the new incarnation is neither leaving nor avoided")
         {
             CHECK_FALSE(known.record.leaving);
             CHECK(known.avoid_until <= start + 560ms);
--- a/tests/route/upstream_table.cpp
+++ b/tests/route/upstream_table.cpp
@@ -49,17 +49,17 @@
     const auto choose = [&]
     { return table.choose(policy, request, north, east, now); };
 
-    GIVEN("one with more load")
+    GIVEN("the less loaded one is chosen")
     {
         table[a].reported_requests = 6;
         CHECK(choose() == b);
     }
-    GIVEN("requests sent since the last report")
+    GIVEN("requests sent since the last report count")
     {
         table[a].own_requests = 5;
         CHECK(choose() == b);
     }
-    GIVEN("one in another region")
+    GIVEN("one of the own region is chosen unless it is much fuller")
     {
         table[a].region = cj::region_id("west");
         table[b].reported_requests = 2;
@@ -67,7 +67,7 @@
         table[b].reported_requests = 8;
         CHECK(choose() == a);
     }
-    GIVEN("one that has cached the prompt's prefix")
+    GIVEN("one that has cached the prompt's prefix is chosen")
     {
         request.prefixes = {2, 1};
         table[a].cached = {1, 2};
@@ -79,7 +79,7 @@
             CHECK(choose() == b);
         }
     }
-    GIVEN("one that may not be used")
+    GIVEN("one that may not be used is not chosen")
     {
         SECTION("leaving")
         {
@@ -116,7 +116,7 @@
         }
         CHECK(choose() == b);
     }
-    GIVEN("consecutive failures")
+    GIVEN("consecutive failures double the time for which it is avoided")
     {
         for (int at = 0; at < 3; ++at)
             table.record_failure(a, now);
@@ -138,7 +138,7 @@
         const auto second = table.choose(policy, request, north, east, now);
         CHECK(first != second);
     }
-    SECTION("least loaded")
+    SECTION("least loaded chooses the one with the fewest requests per slot")
     {
         cj::least_loaded_policy policy;
         table[cj::instance_id("s0")].reported_requests = 3;
--- a/tests/route/upstream_terms.cpp
+++ b/tests/route/upstream_terms.cpp
@@ -20,7 +20,7 @@
 {
     cj::received_notice result;
     result.notice.requests_per_second = per_second;
-    result.sent_at = sent;
+    result.request_sent_at = sent;
     result.succeeded = true;
     return result;
 }
@@ -50,7 +50,7 @@
                 terms.apply_notice(without_limit(moment(0.9)), moment(1.1)));
             CHECK(terms.limit());
         }
-        SECTION("neither does a failure or an unreadable announcement")
+        SECTION("a failure or an unreadable announcement does not end it")
         {
             CHECK_FALSE(terms.apply_notice(without_limit(moment(2), false),
                                            moment(2.1)));
@@ -114,7 +114,7 @@
     auto leaving = without_limit(moment(0));
     leaving.notice.leaving = true;
 
-    GIVEN("its own response announces it")
+    GIVEN("its own response announces that it leaves")
     {
         CHECK(terms.apply_notice(leaving, moment(1)));
         CHECK(terms.leaving());
@@ -123,7 +123,7 @@
         CHECK(terms.leaving());
         CHECK(terms.pending_report(moment(1.5))->leaving);
     }
-    GIVEN("another entry reports it")
+    GIVEN("another entry reports that it leaves")
     {
         CHECK(terms.apply_report({true, std::nullopt, moment(1)}, "x",
                                  moment(1.1)));
--- a/tests/route/version_floor.cpp
+++ b/tests/route/version_floor.cpp
@@ -57,7 +57,7 @@
     WHEN("that is learnt after it is enforced")
     {
         floor.postpone("m", 3, start + 6s, 8000ms, start + 12s);
-        THEN("it remains enforced")
+        THEN("the version remains enforced")
         {
             CHECK(floor.minimum("m", start + 12s) == 3);
         }
@@ -73,9 +73,9 @@
 }
 
 // Guards against counting the time of a version found at startup from then on.
-// When all processes restarted together while nearly all upstreams served
-// version 3, they sent requests for 6 s to an upstream left on version 2, which
-// began 26 s after version 3 was published.
+// Otherwise, if all processes restart together while nearly all upstreams serve
+// version 3, they send requests for 6 s to an upstream left on version 2, up to
+// 26 s after version 3 was published.
 SCENARIO("a version found at startup that most upstreams serve is enforced",
          "[route]")
 {
