--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -409,7 +409,7 @@
         placement.bypasses_limits = request.response_begun;
         placement.excluded = request.tried_upstreams;
         placement.avoided = upstreams_of_suspects(request, now);
-        placement.may_retry_excluded = request.upstream_errored;
+        placement.may_reuse_excluded = request.upstream_errored;
         if (!request.decoded.model.empty())
             placement.min_version =
                 minimums.minimum(request.decoded.model, now);
--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -45,7 +45,7 @@
      * before its end (`forced_stop_margin`) are cut. */
     milliseconds stop_grace{8000};
     exchange_options exchange;
-    placement_weights placement;
+    placement_options placement;
 };
 
 /*! @brief Serves callers: connects the store's state and the peers' heartbeats
--- a/src/coursejunction/route/placement.hpp
+++ b/src/coursejunction/route/placement.hpp
@@ -1,6 +1,7 @@
 /*! @file
- * @brief Decides which upstream a request goes to, or that none takes it now;
- * pure. "Why did this request go there" and "why was it refused" end here.
+ * @brief Selects the upstream that a request is sent to, or reports why there
+ * is none; pure. To find out why a request went to an upstream, or why it was
+ * refused, start here.
  */
 #ifndef COURSEJUNCTION_ROUTE_PLACEMENT_HPP
 #define COURSEJUNCTION_ROUTE_PLACEMENT_HPP
@@ -22,187 +23,201 @@
 namespace coursejunction
 {
 
-/*! @brief Weights of the choice, in ms of a first event. */
-struct placement_weights
+/*! @brief Parameters of the choice: costs in ms that are added to the predicted
+ * time to the first event, and limits. */
+struct placement_options
 {
-    /*! @brief What another hall costs: its delay there and back, and bytes
-     * between regions, which the installations price highest. */
+    /*! @brief Cost of an upstream in another hall: the round trip to it, and
+     * the traffic between regions, which the platform prices highest. */
     double other_hall_ms{60};
-    /*! @brief Entries prefer different upstreams by up to this much, so that
-     * those that learn of a free one at once do not all choose it. */
+    /*! @brief Range of the fixed cost that differs by entry and upstream, so
+     * that entries that learn of a free upstream at the same time do not all
+     * choose it. */
     double spread_ms{60};
-    /*! @brief Upstreams whose predictions differ by this much are e times as
-     * likely to be chosen by other entries; about half of `spread_ms`. */
+    /*! @brief Scale of the softmax by which other entries are expected to
+     * choose: an upstream predicted this much faster is chosen e times as
+     * often. About half of `spread_ms`. */
     double softmax_scale_ms{40};
-    /*! @brief What a share of failed attempts costs. */
+    /*! @brief Cost of an upstream all of whose attempts failed recently; less
+     * in proportion. */
     double failure_ms{600};
-    /*! @brief What it costs that an upstream's side is silent: its instance may
-     * stand still, and a request that waits there is lost. Half a target. */
+    /*! @brief Cost of an upstream whose sidecar is silent: its instance may be
+     * suspended, and a request that waits there is lost. Half of a 400 ms
+     * target. */
     double silent_ms{200};
-    /*! @brief What an engine costs that is no part of this entry's share: where
-     * an entry has sent most of what is inside, it knows best what is. */
+    /*! @brief Cost of an engine outside this entry's share. An entry knows the
+     * load of an engine best if it sent most of the requests there. */
     double unowned_ms{150};
-    /*! @brief Requests a plain upstream may have waiting beyond its slots. */
+    /*! @brief Largest number of requests that may wait at a plain upstream (one
+     * without an engine model) beyond its slots. */
     double max_plain_queue{4};
 };
 
-/*! @brief How a request stands to its target when it arrives. */
+/*! @brief What is known of a request when it arrives. */
 struct arrival_state
 {
-    caller_history history;
-    bool late{false}; /*!< It can't be in time any more. */
+    client_history history;
+    bool late{false}; /*!< It can no longer meet its target. */
 
-    /*! @brief Tells whether its caller tried before. */
+    /*! @brief Returns whether it is a client retry. */
     [[nodiscard]] bool is_retry() const
     {
         return history.known_by != retry_evidence::none;
     }
 };
 
-/*! @brief What is to be placed. */
+/*! @brief A request to place, with its constraints. */
 struct placement_request
 {
     service_name service;
-    std::string model;            /*!< Empty for plain requests. */
-    std::uint64_t min_version{0}; /*!< Older weights may not be used. */
+    std::string model;            /*!< Empty for services without a model. */
+    std::uint64_t min_version{0}; /*!< Lowest version of the weights allowed. */
     double prompt_tokens{0};
     milliseconds target{0};
     arrival_state arrival;
     time_point waiting_since{}; /*!< Arrival, or the end of the last attempt. */
-    time_point deadline{};      /*!< Its deadline. */
+    time_point deadline{};      /*!< Deadline of the client. */
     admission_limits limits;
-    bool bypasses_limits{
-        false}; /*!< A stream that goes on: late is better than never. */
+    /*! @brief Ignores `limits`, but not the terms of an upstream; set to resume
+     * a stream. */
+    bool bypasses_limits{false};
     std::vector<instance_id> excluded;
-    std::vector<instance_id> avoided; /*!< Used only where no other one fits. */
-    /*! @brief The last attempt was answered with the upstream's own failure:
-     * where nothing else is usable, an excluded one may take it again. */
-    bool may_retry_excluded{false};
+    std::vector<instance_id> avoided; /*!< Used only as a last resort. */
+    /*! @brief The last attempt ended with an error response of the upstream: if
+     * nothing else is usable, an excluded upstream may be used again. */
+    bool may_reuse_excluded{false};
 };
 
-/*! @brief Chooses among the upstreams of a book. */
+/*! @brief Selects among the upstreams of a registry. */
 class placer
 {
 public:
-    placer(placement_weights set, hall_id home, std::string self)
-        : weights(set), hall(std::move(home)), own(std::move(self))
+    placer(placement_options configured, hall_id home_hall, std::string self)
+        : weights(configured), own_hall(std::move(home_hall)),
+          own_address(std::move(self))
     {
     }
 
-    /*! @brief Returns a place, or nothing with the reason in `why`. */
+    /*! @brief Returns the best upstream, or nothing with the reason in
+     * `failure`. */
     [[nodiscard]] std::optional<upstream_choice>
-    choose(const upstream_registry& book, const service_profile& service,
+    choose(const upstream_registry& registry, const service_profile& service,
            const placement_request& request, time_point now,
-           placement_failure& why) const
+           placement_failure& failure) const
     {
         if (!request.avoided.empty())
         {
-            auto others = request;
-            others.avoided.clear();
-            others.may_retry_excluded = false;
-            others.excluded.insert(others.excluded.end(),
-                                   request.avoided.begin(),
-                                   request.avoided.end());
-            if (auto found = choose(book, service, others, now, why))
+            auto preferred = request;
+            preferred.avoided.clear();
+            preferred.may_reuse_excluded = false;
+            preferred.excluded.insert(preferred.excluded.end(),
+                                      request.avoided.begin(),
+                                      request.avoided.end());
+            if (auto found = choose(registry, service, preferred, now, failure))
                 return found;
         }
         std::optional<upstream_choice> best;
         double least_cost = 0;
-        why = {};
-        auto all = candidates(book, service, request, now);
-        if (all.empty() && request.may_retry_excluded)
+        failure = {};
+        auto all = candidates(registry, service, request, now);
+        if (all.empty() && request.may_reuse_excluded)
         {
-            auto same = request;
-            same.excluded.clear();
-            all = candidates(book, service, same, now);
+            auto relaxed = request;
+            relaxed.excluded.clear();
+            all = candidates(registry, service, relaxed, now);
         }
         if (all.empty())
-            why.next_send_at = all_closed_until(book, request, now);
-        const auto rates = others_rates(book, service, all, now);
-        for (std::size_t at = 0; at < all.size(); ++at)
+            failure.next_send_at = earliest_send_at(registry, request, now);
+        const auto rates = other_entries_rates(registry, service, all, now);
+        for (std::size_t index = 0; index < all.size(); ++index)
         {
-            const auto& one = *all[at].upstream;
-            // Nobody else is expected to send here: the first prediction holds.
-            const bool again = service.engine && rates[at] > 0;
-            const auto load =
-                again ? book.load(one, *service.engine, now, rates[at])
-                      : all[at].load;
-            const auto predicted =
-                again ? predict(book, one, *service.engine, load, request)
-                      : all[at].predicted_ms;
-            why.least_ms =
-                why.usable == 0 ? predicted : std::min(why.least_ms, predicted);
-            ++why.usable;
-            if (!fits(one, service, request, load, predicted))
+            const auto& upstream = *all[index].upstream;
+            // Without requests expected from other entries the first prediction
+            // is valid.
+            const bool recompute = service.engine && rates[index] > 0;
+            const auto load = recompute
+                                  ? registry.load(upstream, *service.engine,
+                                                  now, rates[index])
+                                  : all[index].load;
+            const auto predicted = recompute
+                                       ? predict(registry, upstream,
+                                                 *service.engine, load, request)
+                                       : all[index].predicted_ms;
+            failure.least_ms = failure.usable == 0
+                                   ? predicted
+                                   : std::min(failure.least_ms, predicted);
+            ++failure.usable;
+            if (!fits(upstream, service, request, load, predicted))
                 continue;
-            const auto cost = predicted + penalty(one, now);
+            const auto cost = predicted + penalty(upstream, now);
             if (best && cost >= least_cost)
                 continue;
             least_cost = cost;
-            best = upstream_choice{one.record.id,
-                                   one.record.hall,
-                                   one.record.address,
+            best = upstream_choice{upstream.record.id,
+                                   upstream.record.hall,
+                                   upstream.record.address,
                                    predicted,
-                                   predicted / correction(book, one),
+                                   predicted / correction(registry, upstream),
                                    request.model.empty()
                                        ? 0
                                        : upstream_registry::served_version(
-                                             one, request.model, now),
+                                             upstream, request.model, now),
                                    load};
         }
         return best;
     }
 
 private:
-    /*! @brief Returns when the first upstream takes a request again, where the
-     * terms of all keep this entry from sending; otherwise one of them may
-     * become usable at any time. */
+    /*! @brief Returns when the first upstream accepts a request again if all of
+     * them limit or pause this entry; nothing if another one may become usable
+     * at any time. */
     [[nodiscard]] static std::optional<time_point>
-    all_closed_until(const upstream_registry& book,
+    earliest_send_at(const upstream_registry& registry,
                      const placement_request& request, time_point now)
     {
         std::optional<time_point> soonest;
-        for (const auto& [id, one] : book.all())
+        for (const auto& [id, upstream] : registry.all())
         {
-            if (one.record.service != request.service || one.leaving() ||
-                excluded(one, request))
+            if (upstream.record.service != request.service ||
+                upstream.leaving() || excluded(upstream, request))
                 continue;
-            const auto opens = one.terms.next_send_at();
-            if (opens <= now)
+            const auto send_at = upstream.terms.next_send_at();
+            if (send_at <= now)
                 return std::nullopt;
-            soonest = std::min(soonest.value_or(opens), opens);
+            soonest = std::min(soonest.value_or(send_at), send_at);
         }
         return soonest;
     }
 
-    [[nodiscard]] static bool excluded(const known_upstream& one,
+    [[nodiscard]] static bool excluded(const known_upstream& upstream,
                                        const placement_request& request)
     {
         return std::find(request.excluded.begin(), request.excluded.end(),
-                         one.record.id) != request.excluded.end();
+                         upstream.record.id) != request.excluded.end();
     }
 
-    [[nodiscard]] static bool usable(const known_upstream& one,
+    [[nodiscard]] static bool usable(const known_upstream& upstream,
                                      const placement_request& request,
                                      time_point now)
     {
-        if (one.record.service != request.service || one.leaving() ||
-            now < one.avoid_until || now < one.terms.next_send_at())
+        if (upstream.record.service != request.service || upstream.leaving() ||
+            now < upstream.avoid_until || now < upstream.terms.next_send_at())
             return false;
-        if (excluded(one, request))
+        if (excluded(upstream, request))
             return false;
         if (request.model.empty())
             return true;
-        const bool told = one.status && now - one.status_at <=
-                                            upstream_registry::status_validity;
-        if (told && (!one.status->open || !one.status->reachable))
+        const bool fresh =
+            upstream.status &&
+            now - upstream.status_at <= upstream_registry::status_validity;
+        if (fresh && (!upstream.status->open || !upstream.status->reachable))
             return false;
         const auto version =
-            upstream_registry::served_version(one, request.model, now);
+            upstream_registry::served_version(upstream, request.model, now);
         return version > 0 && version >= request.min_version;
     }
 
-    /*! @brief An upstream that may be used, as its last status tells. */
+    /*! @brief A usable upstream with its load and prediction. */
     struct candidate
     {
         const known_upstream* upstream{nullptr};
@@ -211,34 +226,36 @@
     };
 
     [[nodiscard]] static std::vector<candidate>
-    candidates(const upstream_registry& book, const service_profile& service,
-               const placement_request& request, time_point now)
+    candidates(const upstream_registry& registry,
+               const service_profile& service, const placement_request& request,
+               time_point now)
     {
         std::vector<candidate> all;
-        for (const auto& [id, one] : book.all())
+        for (const auto& [id, upstream] : registry.all())
         {
-            if (!usable(one, request, now))
+            if (!usable(upstream, request, now))
                 continue;
-            const auto load = service.engine
-                                  ? book.load(one, *service.engine, now)
-                                  : engine_load{};
-            const auto predicted =
-                service.engine
-                    ? predict(book, one, *service.engine, load, request)
-                    : plain_ms(one, request);
-            all.push_back({&one, load, predicted});
+            const auto load =
+                service.engine ? registry.load(upstream, *service.engine, now)
+                               : engine_load{};
+            const auto predicted = service.engine
+                                       ? predict(registry, upstream,
+                                                 *service.engine, load, request)
+                                       : plain_ms(upstream, request);
+            all.push_back({&upstream, load, predicted});
         }
         return all;
     }
 
     /*! @brief Returns the requests a second that other entries are expected to
-     * send to each candidate beyond an equal share: they prefer, as this one
-     * does, what is predicted soonest. Without this, all entries choose an
-     * upstream that has just opened before any of them hears of the others'
-     * requests. */
+     * send to each candidate beyond an equal share of theirs. Like this entry
+     * they prefer the fastest prediction. Without this estimate all entries
+     * choose an upstream that has just opened before its load report shows the
+     * requests of the others. */
     [[nodiscard]] std::vector<double>
-    others_rates(const upstream_registry& book, const service_profile& service,
-                 const std::vector<candidate>& all, time_point now) const
+    other_entries_rates(const upstream_registry& registry,
+                        const service_profile& service,
+                        const std::vector<candidate>& all, time_point now) const
     {
         std::vector<double> rates(all.size(), 0.0);
         if (!service.engine || all.empty())
@@ -249,52 +266,55 @@
                              { return a.predicted_ms < b.predicted_ms; })
                 ->predicted_ms;
         double sum = 0;
-        for (std::size_t at = 0; at < all.size(); ++at)
+        for (std::size_t index = 0; index < all.size(); ++index)
         {
-            // Others keep away from what this entry holds a share of.
-            if (all[at].upstream->terms.limit())
+            // Where this entry holds a share of a rate limit the others do not
+            // send.
+            if (all[index].upstream->terms.limit())
                 continue;
-            rates[at] = std::exp((soonest - all[at].predicted_ms) /
-                                 weights.softmax_scale_ms);
-            sum += rates[at];
+            rates[index] = std::exp((soonest - all[index].predicted_ms) /
+                                    weights.softmax_scale_ms);
+            sum += rates[index];
         }
-        const auto total = book.other_entries_rate(now);
+        const auto total = registry.other_entries_rate(now);
         const auto equal = total / static_cast<double>(all.size());
-        for (auto& one : rates)
-            one = sum > 0 ? std::max(0.0, one / sum * total - equal) : 0.0;
+        for (auto& rate : rates)
+            rate = sum > 0 ? std::max(0.0, rate / sum * total - equal) : 0.0;
         return rates;
     }
 
-    /*! @brief Returns how many times later first events come here lately. */
-    [[nodiscard]] static double correction(const upstream_registry& book,
-                                           const known_upstream& one)
+    /*! @brief Returns by which factor first events were later than predicted
+     * recently. */
+    [[nodiscard]] static double correction(const upstream_registry& registry,
+                                           const known_upstream& upstream)
     {
-        return std::max(one.lateness, book.lateness());
+        return std::max(upstream.lateness, registry.lateness());
     }
 
-    [[nodiscard]] static double predict(const upstream_registry& book,
-                                        const known_upstream& one,
+    [[nodiscard]] static double predict(const upstream_registry& registry,
+                                        const known_upstream& upstream,
                                         const engine_profile& engine,
                                         const engine_load& load,
                                         const placement_request& request)
     {
         return first_event_ms(engine, load, request.prompt_tokens) *
-               correction(book, one);
+               correction(registry, upstream);
     }
 
-    /*! @brief Returns the ms of a plain upstream: what waits beyond its slots,
-     * in units of a request that takes a quarter of its target. */
-    [[nodiscard]] static double plain_ms(const known_upstream& one,
+    /*! @brief Returns the estimate in ms for an upstream without an engine
+     * model: a request takes a quarter of its target if there are no others,
+     * and longer in proportion to the requests per slot. */
+    [[nodiscard]] static double plain_ms(const known_upstream& upstream,
                                          const placement_request& request)
     {
-        const auto inside = static_cast<double>(one.attempts.size());
-        const auto slots =
-            static_cast<double>(std::max<std::size_t>(one.record.slots, 1));
-        const auto usual = static_cast<double>(request.target.count()) / 4;
-        return usual * (1 + inside / slots);
+        const auto in_flight = static_cast<double>(upstream.attempts.size());
+        const auto slots = static_cast<double>(
+            std::max<std::size_t>(upstream.record.slots, 1));
+        const auto typical_ms = static_cast<double>(request.target.count()) / 4;
+        return typical_ms * (1 + in_flight / slots);
     }
 
-    [[nodiscard]] bool fits(const known_upstream& one,
+    [[nodiscard]] bool fits(const known_upstream& upstream,
                             const service_profile& service,
                             const placement_request& request,
                             const engine_load& load, double predicted) const
@@ -304,53 +324,55 @@
         if (service.engine)
         {
             const auto& limits = request.limits;
-            const auto usual =
+            const auto typical_ms =
                 predicted - prefill_ms(*service.engine, request.prompt_tokens) +
                 prefill_ms(*service.engine,
                            service.engine->typical_prompt_tokens);
             return predicted <= limits.first_event_ms &&
-                   usual <= limits.typical_first_event_ms &&
+                   typical_ms <= limits.typical_first_event_ms &&
                    load.running + load.waiting <= limits.max_in_flight &&
-                   (!limits.own_share_only || within_share(one, service) ||
+                   (!limits.own_share_only || within_share(upstream, service) ||
                     load.running + load.waiting + 1 <=
                         static_cast<double>(service.engine->slots) *
                             limits.unowned_fraction);
         }
-        return static_cast<double>(one.attempts.size()) <
-               static_cast<double>(one.record.slots) + weights.max_plain_queue;
+        return static_cast<double>(upstream.attempts.size()) <
+               static_cast<double>(upstream.record.slots) +
+                   weights.max_plain_queue;
     }
 
-    /*! @brief Tells whether this entry has a place of its own left there; one
-     * that two entries share in part is given to both. */
-    [[nodiscard]] static bool within_share(const known_upstream& one,
+    /*! @brief Returns whether a slot of this entry's share of the engine is
+     * free. A slot that two entries share in part counts for both. */
+    [[nodiscard]] static bool within_share(const known_upstream& upstream,
                                            const service_profile& service)
     {
-        return one.share > 0 &&
-               static_cast<double>(one.attempts.size()) <=
-                   static_cast<double>(service.engine->slots) * one.share;
+        return upstream.share > 0 &&
+               static_cast<double>(upstream.attempts.size()) <=
+                   static_cast<double>(service.engine->slots) * upstream.share;
     }
 
-    [[nodiscard]] double penalty(const known_upstream& one,
+    [[nodiscard]] double penalty(const known_upstream& upstream,
                                  time_point now) const
     {
         constexpr double range = 1024;
-        const auto rank =
-            static_cast<double>(rendezvous_weight(own, one.record.id.value()) %
-                                static_cast<std::uint64_t>(range)) /
+        const auto position =
+            static_cast<double>(
+                rendezvous_weight(own_address, upstream.record.id.value()) %
+                static_cast<std::uint64_t>(range)) /
             range;
-        auto cost = rank * weights.spread_ms +
-                    (1 - one.share) * weights.unowned_ms +
-                    one.fault_share * weights.failure_ms;
-        if (one.record.hall != hall)
+        auto cost = position * weights.spread_ms +
+                    (1 - upstream.share) * weights.unowned_ms +
+                    upstream.fault_share * weights.failure_ms;
+        if (upstream.record.hall != own_hall)
             cost += weights.other_hall_ms;
-        if (upstream_registry::side_silent(one, now))
+        if (upstream_registry::side_silent(upstream, now))
             cost += weights.silent_ms;
         return cost;
     }
 
-    placement_weights weights;
-    hall_id hall;
-    std::string own;
+    placement_options weights;
+    hall_id own_hall;
+    std::string own_address;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/route/upstream_table.hpp
+++ b/src/coursejunction/route/upstream_table.hpp
@@ -1,5 +1,7 @@
 /*! @file
- * @brief What an entry believes of the upstreams, and how it chooses one.
+ * @brief What an entry knows of the upstreams that report to it over
+ * connections, and policies that choose one by a score. `upstream_registry.hpp`
+ * is for upstreams that the store lists.
  */
 #ifndef COURSEJUNCTION_ROUTE_UPSTREAM_TABLE_HPP
 #define COURSEJUNCTION_ROUTE_UPSTREAM_TABLE_HPP
@@ -20,7 +22,7 @@
 namespace coursejunction
 {
 
-/*! @brief One upstream as last reported, and what was sent since. */
+/*! @brief An upstream as last reported, and what was sent to it since. */
 struct upstream_state
 {
     instance_id id;
@@ -30,18 +32,18 @@
     std::string kind;
     std::string weights;
     std::size_t slots{0};
-    std::size_t reported_requests{0}; /*!< Requests running there, lagging. */
-    std::size_t own_requests{0};      /*!< Requests of this entry there now. */
-    std::size_t own_at_report{0};
-    double service_s{0}; /*!< Smoothed time of one request; 0 when unknown. */
+    std::size_t reported_requests{0}; /*!< Running there as last reported. */
+    std::size_t own_requests{0};      /*!< Of this entry, running there now. */
+    std::size_t own_at_report{0};     /*!< `own_requests` at the last report. */
+    double service_s{0}; /*!< Smoothed duration of a request; 0 if unknown. */
     bool open{false};
     bool leaving{false};
     time_point reported_at{};
     time_point avoid_until{};
     unsigned failures{0};
-    std::unordered_set<std::uint64_t> cached;
+    std::unordered_set<std::uint64_t> cached; /*!< Hashes of prefixes. */
 
-    /*! @brief Returns the requests believed to run there now. */
+    /*! @brief Returns the estimated number of requests that run there now. */
     [[nodiscard]] std::size_t load() const
     {
         const auto others = reported_requests > own_at_report
@@ -51,34 +53,36 @@
     }
 };
 
-/*! @brief What is to be routed. */
+/*! @brief A request to route. */
 struct route_request
 {
     std::string model;
     std::string kind;
-    std::string weights;  /*!< Needed weights; empty for any. */
-    std::string affinity; /*!< Key that should meet the same upstream. */
-    std::vector<std::uint64_t> prefixes; /*!< Hashes, the longest first. */
+    std::string weights;  /*!< Required weights; empty for any. */
+    std::string affinity; /*!< Requests with the same key should go to the same
+                             upstream. */
+    std::vector<std::uint64_t>
+        prefixes; /*!< Hashes of prompt prefixes, longest first. */
     std::vector<instance_id> excluded;
 };
 
-/*! @brief Chooses among candidates that can take the request now. */
+/*! @brief A policy chooses among the upstreams that can accept the request now.
+ */
 template <typename Policy>
-concept Route_policy = requires(Policy policy,
-                                const std::vector<const upstream_state*>& from,
-                                const route_request& request,
-                                const hall_id& hall, const region_id& region)
+concept Route_policy = requires(
+    Policy policy, const std::vector<const upstream_state*>& candidates,
+    const route_request& request, const hall_id& hall, const region_id& region)
 {
     {
-        policy.choose(from, request, hall, region)
+        policy.choose(candidates, request, hall, region)
         } -> std::same_as<const upstream_state*>;
 };
 
-/*! @brief Expected wait, distance and cached prefix in one score.
+/*! @brief Combines load, distance and cached prompt prefix in one score.
  *
- * A cached prefix saves prefill, a fuller upstream decodes slower and a
- * farther one adds its latency; all three are portions of a request, so a
- * wrong or late belief costs time only. */
+ * A cached prefix saves prefill, a fuller upstream decodes more slowly and a
+ * more distant one adds latency. All are expressed as fractions of a request's
+ * duration. Outdated state can only make a request slower. */
 class scored_policy
 {
 public:
@@ -88,109 +92,114 @@
     static constexpr double region_cost = 0.3;
 
     [[nodiscard]] const upstream_state*
-    choose(const std::vector<const upstream_state*>& from,
+    choose(const std::vector<const upstream_state*>& candidates,
            const route_request& request, const hall_id& hall,
            const region_id& region) const
     {
         const upstream_state* best = nullptr;
-        double least = 0;
-        for (const auto* one : from)
+        double lowest = 0;
+        for (const auto* state : candidates)
         {
-            const auto cost = score(*one, request, hall, region);
-            if (best != nullptr && cost >= least)
+            const auto cost = score(*state, request, hall, region);
+            if (best != nullptr && cost >= lowest)
                 continue;
-            best = one;
-            least = cost;
+            best = state;
+            lowest = cost;
         }
         return best;
     }
 
 private:
-    static double score(const upstream_state& one, const route_request& request,
-                        const hall_id& hall, const region_id& region)
+    static double score(const upstream_state& state,
+                        const route_request& request, const hall_id& hall,
+                        const region_id& region)
     {
-        double cost = static_cast<double>(one.load()) /
-                      static_cast<double>(std::max<std::size_t>(one.slots, 1));
-        if (one.region != region)
+        double cost =
+            static_cast<double>(state.load()) /
+            static_cast<double>(std::max<std::size_t>(state.slots, 1));
+        if (state.region != region)
             cost += region_cost;
-        else if (one.hall != hall)
+        else if (state.hall != hall)
             cost += hall_cost;
-        cost -= cached_gain * cached_portion(one, request);
+        cost -= cached_gain * cached_portion(state, request);
         if (!request.affinity.empty())
             cost -= affinity_gain *
                     static_cast<double>(
-                        rendezvous_weight(request.affinity, one.id.value()) >>
+                        rendezvous_weight(request.affinity, state.id.value()) >>
                         11U) /
                     static_cast<double>(std::uint64_t{1} << 53U);
         return cost;
     }
 
-    static double cached_portion(const upstream_state& one,
+    static double cached_portion(const upstream_state& state,
                                  const route_request& request)
     {
         const auto count = request.prefixes.size();
-        for (std::size_t at = 0; at < count; ++at)
+        for (std::size_t index = 0; index < count; ++index)
         {
-            if (one.cached.contains(request.prefixes[at]))
-                return static_cast<double>(count - at) /
+            if (state.cached.contains(request.prefixes[index]))
+                return static_cast<double>(count - index) /
                        static_cast<double>(count);
         }
         return 0;
     }
 };
 
-/*! @brief One after another; a baseline. */
+/*! @brief Round robin; a baseline. */
 class round_robin_policy
 {
 public:
     [[nodiscard]] const upstream_state*
-    choose(const std::vector<const upstream_state*>& from, const route_request&,
-           const hall_id&, const region_id&)
+    choose(const std::vector<const upstream_state*>& candidates,
+           const route_request&, const hall_id&, const region_id&)
     {
-        return from.empty() ? nullptr : from[turn++ % from.size()];
+        return candidates.empty() ? nullptr
+                                  : candidates[turn++ % candidates.size()];
     }
 
 private:
     std::size_t turn{0};
 };
 
-/*! @brief The least filled; a baseline. */
+/*! @brief Chooses the upstream with the smallest fraction of its slots in use;
+ * a baseline. */
 class least_loaded_policy
 {
 public:
     [[nodiscard]] const upstream_state*
-    choose(const std::vector<const upstream_state*>& from, const route_request&,
-           const hall_id&, const region_id&) const
+    choose(const std::vector<const upstream_state*>& candidates,
+           const route_request&, const hall_id&, const region_id&) const
     {
-        const auto fill = [](const upstream_state* one)
+        const auto used_fraction = [](const upstream_state* state)
         {
-            return static_cast<double>(one->load()) /
-                   static_cast<double>(std::max<std::size_t>(one->slots, 1));
+            return static_cast<double>(state->load()) /
+                   static_cast<double>(std::max<std::size_t>(state->slots, 1));
         };
-        const auto least =
-            std::min_element(from.begin(), from.end(),
-                             [&](const auto* left, const auto* right)
-                             { return fill(left) < fill(right); });
-        return least == from.end() ? nullptr : *least;
+        const auto lowest = std::min_element(
+            candidates.begin(), candidates.end(),
+            [&](const auto* left, const auto* right)
+            { return used_fraction(left) < used_fraction(right); });
+        return lowest == candidates.end() ? nullptr : *lowest;
     }
 };
 
-/*! @brief Upstreams by the instance of their side. */
+/*! @brief The upstreams by the instance of their sidecar. */
 class upstream_table
 {
 public:
     using value_type = upstream_state;
     using size_type = std::size_t;
 
-    /*! @brief Reports older than this say nothing of openness. */
+    /*! @brief Age above which a report no longer shows that an upstream is
+     * open. */
     static constexpr milliseconds report_validity{5000};
 
-    /*! @brief Returns the state of an upstream, made when absent. */
+    /*! @brief Returns the state of an upstream, adding it if absent. */
     upstream_state& operator[](const instance_id& id)
     {
-        auto& one = states[id];
-        one.id = id;
-        return one;
+        auto& state = states[id];
+        state.id = id;
+        return state;
     }
 
     [[nodiscard]] upstream_state* find(const instance_id& id)
@@ -211,7 +220,7 @@
         return states;
     }
 
-    /*! @brief Chooses an upstream that serves the model and has room.
+    /*! @brief Chooses an upstream that serves the model and has a free slot.
      * @return The upstream, or nothing. */
     template <Route_policy Policy>
     [[nodiscard]] std::optional<instance_id>
@@ -219,13 +228,13 @@
            const region_id& region, time_point now) const
     {
         std::vector<const upstream_state*> candidates;
-        for (const auto& [id, one] : states)
+        for (const auto& [id, state] : states)
         {
-            if (serves(one, request, now) && now >= one.avoid_until &&
-                one.load() < one.slots &&
+            if (serves(state, request, now) && now >= state.avoid_until &&
+                state.load() < state.slots &&
                 std::find(request.excluded.begin(), request.excluded.end(),
                           id) == request.excluded.end())
-                candidates.push_back(&one);
+                candidates.push_back(&state);
         }
         const auto* best = policy.choose(candidates, request, hall, region);
         if (best == nullptr)
@@ -233,14 +242,14 @@
         return best->id;
     }
 
-    /*! @brief Tells whether anybody serves the model, with room or not, even
-     * if it is avoided for a short while. */
+    /*! @brief Returns whether any upstream serves the model, even if it is full
+     * or avoided for the moment. */
     [[nodiscard]] bool is_served(const route_request& request,
                                  time_point now) const
     {
         return std::any_of(states.begin(), states.end(),
-                           [&](const auto& one)
-                           { return serves(one.second, request, now); });
+                           [&](const auto& item)
+                           { return serves(item.second, request, now); });
     }
 
     /*! @brief Returns the slots of all upstreams that serve the model. */
@@ -248,50 +257,51 @@
                                      time_point now) const
     {
         size_type total = 0;
-        for (const auto& [id, one] : states)
-            total += serves(one, request, now) ? one.slots : 0;
+        for (const auto& [id, state] : states)
+            total += serves(state, request, now) ? state.slots : 0;
         return total;
     }
 
-    /*! @brief An attempt failed: the upstream is avoided for a time that
-     * doubles with each failure in a row. */
+    /*! @brief Records a failed attempt: the upstream is avoided for a time that
+     * doubles with each consecutive failure. */
     void record_failure(const instance_id& id, time_point now)
     {
-        auto* one = find(id);
-        if (one == nullptr)
+        auto* state = find(id);
+        if (state == nullptr)
             return;
-        constexpr unsigned most_doublings = 5;
-        one->avoid_until =
-            now + avoid_least * (1 << std::min(one->failures, most_doublings));
-        ++one->failures;
+        constexpr unsigned max_doublings = 5;
+        state->avoid_until =
+            now +
+            min_avoid_time * (1 << std::min(state->failures, max_doublings));
+        ++state->failures;
     }
 
-    /*! @brief An attempt succeeded.
+    /*! @brief Records a successful attempt.
      * @param took How long the request ran. */
     void record_success(const instance_id& id, std::chrono::microseconds took)
     {
-        auto* one = find(id);
-        if (one == nullptr)
+        auto* state = find(id);
+        if (state == nullptr)
             return;
         constexpr double smoothing = 0.1;
         const auto seconds = to_seconds(took);
-        one->failures = 0;
-        one->service_s =
-            one->service_s == 0
+        state->failures = 0;
+        state->service_s =
+            state->service_s == 0
                 ? seconds
-                : one->service_s + (seconds - one->service_s) * smoothing;
+                : state->service_s + (seconds - state->service_s) * smoothing;
     }
 
 private:
-    static constexpr milliseconds avoid_least{250};
+    static constexpr milliseconds min_avoid_time{250};
 
-    static bool serves(const upstream_state& one, const route_request& request,
-                       time_point now)
+    static bool serves(const upstream_state& state,
+                       const route_request& request, time_point now)
     {
-        return one.open && !one.leaving && one.model == request.model &&
-               one.kind == request.kind &&
-               (request.weights.empty() || one.weights == request.weights) &&
-               now - one.reported_at <= report_validity;
+        return state.open && !state.leaving && state.model == request.model &&
+               state.kind == request.kind &&
+               (request.weights.empty() || state.weights == request.weights) &&
+               now - state.reported_at <= report_validity;
     }
 
     std::map<instance_id, upstream_state> states;
--- a/tests/route/fair_queue.cpp
+++ b/tests/route/fair_queue.cpp
@@ -24,17 +24,17 @@
 
 } // namespace
 
-SCENARIO("organisations share fairly", "[route]")
+SCENARIO("fair shares between organisations", "[route]")
 {
     cj::fair_queue queue(1000);
     std::uint64_t number = 0;
-    GIVEN("a large organisation that floods and a small one")
+    GIVEN("an organisation that floods the queue and a small one")
     {
         for (int at = 0; at < 50; ++at)
             REQUIRE(queue.offer(request(++number, "large"), 0s, now).accepted);
         for (int at = 0; at < 5; ++at)
             REQUIRE(queue.offer(request(++number, "small"), 0s, now).accepted);
-        THEN("the small one gets every other turn")
+        THEN("the small one is served every other time")
         {
             int small = 0;
             for (int at = 0; at < 10; ++at)
@@ -42,7 +42,7 @@
             CHECK(small == 5);
         }
     }
-    GIVEN("weights")
+    GIVEN("organisations are served in proportion to their weights")
     {
         queue.set_weight(cj::organisation_id("large"), 3);
         for (int at = 0; at < 40; ++at)
@@ -55,7 +55,7 @@
             large += take(queue) == "large" ? 1 : 0;
         CHECK(large == 30);
     }
-    GIVEN("priorities within one organisation")
+    GIVEN("higher priorities come first within one organisation")
     {
         REQUIRE(queue.offer(request(1, "a", 0), 0s, now).accepted);
         REQUIRE(queue.offer(request(2, "a", 5), 0s, now).accepted);
@@ -63,36 +63,37 @@
     }
 }
 
-SCENARIO("requests that cannot be served in time are refused", "[route]")
+SCENARIO("requests that can't be served before their deadline are refused",
+         "[route]")
 {
     cj::fair_queue queue(1000);
-    // Ten requests a second end.
+    // The service rate is ten requests a second.
     for (int at = 0; at < 64; ++at)
         queue.record_completion(now - 6400ms + at * 100ms);
-    GIVEN("a deadline before the expected wait is over")
+    GIVEN("a request whose deadline is before the end of the expected wait")
     {
         for (std::uint64_t at = 0; at < 20; ++at)
             REQUIRE(queue.offer(request(at, "a"), 0s, now).accepted);
         auto late = request(99, "a");
         late.deadline = now + 1s;
         const auto verdict = queue.offer(late, 0s, now);
-        THEN("it is refused at once, with the time to come back")
+        THEN("the request is refused at once, with a Retry-After")
         {
             CHECK_FALSE(verdict.accepted);
             CHECK(verdict.retry_after >= 1500ms);
             CHECK(verdict.retry_after <= 2500ms);
         }
     }
-    GIVEN("one whose deadline came too near while it waited")
+    GIVEN("a waiting request is removed when its deadline is too close")
     {
-        auto one = request(1, "a");
-        one.deadline = now + 1s;
-        REQUIRE(queue.offer(one, 200ms, now).accepted);
+        auto expiring = request(1, "a");
+        expiring.deadline = now + 1s;
+        REQUIRE(queue.offer(expiring, 200ms, now).accepted);
         CHECK(queue.remove_late(200ms, now + 700ms).empty());
         CHECK(queue.remove_late(200ms, now + 900ms).size() == 1);
         CHECK(queue.empty());
     }
-    GIVEN("a full queue")
+    GIVEN("a full queue refuses requests")
     {
         cj::fair_queue small(1);
         REQUIRE(small.offer(request(1, "a"), 0s, now).accepted);
@@ -100,7 +101,7 @@
     }
 }
 
-SCENARIO("organisations' names from outside take bounded memory", "[route]")
+SCENARIO("memory for organisation names sent by clients is bounded", "[route]")
 {
     cj::fair_queue queue(100);
     for (std::uint64_t at = 0; at < 20'000; ++at)
@@ -114,9 +115,9 @@
     CHECK(queue.organisation_count() <= 1100);
 }
 
-TEST_CASE("no request is lost or doubled in the queue", "[route]")
+TEST_CASE("the queue neither loses nor duplicates requests", "[route]")
 {
-    rc::prop("whoever comes and goes",
+    rc::prop("any sequence of offers and removals",
              [](const std::vector<std::uint8_t>& steps)
              {
                  cj::fair_queue queue(50);
--- a/tests/route/upstream_table.cpp
+++ b/tests/route/upstream_table.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-SCENARIO("a request goes where it is served best", "[route]")
+SCENARIO("the scored policy chooses the best upstream", "[route]")
 {
     auto table = table_of(2);
     const cj::instance_id a("s0");
@@ -49,17 +49,17 @@
     const auto choose = [&]
     { return table.choose(policy, request, north, east, now); };
 
-    GIVEN("one that is fuller")
+    GIVEN("the less loaded one is chosen")
     {
         table[a].reported_requests = 6;
         CHECK(choose() == b);
     }
-    GIVEN("reports that lag behind what was sent from here")
+    GIVEN("requests sent since the last report count")
     {
         table[a].own_requests = 5;
         CHECK(choose() == b);
     }
-    GIVEN("one in another region")
+    GIVEN("one of the own region is chosen unless it is much fuller")
     {
         table[a].region = cj::region_id("west");
         table[b].reported_requests = 2;
@@ -67,19 +67,19 @@
         table[b].reported_requests = 8;
         CHECK(choose() == a);
     }
-    GIVEN("one that has the prompt's prefix cached")
+    GIVEN("one that has cached the prompt's prefix is chosen")
     {
         request.prefixes = {2, 1};
         table[a].cached = {1, 2};
         table[a].reported_requests = 2;
         CHECK(choose() == a);
-        THEN("it is left when it is much fuller")
+        THEN("a much higher load outweighs the cached prefix")
         {
             table[a].reported_requests = 9;
             CHECK(choose() == b);
         }
     }
-    GIVEN("one that may not be used")
+    GIVEN("one that may not be used is not chosen")
     {
         SECTION("leaving")
         {
@@ -93,7 +93,7 @@
         {
             table[a].reported_requests = 10;
         }
-        SECTION("not heard of")
+        SECTION("no recent report")
         {
             table[a].reported_at = now - 6s;
         }
@@ -116,7 +116,7 @@
         }
         CHECK(choose() == b);
     }
-    GIVEN("a failure in a row of failures")
+    GIVEN("consecutive failures double the time for which it is avoided")
     {
         for (int at = 0; at < 3; ++at)
             table.record_failure(a, now);
@@ -127,7 +127,7 @@
     }
 }
 
-SCENARIO("the baselines", "[route]")
+SCENARIO("the baseline policies", "[route]")
 {
     auto table = table_of(3);
     const auto request = wanting();
@@ -138,7 +138,7 @@
         const auto second = table.choose(policy, request, north, east, now);
         CHECK(first != second);
     }
-    SECTION("least loaded")
+    SECTION("least loaded chooses the one with the fewest requests per slot")
     {
         cj::least_loaded_policy policy;
         table[cj::instance_id("s0")].reported_requests = 3;
