--- a/src/coursejunction/daemon/chunk_uploader.cpp
+++ b/src/coursejunction/daemon/chunk_uploader.cpp
@@ -27,13 +27,13 @@
     return true;
 }
 
-void chunk_uploader::urge(upload one)
+void chunk_uploader::enqueue_first(upload one)
 {
     queue.urge(std::move(one));
     send_due();
 }
 
-void chunk_uploader::release(const digest& manifest, chunk_index chunk)
+void chunk_uploader::serve_waiters(const digest& manifest, chunk_index chunk)
 {
     if (queue.release(manifest, chunk))
         send_due();
--- a/src/coursejunction/daemon/chunk_uploader.hpp
+++ b/src/coursejunction/daemon/chunk_uploader.hpp
@@ -41,29 +41,29 @@
     [[nodiscard]] bool offer(upload one);
 
     /*! @brief Queues a chunk before all others. */
-    void urge(upload one);
+    void enqueue_first(upload one);
 
     /*! @brief Notes that a peer waits for a chunk that is not held yet. */
-    void wait(upload one) { queue.wait(std::move(one)); }
+    void add_waiter(upload one) { queue.wait(std::move(one)); }
 
     /*! @brief Sends a chunk, now held, to those who wait for it. */
-    void release(const digest& manifest, chunk_index chunk);
+    void serve_waiters(const digest& manifest, chunk_index chunk);
 
     /*! @brief Forgets who waits for chunks of a version. */
-    void give_up(const digest& manifest) { queue.give_up(manifest); }
+    void drop_waiters(const digest& manifest) { queue.give_up(manifest); }
 
     /*! @brief Forgets a peer that is gone. */
-    void drop(const instance_id& peer) { queue.drop(peer); }
+    void remove_peer(const instance_id& peer) { queue.drop(peer); }
 
     /*! @brief Sets the portion of the uplink that may be used. */
-    void limit_to(double portion) { link.limit_to(portion); }
+    void set_link_fraction(double portion) { link.limit_to(portion); }
 
-    [[nodiscard]] double portion() const { return link.fraction(); }
+    [[nodiscard]] double link_fraction() const { return link.fraction(); }
     [[nodiscard]] std::size_t size() const { return queue.size(); }
     [[nodiscard]] bool empty() const { return queue.empty(); }
 
     /*! @brief Returns the bytes sent. */
-    [[nodiscard]] std::uint64_t bytes() const noexcept { return sent; }
+    [[nodiscard]] std::uint64_t sent_bytes() const noexcept { return sent; }
 
 private:
     void send_due();
--- a/src/coursejunction/daemon/entry_request.cpp
+++ b/src/coursejunction/daemon/entry_request.cpp
@@ -121,7 +121,7 @@
     const auto allowed = internal::read_deadline(from, otherwise);
     if (!allowed)
         return failure(allowed.error().kind, allowed.error().message);
-    read.allowed = allowed.value();
+    read.timeout = allowed.value();
     read.body = std::move(from.body);
     const auto rest = from.path.rfind(internal::services_path, 0) == 0
                           ? internal::read_service(read, from.path)
--- a/src/coursejunction/daemon/entry_request.hpp
+++ b/src/coursejunction/daemon/entry_request.hpp
@@ -26,7 +26,7 @@
     std::int32_t priority{0};
     bool not_repeatable{false};
     bool streamed{false};
-    milliseconds allowed{0}; /*!< Until the deadline. */
+    milliseconds timeout{0}; /*!< Until the deadline. */
 };
 
 /*! @brief Reads a request; its body is moved out.
--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -63,7 +63,7 @@
     if (!wanted)
         return;
     origin.stop();
-    uploads.give_up(wanted->version);
+    uploads.drop_waiters(wanted->version);
     wanted.reset();
     downlink.drop();
     hand_over.stop();
@@ -184,7 +184,7 @@
     auto parsed = manifest::parse(text, wanted->version);
     if (!parsed)
     {
-        ++counts.corrupt;
+        ++counts.corrupt_chunks;
         wanted->reason = parsed.error().message;
         return;
     }
@@ -313,20 +313,20 @@
     const auto end = fetching.chunks->add(chunk, std::move(bytes));
     if (end == staging::addition::corrupt)
     {
-        ++counts.corrupt;
+        ++counts.corrupt_chunks;
         host.counters().count("chunks_corrupt_total");
         with_planner([&](auto& planner) { planner.corrupt(chunk, from); });
         return ask_chunks();
     }
     if (end == staging::addition::already_held)
     {
-        ++counts.duplicate;
+        ++counts.duplicate_chunks;
         return;
     }
     with_planner([&](auto& planner) { planner.held(chunk, now()); });
     announcer.added(chunk);
     hand_over.offer(chunk);
-    uploads.release(fetching.version, chunk);
+    uploads.serve_waiters(fetching.version, chunk);
     hand_over.move_on();
     ask_chunks();
     if (fetching.chunks->complete())
@@ -380,8 +380,8 @@
     made.reason = wanted->reason;
     if (wanted->chunks)
     {
-        made.done = wanted->chunks->bytes();
-        made.total = wanted->chunks->of().total_bytes();
+        made.bytes_done = wanted->chunks->bytes();
+        made.bytes_total = wanted->chunks->of().total_bytes();
     }
     return made;
 }
--- a/src/coursejunction/daemon/quarantine_api.cpp
+++ b/src/coursejunction/daemon/quarantine_api.cpp
@@ -51,9 +51,9 @@
 
 } // namespace
 
-void serve_quarantine(const http_request& from, http_reply& reply,
-                      const crash_ledger& ledger, const lift_callback& lift,
-                      time_point now)
+void handle_quarantine_request(const http_request& from, http_reply& reply,
+                               const crash_ledger& ledger,
+                               const lift_callback& lift, time_point now)
 {
     const std::string_view root(quarantine_path);
     if (from.path == root && from.method == "GET")
--- a/src/coursejunction/daemon/quarantine_api.hpp
+++ b/src/coursejunction/daemon/quarantine_api.hpp
@@ -24,9 +24,9 @@
  * `DELETE` of an item by lifting it: 200, 404 where there is none, 400 for what
  * is no content.
  */
-void serve_quarantine(const http_request& from, http_reply& reply,
-                      const crash_ledger& ledger, const lift_callback& lift,
-                      time_point now);
+void handle_quarantine_request(const http_request& from, http_reply& reply,
+                               const crash_ledger& ledger,
+                               const lift_callback& lift, time_point now);
 
 } // namespace coursejunction
 
--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -76,7 +76,7 @@
         one->content = request_content::of(one->organisation.value(), one->path,
                                            one->body);
         one->arrived = now();
-        one->deadline = one->arrived + one->allowed;
+        one->deadline = one->arrived + one->timeout;
         if (host.is_leaving() && host.leaving_for() > leave_accept)
             return give_up(one, 503, "this entry is leaving",
                            milliseconds(100));
--- a/src/coursejunction/daemon/resource_api.cpp
+++ b/src/coursejunction/daemon/resource_api.cpp
@@ -210,7 +210,7 @@
         if (parts[0] == "writes" && parts.size() == 2)
             return find_write(write_id(parts[1]), reply);
         if (parts[0] == "quarantine")
-            return serve_quarantine(
+            return handle_quarantine_request(
                 from, *reply, host.crashes().records(),
                 [this](const request_content& what)
                 { return host.crashes().lift(what, node::now()); },
--- a/src/coursejunction/daemon/run_daemon.cpp
+++ b/src/coursejunction/daemon/run_daemon.cpp
@@ -30,7 +30,7 @@
     if (!made)
     {
         std::cerr << "coursejunctiond: " << made.error().message << "\n";
-        return code(daemon_exit::failed);
+        return code(daemon_exit::ports_unavailable);
     }
     if (kind == role::entry)
     {
@@ -76,7 +76,7 @@
         if (parsed.count("settings") == 0)
         {
             std::cerr << "coursejunctiond: no settings file given\n";
-            return internal::code(daemon_exit::settings);
+            return internal::code(daemon_exit::invalid_settings);
         }
         auto settings =
             node_settings::load(parsed["settings"].as<std::string>());
@@ -84,7 +84,7 @@
         {
             std::cerr << "coursejunctiond: " << settings.error().message
                       << "\n";
-            return internal::code(daemon_exit::settings);
+            return internal::code(daemon_exit::invalid_settings);
         }
         if (parsed.count("check") > 0)
             return internal::code(daemon_exit::stopped);
@@ -94,7 +94,7 @@
     catch (const cxxopts::exceptions::exception& caught)
     {
         std::cerr << "coursejunctiond: " << caught.what() << "\n";
-        return internal::code(daemon_exit::settings);
+        return internal::code(daemon_exit::invalid_settings);
     }
 }
 
--- a/src/coursejunction/daemon/run_daemon.hpp
+++ b/src/coursejunction/daemon/run_daemon.hpp
@@ -16,9 +16,9 @@
 /*! @brief Exit codes of the daemon. */
 enum class daemon_exit : int
 {
-    stopped = 0, /*!< A planned stop, or `--check` found no fault. */
-    failed = 1,  /*!< The ports could not be opened. */
-    settings = 2 /*!< The command line or the settings are wrong. */
+    stopped = 0,           /*!< A planned stop, or `--check` found no fault. */
+    ports_unavailable = 1, /*!< The ports could not be opened. */
+    invalid_settings = 2   /*!< The command line or the settings are wrong. */
 };
 
 /*! @brief Reads the command line and settings, then runs until stopped.
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -351,8 +351,8 @@
             return now_state;
         }
         describe_replica(now_state);
-        now_state.bytes_done = progress.done;
-        now_state.bytes_total = progress.total;
+        now_state.bytes_done = progress.bytes_done;
+        now_state.bytes_total = progress.bytes_total;
         now_state.reason = copy.failure_reason().empty()
                                ? progress.reason
                                : copy.failure_reason();
--- a/src/coursejunction/daemon/state_dump.cpp
+++ b/src/coursejunction/daemon/state_dump.cpp
@@ -129,9 +129,10 @@
 
 } // namespace internal
 
-std::string entry_dump(const store_mirror& mirror, const peer_directory& peers,
-                       const upstream_registry& book, const entry_load& load,
-                       time_point now)
+std::string entry_state_json(const store_mirror& mirror,
+                             const peer_directory& peers,
+                             const upstream_registry& book,
+                             const entry_load& load, time_point now)
 {
     auto upstreams = internal::json::array();
     for (const auto& [id, one] : book.all())
@@ -147,8 +148,9 @@
     return made.dump(internal::indent) + "\n";
 }
 
-std::string side_dump(const store_mirror& mirror, const peer_directory& peers,
-                      const agent_state& agent, time_point now)
+std::string side_state_json(const store_mirror& mirror,
+                            const peer_directory& peers,
+                            const agent_state& agent, time_point now)
 {
     internal::json made{{"role", "side"},
                         {"mirror_revision", mirror.position().revision},
--- a/src/coursejunction/daemon/state_dump.hpp
+++ b/src/coursejunction/daemon/state_dump.hpp
@@ -25,16 +25,18 @@
 
 /*! @brief Returns what an entry believes of its peers and of every upstream.
  * Ages are in ms. */
-[[nodiscard]] std::string entry_dump(const store_mirror& mirror,
-                                     const peer_directory& peers,
-                                     const upstream_registry& book,
-                                     const entry_load& load, time_point now);
+[[nodiscard]] std::string entry_state_json(const store_mirror& mirror,
+                                           const peer_directory& peers,
+                                           const upstream_registry& book,
+                                           const entry_load& load,
+                                           time_point now);
 
 /*! @brief Returns what a side believes of its peers and of its upstream, and
  * how far each version is. */
-[[nodiscard]] std::string side_dump(const store_mirror& mirror,
-                                    const peer_directory& peers,
-                                    const agent_state& agent, time_point now);
+[[nodiscard]] std::string side_state_json(const store_mirror& mirror,
+                                          const peer_directory& peers,
+                                          const agent_state& agent,
+                                          time_point now);
 
 } // namespace coursejunction
 
--- a/src/coursejunction/daemon/status_page.cpp
+++ b/src/coursejunction/daemon/status_server.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/status_page.hpp"
+#include "coursejunction/daemon/status_server.hpp"
 
 #include <utility>
 
@@ -7,11 +7,11 @@
 namespace coursejunction
 {
 
-result<std::unique_ptr<status_page>>
-status_page::create(event_loop& loop, metrics& counters,
-                    const std::string& address, std::uint16_t port)
+result<std::unique_ptr<status_server>>
+status_server::create(event_loop& loop, metrics& counters,
+                      const std::string& address, std::uint16_t port)
 {
-    auto made = std::make_unique<status_page>();
+    auto made = std::make_unique<status_server>();
     if (port == 0)
         return made;
     auto server = http_server::create(
@@ -41,13 +41,13 @@
     return made;
 }
 
-void status_page::quarantine(
+void status_server::set_quarantine_handler(
     std::function<void(const http_request&, http_reply&)> call)
 {
     state->quarantine = std::move(call);
 }
 
-void status_page::describe(std::function<std::string()> dump)
+void status_server::set_dump_handler(std::function<std::string()> dump)
 {
     state->dump = std::move(dump);
 }
--- a/src/coursejunction/daemon/status_page.hpp
+++ b/src/coursejunction/daemon/status_server.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Serves a process's metrics and its state to whoever asks.
  */
-#ifndef COURSEJUNCTION_DAEMON_STATUS_PAGE_HPP
-#define COURSEJUNCTION_DAEMON_STATUS_PAGE_HPP
+#ifndef COURSEJUNCTION_DAEMON_STATUS_SERVER_HPP
+#define COURSEJUNCTION_DAEMON_STATUS_SERVER_HPP
 
 #include <cstdint>
 #include <functional>
@@ -19,22 +19,23 @@
 
 /*! @brief `GET /metrics`, `GET /dump` and, of an entry, the list of quarantined
  * requests on a port of its own. */
-class status_page
+class status_server
 {
 public:
     /*! @brief Listens.
      * @param port 0 serves nothing.
      * @return The page, or `unavailable`. */
-    [[nodiscard]] static result<std::unique_ptr<status_page>>
+    [[nodiscard]] static result<std::unique_ptr<status_server>>
     create(event_loop& loop, metrics& counters, const std::string& address,
            std::uint16_t port);
 
     /*! @brief Sets what `/dump` answers; called on the loop's thread. */
-    void describe(std::function<std::string()> dump);
+    void set_dump_handler(std::function<std::string()> dump);
 
     /*! @brief Sets what answers below `/v1/quarantine`; called on the loop's
      * thread. Whoever reaches the port may lift a quarantine. */
-    void quarantine(std::function<void(const http_request&, http_reply&)> call);
+    void set_quarantine_handler(
+        std::function<void(const http_request&, http_reply&)> call);
 
 private:
     struct described
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -65,11 +65,11 @@
         fetching.asked(from, ask.manifest);
         const bool here = found->contains(ask.chunk);
         if (!here && ask.wait && wanted)
-            return uploads.wait({from, ask.manifest, ask.chunk});
+            return uploads.add_waiter({from, ask.manifest, ask.chunk});
         if (!here)
             return refuse(from, ask, message::chunk_status::absent);
         if (ask.wait)
-            return uploads.urge({from, ask.manifest, ask.chunk});
+            return uploads.enqueue_first({from, ask.manifest, ask.chunk});
         if (!uploads.offer({from, ask.manifest, ask.chunk}))
             refuse(from, ask, message::chunk_status::busy);
     }
@@ -102,7 +102,7 @@
     {
         if (!fetching.active())
             return;
-        uploads.limit_to(governor.portion());
+        uploads.set_link_fraction(governor.portion());
         fetching.tick();
     }
 
@@ -155,7 +155,7 @@
 
 void transfer_service::peer_lost(const instance_id& peer)
 {
-    self->uploads.drop(peer);
+    self->uploads.remove_peer(peer);
     self->fetching.peer_lost(peer);
 }
 
@@ -200,15 +200,15 @@
                           {"listeners", announced.listener_count()},
                           {"neighbours", announced.neighbour_count()},
                           {"upload_queue", self->uploads.size()},
-                          {"link_portion", self->uploads.portion()},
+                          {"link_portion", self->uploads.link_fraction()},
                           {"origin_bytes", counts.origin_bytes},
                           {"weight_store_bytes", counts.weight_store_bytes},
                           {"peer_bytes", counts.peer_bytes},
                           {"cross_hall_bytes", counts.cross_hall_bytes},
                           {"cross_region_bytes", counts.cross_region_bytes},
-                          {"sent_bytes", self->uploads.bytes()},
-                          {"corrupt", counts.corrupt},
-                          {"duplicate", counts.duplicate}}
+                          {"sent_bytes", self->uploads.sent_bytes()},
+                          {"corrupt", counts.corrupt_chunks},
+                          {"duplicate", counts.duplicate_chunks}}
         .dump();
 }
 
--- a/src/coursejunction/daemon/transfer_service.hpp
+++ b/src/coursejunction/daemon/transfer_service.hpp
@@ -31,15 +31,15 @@
     std::uint64_t peer_bytes{0};
     std::uint64_t cross_hall_bytes{0};
     std::uint64_t cross_region_bytes{0};
-    std::uint64_t corrupt{0};
-    std::uint64_t duplicate{0};
+    std::uint64_t corrupt_chunks{0};
+    std::uint64_t duplicate_chunks{0};
 };
 
 /*! @brief Progress of the wanted version. */
 struct transfer_progress
 {
-    std::uint64_t done{0};
-    std::uint64_t total{0};
+    std::uint64_t bytes_done{0};
+    std::uint64_t bytes_total{0};
     std::string reason;
 };
 
--- a/tests/daemon/entry_request.cpp
+++ b/tests/daemon/entry_request.cpp
@@ -42,7 +42,7 @@
         REQUIRE(read);
         CHECK(read.value().route.model == "tutor");
         CHECK(read.value().streamed);
-        CHECK(read.value().allowed == 250ms);
+        CHECK(read.value().timeout == 250ms);
         CHECK(read.value().route.prefixes.size() == 3);
         CHECK_FALSE(read.value().id.empty());
     }
@@ -54,7 +54,7 @@
         REQUIRE(read);
         CHECK(read.value().route.model == "ledger");
         CHECK(read.value().path == "/charge");
-        CHECK(read.value().allowed == 7s);
+        CHECK(read.value().timeout == 7s);
         CHECK(read.value().not_repeatable);
     }
     GIVEN("faults")
--- a/tests/daemon/quarantine_api.cpp
+++ b/tests/daemon/quarantine_api.cpp
@@ -46,7 +46,7 @@
         from.method = method;
         from.path = path;
         kept_reply reply;
-        serve_quarantine(
+        handle_quarantine_request(
             from, reply, ledger,
             [&](const request_content& what)
             { return ledger.lift_quarantine(what, now); },
@@ -70,7 +70,7 @@
         http_request from;
         from.method = "GET";
         from.path = "/v1/quarantine";
-        serve_quarantine(
+        handle_quarantine_request(
             from, reply, ledger, [](const auto&) { return false; }, later);
         CHECK(reply.text.find("\"on trial\"") != std::string::npos);
     }
--- a/tests/daemon/state_dump.cpp
+++ b/tests/daemon/state_dump.cpp
@@ -25,7 +25,7 @@
         book.apply_record(record);
         const auto dump = [&] {
             return json::parse(
-                cj::entry_dump(mirror, peers, book, {3, 1}, now));
+                cj::entry_state_json(mirror, peers, book, {3, 1}, now));
         };
 
         THEN("its requests, its mirror and its peers are there")
@@ -86,7 +86,7 @@
         agent.staged_version = 2;
         agent.versions.push_back({2, 64, 40, 38});
         const auto dump = [&]
-        { return json::parse(cj::side_dump(mirror, peers, agent, now)); };
+        { return json::parse(cj::side_state_json(mirror, peers, agent, now)); };
         THEN("how far it is stands there, and that the upstream is unknown")
         {
             CHECK(dump().at("role") == "side");
