--- a/src/coursejunction/daemon/entry.cpp
+++ b/src/coursejunction/daemon/entry.cpp
@@ -13,9 +13,9 @@
 namespace internal
 {
 
-constexpr milliseconds entry_tick{20};
+constexpr milliseconds entry_tick_interval{20};
 constexpr milliseconds subscribe_interval{500};
-constexpr milliseconds choose_interval{2000};
+constexpr milliseconds selection_interval{2000};
 
 bool is_caller_path(const http_request& request)
 {
@@ -29,8 +29,8 @@
 {
     explicit implementation(node& owner)
         : host(owner), requests(owner),
-          reports(owner, [this](const message::report& one)
-                  { requests.reported(one); }),
+          reports(owner, [this](const message::report& report)
+                  { requests.handle_report(report); }),
           resources(owner, reports)
     {
     }
@@ -38,10 +38,10 @@
     void start()
     {
         node_hooks hooks;
-        hooks.received = [this](const instance_id& from, frame one)
+        hooks.frame_received = [this](const instance_id& from, frame received)
         {
-            if (!requests.received(from, one))
-                reports.received(from, one);
+            if (!requests.handle_frame(from, received))
+                reports.handle_frame(from, received);
         };
         hooks.peer_lost = [this](const instance_id& peer)
         {
@@ -50,30 +50,33 @@
         };
         hooks.configuration_changed = [this]
         { resources.configuration_changed(); };
-        hooks.members_changed = [this] { reports.members_changed(); };
-        hooks.http = [this](http_request request,
-                            const std::shared_ptr<http_reply>& reply)
-        { http(std::move(request), reply); };
+        hooks.members_changed = [this] { reports.update_subscriptions(); };
+        hooks.handle_http = [this](http_request request,
+                                   const std::shared_ptr<http_reply>& reply)
+        { handle_http(std::move(request), reply); };
         hooks.dump = [this] { return dump(); };
-        hooks.leaving = [] {};
-        hooks.idle = [this] { return requests.size() == 0; };
+        hooks.leave_started = [] {};
+        hooks.is_idle = [this] { return requests.size() == 0; };
         host.start(std::move(hooks));
-        tick_timer = host.loop().every(internal::entry_tick,
+        tick_timer = host.loop().every(internal::entry_tick_interval,
                                        [this] { requests.tick(); });
-        subscribe_timer = host.loop().every(internal::subscribe_interval,
-                                            [this] { reports.tick(); });
-        // Entries come and go between two changes of the list as well.
-        choose_timer = host.loop().every(internal::choose_interval,
-                                         [this] { reports.members_changed(); });
+        subscribe_timer = host.loop().every(internal::subscribe_interval, [this]
+                                            { reports.subscribe_missing(); });
+        // Which entries are live, and so designated, also changes without a
+        // change of the instance list.
+        selection_timer =
+            host.loop().every(internal::selection_interval,
+                              [this] { reports.update_subscriptions(); });
     }
 
-    void http(http_request request, const std::shared_ptr<http_reply>& reply)
+    void handle_http(http_request request,
+                     const std::shared_ptr<http_reply>& reply)
     {
         if (!internal::is_caller_path(request))
             return resources.request(request, reply);
         if (request.method != "POST")
-            return reply->send(405, "text/plain", {}, "only POST\n");
-        requests.request(std::move(request), reply);
+            return reply->send(405, "text/plain", {}, "only POST is allowed\n");
+        requests.handle_request(std::move(request), reply);
     }
 
     std::string dump() const
@@ -90,7 +93,7 @@
     resource_api resources;
     timer tick_timer;
     timer subscribe_timer;
-    timer choose_timer;
+    timer selection_timer;
 };
 
 entry::entry(node& owner) : self(std::make_unique<implementation>(owner))
--- a/src/coursejunction/daemon/entry.hpp
+++ b/src/coursejunction/daemon/entry.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The entry process: callers' and operators' way in.
+ * @brief The entry role: serves callers and operators over HTTP.
  */
 #ifndef COURSEJUNCTION_DAEMON_ENTRY_HPP
 #define COURSEJUNCTION_DAEMON_ENTRY_HPP
@@ -11,11 +11,11 @@
 
 class node;
 
-/*! @brief Wires the services of an entry to its node. */
+/*! @brief Runs the services of an entry on a node. */
 class entry
 {
 public:
-    /*! @brief Starts the role on a node. */
+    /*! @brief Starts the role on a node, which must outlive it. */
     explicit entry(node& owner);
     ~entry();
 
--- a/src/coursejunction/daemon/node.cpp
+++ b/src/coursejunction/daemon/node.cpp
@@ -23,19 +23,19 @@
 
 using nlohmann::json;
 
-/*! @brief Longest time for a call for the list of instances. */
-constexpr milliseconds list_timeout{2000};
+constexpr milliseconds instance_list_timeout{2000};
 
-/*! @brief Time for others to hear that this instance leaves. */
+/*! @brief Minimum time from the announcement of a leave to the stop, so that
+ * other instances have received it. */
 constexpr milliseconds leave_grace{3000};
 
-/*! @brief Time between two looks whether everything is finished. */
-constexpr milliseconds leave_poll{50};
+/*! @brief Interval of the check whether a leaving node may stop. */
+constexpr milliseconds leave_poll_interval{50};
 
-/*! @brief Time in which a configuration that was asked for may come. */
-constexpr milliseconds pull_patience{300};
+/*! @brief Time after which a configuration may be requested again. */
+constexpr milliseconds pull_timeout{300};
 
-std::uint64_t wall_milliseconds()
+std::uint64_t unix_time_ms()
 {
     return static_cast<std::uint64_t>(
         std::chrono::duration_cast<milliseconds>(
@@ -47,19 +47,21 @@
 
 struct node::implementation
 {
-    implementation(event_loop& owner, node_settings set)
-        : loop(owner), settings(std::move(set)), client(owner),
+    implementation(event_loop& owner, node_settings given)
+        : loop(owner), settings(std::move(given)), client(owner),
           key_values(client, settings.key_value_url,
                      settings.key_value_timeout),
-          started(internal::wall_milliseconds()),
+          started_at_ms(internal::unix_time_ms()),
           restorer(
               loop, key_values, counters, view, [this] { return watch_rank(); },
-              [this](configuration next) { offer(std::move(next)); }),
+              [this](configuration next)
+              { offer_configuration(std::move(next)); }),
           watch(loop, key_values, counters, view,
-                [this](configuration next) { found(std::move(next)); }),
-          gossip(settings, ring, members, view, counters, started,
+                [this](configuration next)
+                { handle_stored_configuration(std::move(next)); }),
+          gossip(settings, ring, members, view, counters, started_at_ms,
                  [this](const instance_id& from, std::uint64_t revision)
-                 { pull(from, revision); }),
+                 { pull_configuration(from, revision); }),
           crashes(counters, [this](const auto& records)
                   { gossip.tell(message::crash_news{records}); })
     {
@@ -73,10 +75,10 @@
     {
         peer_hub::callbacks events;
         events.opened = [this](connection_id id, const peer_identity& who)
-        { opened(id, who); };
-        events.received = [this](connection_id id, frame one)
-        { received(id, std::move(one)); };
-        events.closed = [this](connection_id id) { closed(id); };
+        { connection_opened(id, who); };
+        events.received = [this](connection_id id, frame received)
+        { frame_received(id, std::move(received)); };
+        events.closed = [this](connection_id id) { connection_closed(id); };
         const auto kind = settings.kind == role::entry ? "entry" : "side";
         auto made_hub =
             peer_hub::create(loop, settings.address, settings.peer_port, ring,
@@ -97,7 +99,7 @@
             {
                 loop.post([this, request = std::move(request),
                            reply = std::move(reply)]() mutable
-                          { http(std::move(request), reply); });
+                          { handle_http(std::move(request), reply); });
             });
         if (!made_server)
             return failure(made_server.error().kind,
@@ -109,11 +111,11 @@
     void start(node_hooks given)
     {
         hooks = std::move(given);
-        poll_list();
+        poll_instance_list();
         list_timer = loop.every(settings.instance_list_interval,
-                                [this] { poll_list(); });
-        beat_timer =
-            loop.every(settings.heartbeat_interval, [this] { announce(); });
+                                [this] { poll_instance_list(); });
+        heartbeat_timer = loop.every(settings.heartbeat_interval,
+                                     [this] { send_heartbeats(); });
         loop.on_signal(SIGTERM, [this] { leave(); });
         loop.on_signal(SIGINT, [this] { leave(); });
         if (settings.kind == role::entry)
@@ -128,24 +130,24 @@
 
     // Members.
 
-    void poll_list()
+    void poll_instance_list()
     {
         if (list_call != 0)
             return;
         http_call call;
         call.url = settings.instance_list_url;
-        call.timeout = internal::list_timeout;
-        if (!list_tag.empty())
-            call.headers["If-None-Match"] = list_tag;
+        call.timeout = internal::instance_list_timeout;
+        if (!list_etag.empty())
+            call.headers["If-None-Match"] = list_etag;
         list_call = client.start(std::move(call),
                                  [this](const http_result& end)
                                  {
                                      list_call = 0;
-                                     listed(end);
+                                     handle_instance_list(end);
                                  });
     }
 
-    void listed(const http_result& end)
+    void handle_instance_list(const http_result& end)
     {
         counters.count("instance_list_calls_total");
         if (!end.ok() || end.status != 200)
@@ -153,29 +155,29 @@
         auto list = internal::parse_instance_list(end.body);
         if (!list)
             return;
-        const auto tag = end.headers.find("etag");
-        list_tag = tag == end.headers.end() ? "" : tag->second;
+        const auto etag = end.headers.find("etag");
+        list_etag = etag == end.headers.end() ? "" : etag->second;
         if (!members.assign(std::move(*list)))
             return;
         const auto* own = members.find(settings.instance);
         if (own != nullptr && own->leaving)
             leave();
-        drop_moved();
-        watch_if_designated();
+        close_relocated();
+        update_watch();
         hooks.members_changed();
     }
 
     // Connections.
 
-    /*! @brief Returns the connection for an instance: the one opened to its
-     * listed address. A connection that the other end opened is used only to
-     * answer an instance that is not listed (yet): two processes may claim
-     * one id, and the list says which of them counts. */
+    /*! @brief Returns the connection to an instance: the one opened to its
+     * listed address. A connection that the peer opened is used only to answer
+     * an instance that is not listed (yet): two processes may claim the same
+     * id, and the list decides which one has it. */
     connection_id connection_to(const instance_id& to)
     {
-        const auto known = links.dialled(to);
-        if (!known.empty())
-            return known;
+        const auto dialled = links.dialled(to);
+        if (!dialled.empty())
+            return dialled;
         const auto* listed_member = members.find(to);
         if (to == settings.instance)
             return {};
@@ -186,22 +188,22 @@
         return id;
     }
 
-    void opened(connection_id id, const peer_identity& who)
+    void connection_opened(connection_id id, const peer_identity& who)
     {
         const auto expected = links.instance(id);
         if (!expected)
             return links.accept(who.instance, id);
         if (*expected == who.instance)
             return members.answered(who.instance);
-        // Another instance has taken over the address.
+        // The address now belongs to another instance.
         links.drop(id);
         hub->close(id);
         members.failed(*expected, now());
         hooks.peer_lost(*expected);
     }
 
-    /*! @brief Leaves connections to addresses that are no longer listed. */
-    void drop_moved()
+    /*! @brief Closes connections to addresses that are no longer listed. */
+    void close_relocated()
     {
         for (const auto& instance : links.moved(members))
         {
@@ -212,7 +214,7 @@
         }
     }
 
-    void closed(connection_id id)
+    void connection_closed(connection_id id)
     {
         const auto instance = links.instance(id);
         if (!instance)
@@ -224,32 +226,32 @@
         hooks.peer_lost(*instance);
     }
 
-    void received(connection_id id, frame one)
+    void frame_received(connection_id id, frame received)
     {
         const auto from = links.instance(id);
         if (!from)
             return;
-        switch (one.type)
+        switch (received.type)
         {
         case frame_type::configuration_pull:
-            return pulled(*from, one);
+            return handle_pull(*from, received);
         case frame_type::configuration_snapshot:
-            return snapshot(one);
+            return handle_snapshot(received);
         default:
-            return hooks.received(*from, std::move(one));
+            return hooks.frame_received(*from, std::move(received));
         }
     }
 
     // Configuration.
 
-    /*! @brief The key-value service holds this configuration. */
-    void found(configuration next)
+    /*! @brief Handles a configuration read from the key-value service. */
+    void handle_stored_configuration(configuration next)
     {
         restorer.stored(next);
-        offer(std::move(next));
+        offer_configuration(std::move(next));
     }
 
-    void offer(configuration next)
+    void offer_configuration(configuration next)
     {
         if (view.diverges_from(next))
             return restorer.diverged(std::move(next));
@@ -263,35 +265,37 @@
                        {{"revision",
                          std::to_string(view.current().number().value())}});
             restorer.changed();
-            announce();
+            send_heartbeats();
         }
         if (newer || !was_ready)
             hooks.configuration_changed();
     }
 
-    void watch_if_designated()
+    void update_watch()
     {
         if (settings.kind == role::entry)
-            watch.designate(designated(settings.instance, settings.hall));
+            watch.designate(is_designated(settings.instance, settings.hall));
     }
 
-    bool designated(const instance_id& id, const hall_id& hall) const
+    bool is_designated(const instance_id& id, const hall_id& hall) const
     {
-        const auto chosen =
-            members.designated_entries(hall, designated_per_hall, now());
+        const auto chosen = members.designated_entries(
+            hall, designated_entries_per_hall, now());
         return std::find(chosen.begin(), chosen.end(), id) != chosen.end();
     }
 
-    /*! @brief Returns the place of this instance among all that watch. */
+    /*! @brief Returns the rank of this instance among the entries that watch
+     * the key-value service; none when it does not watch. */
     std::optional<std::size_t> watch_rank() const
     {
         if (!watch.designated())
             return std::nullopt;
         std::vector<instance_id> watchers;
-        for (const auto& one : members.select(role::entry, std::nullopt, now()))
+        for (const auto& entry :
+             members.select(role::entry, std::nullopt, now()))
         {
-            if (designated(one.id, one.hall))
-                watchers.push_back(one.id);
+            if (is_designated(entry.id, entry.hall))
+                watchers.push_back(entry.id);
         }
         const auto ranked =
             rendezvous_rank(configuration_key, watchers, watchers.size());
@@ -300,9 +304,9 @@
         return static_cast<std::size_t>(own - ranked.begin());
     }
 
-    void pulled(const instance_id& from, const frame& one)
+    void handle_pull(const instance_id& from, const frame& received)
     {
-        const auto pull = decode<message::configuration_pull>(one.head);
+        const auto pull = decode<message::configuration_pull>(received.head);
         const auto number = view.current().number().value();
         if (!pull || !view.ready() || pull.value().known >= number)
             return;
@@ -313,34 +317,35 @@
             hub->send(connection, reply, view.text());
     }
 
-    void snapshot(const frame& one)
+    void handle_snapshot(const frame& received)
     {
-        auto parsed = configuration::parse(one.payload);
+        auto parsed = configuration::parse(received.payload);
         if (parsed)
-            offer(std::move(parsed.value()));
+            offer_configuration(std::move(parsed.value()));
     }
 
-    void announce()
+    void send_heartbeats()
     {
         gossip.announce();
         crashes.announce(event_loop::now());
-        watch_if_designated();
+        update_watch();
     }
 
-    /*! @brief Asks a neighbour for a newer configuration, unless one at least
-     * as new has just been asked for. */
-    void pull(const instance_id& from, std::uint64_t newest)
+    /*! @brief Requests a newer configuration from a neighbour, unless one at
+     * least as new has just been requested. */
+    void pull_configuration(const instance_id& from, std::uint64_t newest)
     {
-        if (newest <= pull_asked && now() - pull_at < internal::pull_patience)
+        if (newest <= last_pulled_revision &&
+            now() - last_pull_at < internal::pull_timeout)
             return;
         const auto connection = connection_to(from);
         if (connection.empty())
             return;
-        pull_asked = newest;
-        pull_at = now();
-        message::configuration_pull ask;
-        ask.known = view.current().number().value();
-        hub->send(connection, ask);
+        last_pulled_revision = newest;
+        last_pull_at = now();
+        message::configuration_pull request;
+        request.known = view.current().number().value();
+        hub->send(connection, request);
     }
 
     // Stopping.
@@ -353,14 +358,14 @@
         leaving_since = now();
         gossip.leave();
         log::state("leaving");
-        announce();
-        hooks.leaving();
+        send_heartbeats();
+        hooks.leave_started();
         leave_timer =
-            loop.every(internal::leave_poll,
+            loop.every(internal::leave_poll_interval,
                        [this]
                        {
                            if (now() - leaving_since < internal::leave_grace ||
-                               !hooks.idle())
+                               !hooks.is_idle())
                                return;
                            log::state("stopped");
                            loop.stop();
@@ -369,7 +374,8 @@
 
     // HTTP.
 
-    void http(http_request request, const std::shared_ptr<http_reply>& reply)
+    void handle_http(http_request request,
+                     const std::shared_ptr<http_reply>& reply)
     {
         if (request.path == "/metrics")
             return reply->send(200, "text/plain; version=0.0.4", {},
@@ -380,7 +386,7 @@
                                leaving ? "leaving\n" : "ok\n");
         if (request.path == "/dump")
             return reply->send(200, "application/json", {}, dump());
-        hooks.http(std::move(request), reply);
+        hooks.handle_http(std::move(request), reply);
     }
 
     std::string metrics_text()
@@ -405,7 +411,7 @@
             {"role", settings.kind == role::entry ? "entry" : "side"},
             {"hall", settings.hall.value()},
             {"region", settings.region.value()},
-            {"incarnation", started},
+            {"incarnation", started_at_ms},
             {"leaving", leaving},
             {"designated", watch.designated()},
             {"revision", view.current().number().value()},
@@ -434,18 +440,18 @@
     std::unique_ptr<http_server> server;
     internal::peer_links links;
     http_client::call_id list_call{0};
-    std::string list_tag;
-    std::uint64_t started;
+    std::string list_etag;
+    std::uint64_t started_at_ms;
     internal::configuration_restorer restorer;
     internal::configuration_watch watch;
     internal::heartbeat_gossip gossip;
     internal::crash_gossip crashes;
-    std::uint64_t pull_asked{0};
-    time_point pull_at{};
+    std::uint64_t last_pulled_revision{0};
+    time_point last_pull_at{};
     bool leaving{false};
     time_point leaving_since{};
     timer list_timer;
-    timer beat_timer;
+    timer heartbeat_timer;
     timer leave_timer;
 };
 
@@ -490,14 +496,14 @@
     return now() - self->leaving_since;
 }
 
-void node::adopt(const configuration& next)
+void node::offer_configuration(const configuration& next)
 {
-    self->offer(next);
+    self->offer_configuration(next);
 }
 
 std::uint64_t node::incarnation() const
 {
-    return self->started;
+    return self->started_at_ms;
 }
 
 event_loop& node::loop()
--- a/src/coursejunction/daemon/node.hpp
+++ b/src/coursejunction/daemon/node.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief What every daemon does whatever its role: it knows the members,
- * keeps the configuration by gossip, talks to peers, and serves its state.
+ * @brief What both roles of the daemon have in common: membership, the
+ * configuration, connections to peers, metrics and state over HTTP.
  */
 #ifndef COURSEJUNCTION_DAEMON_NODE_HPP
 #define COURSEJUNCTION_DAEMON_NODE_HPP
@@ -24,39 +24,44 @@
 namespace coursejunction
 {
 
-/*! @brief Entries of a hall that watch the key-value service and gather the
- * hall's reports. */
-inline constexpr std::size_t designated_per_hall = 2;
+/*! @brief Number of entries of each hall that watch the key-value service and
+ * collect the reports of the hall. */
+inline constexpr std::size_t designated_entries_per_hall = 2;
 
-/*! @brief What a role adds to a node; all calls are on the loop's thread. */
+/*! @brief Callbacks by which a node calls its role; all on the loop's thread.
+ */
 struct node_hooks
 {
-    std::function<void(const instance_id&, frame)> received;
+    std::function<void(const instance_id&, frame)> frame_received;
     std::function<void(const instance_id&)> peer_lost;
     std::function<void()> configuration_changed;
     std::function<void()> members_changed;
-    std::function<void(http_request, std::shared_ptr<http_reply>)> http;
+    /*! @brief Handles requests other than for health, metrics and the dump. */
+    std::function<void(http_request, std::shared_ptr<http_reply>)> handle_http;
+    /*! @brief Returns the state of the role as JSON. */
     std::function<std::string()> dump;
-    std::function<void()> leaving;
-    std::function<bool()> idle;
+    std::function<void()> leave_started;
+    /*! @brief Tells whether a node that is leaving may stop. */
+    std::function<bool()> is_idle;
 };
 
-/*! @brief One process of the system. */
+/*! @brief One process of the daemon, of either role. */
 class node
 {
 public:
-    /*! @brief Opens the node's ports.
-     * @return The node, or `unavailable`. */
+    /*! @brief Creates a node and opens its ports.
+     * @return The node, or `unavailable` when a port cannot be opened. */
     [[nodiscard]] static result<std::unique_ptr<node>>
     create(event_loop& loop, node_settings settings);
 
     ~node();
 
-    /*! @brief Starts to act; called once when the role is ready. */
+    /*! @brief Starts timers, signal handlers and polling; called once, when the
+     * role is ready. */
     void start(node_hooks hooks);
 
-    /*! @brief Sends to an instance, over a connection made when needed.
-     * @return False when the instance is not known. */
+    /*! @brief Sends a message to an instance, connecting to it if needed.
+     * @return False when there is no connection and no listed address. */
     template <typename Message>
     bool send(const instance_id& to, const Message& message,
               std::string_view payload = {}, bool hashed_payload = false)
@@ -66,19 +71,21 @@
                hub().send(connection, message, payload, hashed_payload);
     }
 
-    /*! @brief Begins a planned stop: says so to everybody, finishes what is
-     * in progress, then ends the loop. */
+    /*! @brief Begins a graceful shutdown: announces it to the neighbours, waits
+     * until the role is idle, then stops the loop. */
     void leave();
 
     [[nodiscard]] bool is_leaving() const;
 
-    /*! @brief Returns how long the node has been leaving; zero if not. */
+    /*! @brief Returns the time since `leave` was called; zero before. */
     [[nodiscard]] std::chrono::microseconds leaving_for() const;
 
-    /*! @brief Puts a configuration into force and tells the neighbours. */
-    void adopt(const configuration& next);
+    /*! @brief Puts a configuration into force, if it is newer, and announces it
+     * to the neighbours. */
+    void offer_configuration(const configuration& next);
 
-    /*! @brief Returns when this process started, for status. */
+    /*! @brief Returns the incarnation of this process: its start time, in ms
+     * since the Unix epoch. */
     [[nodiscard]] std::uint64_t incarnation() const;
 
     [[nodiscard]] event_loop& loop();
--- a/src/coursejunction/daemon/report_service.cpp
+++ b/src/coursejunction/daemon/report_service.cpp
@@ -15,13 +15,15 @@
 namespace internal
 {
 
-constexpr milliseconds status_limit{1000};
-constexpr int settling_reports = 3;
+constexpr milliseconds status_timeout{1000};
+/*! @brief Report intervals to wait, after the designated halls have changed,
+ * before permits are granted. */
+constexpr int settling_intervals = 3;
 
-bool is_closed(const message::report& one)
+bool is_closed(const message::report& report)
 {
-    return one.phase == "draining" || one.phase == "loading" ||
-           one.phase == "checking";
+    return report.phase == "draining" || report.phase == "loading" ||
+           report.phase == "checking";
 }
 
 } // namespace internal
@@ -32,113 +34,118 @@
     {
         status_callback done;
         status_view view;
-        std::map<instance_id, hall_id> asked;
-        timer limit;
+        std::map<instance_id, hall_id> pending;
+        timer timeout;
     };
 
-    implementation(node& owner, report_callback call)
-        : host(owner), heard(std::move(call)), permits(now(), settling())
+    implementation(node& owner, report_callback callback)
+        : host(owner), on_report(std::move(callback)),
+          permits(now(), settling_time())
     {
     }
 
     static time_point now() { return event_loop::now(); }
 
-    milliseconds settling() const
+    milliseconds settling_time() const
     {
-        return host.settings().report_interval * internal::settling_reports;
+        return host.settings().report_interval * internal::settling_intervals;
     }
 
     // Subscriptions.
 
-    /*! @brief Picks the sides to hear: all of the halls that this entry is
-     * designated for, and a fixed random part of the others, the own hall's
-     * first. */
-    void members_changed()
+    /*! @brief Selects the sidecars to subscribe to: all of the designated
+     * halls, then, up to `max_upstreams` in total, others ranked by rendezvous
+     * hashing, those of the own hall first. */
+    void update_subscriptions()
     {
-        choose_halls();
-        const auto before = routed;
-        std::vector<instance_id> near;
-        std::vector<instance_id> far;
-        wanted.clear();
-        for (const auto& [id, one] : host.members().all())
+        update_designated_halls();
+        const auto previously_routed = routed;
+        std::vector<instance_id> own_hall;
+        std::vector<instance_id> other_halls;
+        selected.clear();
+        for (const auto& [id, member] : host.members().all())
         {
-            if (one.kind != role::side)
+            if (member.kind != role::side)
                 continue;
-            if (halls.contains(one.hall))
-                wanted.insert(id);
-            (one.hall == host.settings().hall ? near : far).push_back(id);
+            if (designated_halls.contains(member.hall))
+                selected.insert(id);
+            (member.hall == host.settings().hall ? own_hall : other_halls)
+                .push_back(id);
         }
-        fill(near);
-        fill(far);
-        choose_routed(near);
+        select_from(own_hall);
+        select_from(other_halls);
+        select_routed(own_hall);
         std::erase_if(subscribed,
-                      [&](const auto& id) {
-                          return !wanted.contains(id) ||
-                                 before.contains(id) != routed.contains(id);
+                      [&](const auto& id)
+                      {
+                          return !selected.contains(id) ||
+                                 previously_routed.contains(id) !=
+                                     routed.contains(id);
                       });
         std::erase_if(reports, [&](const auto& one)
-                      { return !wanted.contains(one.first); });
-        tick();
+                      { return !selected.contains(one.first); });
+        subscribe_missing();
     }
 
-    void fill(const std::vector<instance_id>& from)
+    void select_from(const std::vector<instance_id>& from)
     {
-        const auto most = host.settings().max_upstreams;
-        if (wanted.size() >= most)
+        const auto max_upstreams = host.settings().max_upstreams;
+        if (selected.size() >= max_upstreams)
             return;
         for (auto& id : rendezvous_rank(host.settings().instance.value(), from,
-                                        most - wanted.size()))
-            wanted.insert(std::move(id));
+                                        max_upstreams - selected.size()))
+            selected.insert(std::move(id));
     }
 
-    /*! @brief Chooses the part that this entry sends requests to: its own
-     * hall's sides first, the same ones as long as they are listed. */
-    void choose_routed(const std::vector<instance_id>& near)
+    /*! @brief Selects the sidecars that requests may be routed to: those of the
+     * own hall first. The selection is stable as long as they are listed. */
+    void select_routed(const std::vector<instance_id>& own_hall)
     {
-        const auto most = host.settings().max_upstreams;
-        const auto chosen =
-            rendezvous_rank(host.settings().instance.value(), near, most);
+        const auto max_upstreams = host.settings().max_upstreams;
+        const auto chosen = rendezvous_rank(host.settings().instance.value(),
+                                            own_hall, max_upstreams);
         routed = {chosen.begin(), chosen.end()};
-        for (const auto& id : wanted)
+        for (const auto& id : selected)
         {
-            if (routed.size() < most)
+            if (routed.size() < max_upstreams)
                 routed.insert(id);
         }
     }
 
-    /*! @brief Finds the halls that this entry is designated for. When they
-     * change, it listens for a while before it grants permits. */
-    void choose_halls()
+    /*! @brief Determines the halls that this entry is designated for. After a
+     * change it collects reports for the settling time before it grants
+     * permits. */
+    void update_designated_halls()
     {
         std::set<hall_id> all;
-        for (const auto& [id, one] : host.members().all())
-            all.insert(one.hall);
+        for (const auto& [id, member] : host.members().all())
+            all.insert(member.hall);
         std::set<hall_id> chosen;
         for (const auto& hall : all)
         {
             const auto entries = host.members().designated_entries(
-                hall, designated_per_hall, now());
+                hall, designated_entries_per_hall, now());
             if (std::find(entries.begin(), entries.end(),
                           host.settings().instance) != entries.end())
                 chosen.insert(hall);
         }
-        if (chosen == halls)
+        if (chosen == designated_halls)
             return;
-        halls = std::move(chosen);
-        permits.delay_grants_until(now() + settling());
+        designated_halls = std::move(chosen);
+        permits.delay_grants_until(now() + settling_time());
         host.counters().set("designated_halls",
-                            static_cast<double>(halls.size()));
+                            static_cast<double>(designated_halls.size()));
     }
 
-    void tick()
+    void subscribe_missing()
     {
-        for (const auto& id : wanted)
+        for (const auto& id : selected)
         {
             if (subscribed.contains(id) || !host.members().usable(id, now()))
                 continue;
-            message::subscribe ask;
-            ask.routing = routed.contains(id);
-            if (host.send(id, ask))
+            message::subscribe request;
+            request.routing = routed.contains(id);
+            if (host.send(id, request))
                 subscribed.insert(id);
         }
     }
@@ -151,55 +158,58 @@
         {
             found->second.phase = "unreachable";
             found->second.serving.clear();
-            heard(found->second);
+            on_report(found->second);
         }
         for (auto& [number, one] : queries)
-            one.asked.erase(peer);
-        end_queries();
+            one.pending.erase(peer);
+        finish_queries();
     }
 
-    void reported(const instance_id& from, message::report one)
+    void handle_report(const instance_id& from, message::report report)
     {
-        if (one.instance != from.value())
+        if (report.instance != from.value())
             return;
-        if (one.leaving)
+        if (report.leaving)
             host.members().left(from);
-        if (!one.deployment.empty())
-            permits.update_replica(deployment_name(one.deployment), from,
-                                   internal::is_closed(one),
-                                   one.phase == "waiting", now());
-        heard(one);
-        reports[from] = std::move(one);
+        if (!report.deployment.empty())
+            permits.update_replica(deployment_name(report.deployment), from,
+                                   internal::is_closed(report),
+                                   report.phase == "waiting", now());
+        on_report(report);
+        reports[from] = std::move(report);
     }
 
-    /*! @brief Takes what has changed since the last whole report. */
-    void load_reported(const instance_id& from, const message::load_report& one)
+    /*! @brief Updates the last full report with the fields of a load report. */
+    void handle_load_report(const instance_id& from,
+                            const message::load_report& load)
     {
         const auto found = reports.find(from);
         if (found == reports.end())
             return;
-        found->second.running = one.running;
-        found->second.slots = one.slots;
-        found->second.bytes_done = one.bytes_done;
-        found->second.bytes_total = one.bytes_total;
-        found->second.origin_bytes = one.origin_bytes;
-        found->second.cross_hall_bytes = one.cross_hall_bytes;
+        found->second.running = load.running;
+        found->second.slots = load.slots;
+        found->second.bytes_done = load.bytes_done;
+        found->second.bytes_total = load.bytes_total;
+        found->second.origin_bytes = load.origin_bytes;
+        found->second.cross_hall_bytes = load.cross_hall_bytes;
         if (found->second.phase != "unreachable")
-            heard(found->second);
+            on_report(found->second);
     }
 
     // Permits.
 
-    void asked_permit(const instance_id& from,
-                      const message::permit_request& ask)
+    void handle_permit_request(const instance_id& from,
+                               const message::permit_request& request)
     {
         message::permit_reply reply;
-        reply.deployment = ask.deployment;
-        reply.version = ask.version;
-        const deployment_name name(ask.deployment);
+        reply.deployment = request.deployment;
+        reply.version = request.version;
+        const deployment_name name(request.deployment);
         const auto* spec = host.view().current().find(name);
-        reply.granted = spec != nullptr && halls.contains(hall_id(ask.hall)) &&
-                        !spec->paused && spec->version.hex() == ask.version &&
+        reply.granted = spec != nullptr &&
+                        designated_halls.contains(hall_id(request.hall)) &&
+                        !spec->paused &&
+                        spec->version.hex() == request.version &&
                         permits.request(name, from, spec->max_closed, now());
         host.counters().count("permits_total", 1,
                               {{"granted", reply.granted ? "yes" : "no"}});
@@ -208,45 +218,45 @@
 
     // Status.
 
-    void status(status_callback done)
+    void query_status(status_callback done)
     {
         const auto number = ++last_query;
         auto& one = queries[number];
         one.done = std::move(done);
-        std::set<hall_id> halls;
-        for (const auto& [id, listed] : host.members().all())
-            halls.insert(listed.hall);
-        for (const auto& hall : halls)
-            ask_hall(number, one, hall);
-        merge(one, own_reports());
-        one.limit = host.loop().after(internal::status_limit,
-                                      [this, number] { give(number); });
-        end_queries();
+        std::set<hall_id> all;
+        for (const auto& [id, member] : host.members().all())
+            all.insert(member.hall);
+        for (const auto& hall : all)
+            query_hall(number, one, hall);
+        merge(one, local_reports());
+        one.timeout = host.loop().after(internal::status_timeout, [this, number]
+                                        { finish_query(number); });
+        finish_queries();
     }
 
-    void ask_hall(std::uint64_t number, query& one, const hall_id& hall)
+    void query_hall(std::uint64_t number, query& one, const hall_id& hall)
     {
-        if (halls.contains(hall))
+        if (designated_halls.contains(hall))
             return;
-        const auto entries =
-            host.members().designated_entries(hall, designated_per_hall, now());
+        const auto entries = host.members().designated_entries(
+            hall, designated_entries_per_hall, now());
         bool sent = false;
         for (const auto& id : entries)
         {
             if (id == host.settings().instance)
                 continue;
-            message::status_query ask;
-            ask.query = number;
-            if (!host.send(id, ask))
+            message::status_query request;
+            request.query = number;
+            if (!host.send(id, request))
                 continue;
-            one.asked[id] = hall;
+            one.pending[id] = hall;
             sent = true;
         }
         if (!sent)
             one.view.silent_halls.push_back(hall);
     }
 
-    std::vector<message::report> own_reports() const
+    std::vector<message::report> local_reports() const
     {
         std::vector<message::report> list;
         for (const auto& [id, one] : reports)
@@ -266,13 +276,14 @@
         }
     }
 
-    void asked_status(const instance_id& from, const message::status_query& ask)
+    void handle_status_query(const instance_id& from,
+                             const message::status_query& query)
     {
         message::status_reply reply;
-        reply.query = ask.query;
+        reply.query = query.query;
         for (const auto& [id, one] : reports)
         {
-            if (halls.contains(hall_id(one.hall)))
+            if (designated_halls.contains(hall_id(one.hall)))
             {
                 reply.replicas.push_back(one);
                 reply.replicas.back().cached_prefixes.clear();
@@ -281,46 +292,47 @@
         host.send(from, reply);
     }
 
-    void answered_status(const instance_id& from, message::status_reply reply)
+    void handle_status_reply(const instance_id& from,
+                             message::status_reply reply)
     {
         const auto found = queries.find(reply.query);
         if (found == queries.end())
             return;
         merge(found->second, std::move(reply.replicas));
-        found->second.asked.erase(from);
-        end_queries();
+        found->second.pending.erase(from);
+        finish_queries();
     }
 
-    void end_queries()
+    void finish_queries()
     {
-        std::vector<std::uint64_t> whole;
+        std::vector<std::uint64_t> finished;
         for (const auto& [number, one] : queries)
         {
-            if (one.asked.empty())
-                whole.push_back(number);
+            if (one.pending.empty())
+                finished.push_back(number);
         }
-        for (const auto number : whole)
-            give(number);
+        for (const auto number : finished)
+            finish_query(number);
     }
 
-    void give(std::uint64_t number)
+    void finish_query(std::uint64_t number)
     {
         const auto found = queries.find(number);
         if (found == queries.end())
             return;
         const auto done = std::move(found->second.done);
         auto view = std::move(found->second.view);
-        for (const auto& [id, hall] : found->second.asked)
+        for (const auto& [id, hall] : found->second.pending)
             view.silent_halls.push_back(hall);
         queries.erase(found);
         done(view);
     }
 
     node& host;
-    report_callback heard;
+    report_callback on_report;
     permit_table permits;
-    std::set<hall_id> halls;
-    std::set<instance_id> wanted;
+    std::set<hall_id> designated_halls;
+    std::set<instance_id> selected;
     std::set<instance_id> routed;
     std::set<instance_id> subscribed;
     std::map<instance_id, message::report> reports;
@@ -328,41 +340,41 @@
     std::uint64_t last_query{0};
 };
 
-report_service::report_service(node& owner, report_callback heard)
-    : self(std::make_unique<implementation>(owner, std::move(heard)))
+report_service::report_service(node& owner, report_callback on_report)
+    : self(std::make_unique<implementation>(owner, std::move(on_report)))
 {
 }
 
 report_service::~report_service() = default;
 
-void report_service::members_changed()
+void report_service::update_subscriptions()
 {
-    self->members_changed();
+    self->update_subscriptions();
 }
 
-bool report_service::received(const instance_id& from, frame& one)
+bool report_service::handle_frame(const instance_id& from, frame& received)
 {
-    switch (one.type)
+    switch (received.type)
     {
     case frame_type::report:
-        if (auto got = decode<message::report>(one.head))
-            self->reported(from, std::move(got.value()));
+        if (auto content = decode<message::report>(received.head))
+            self->handle_report(from, std::move(content.value()));
         return true;
     case frame_type::load_report:
-        if (const auto got = decode<message::load_report>(one.head))
-            self->load_reported(from, got.value());
+        if (const auto content = decode<message::load_report>(received.head))
+            self->handle_load_report(from, content.value());
         return true;
     case frame_type::permit_request:
-        if (const auto got = decode<message::permit_request>(one.head))
-            self->asked_permit(from, got.value());
+        if (const auto content = decode<message::permit_request>(received.head))
+            self->handle_permit_request(from, content.value());
         return true;
     case frame_type::status_query:
-        if (const auto got = decode<message::status_query>(one.head))
-            self->asked_status(from, got.value());
+        if (const auto content = decode<message::status_query>(received.head))
+            self->handle_status_query(from, content.value());
         return true;
     case frame_type::status_reply:
-        if (auto got = decode<message::status_reply>(one.head))
-            self->answered_status(from, std::move(got.value()));
+        if (auto content = decode<message::status_reply>(received.head))
+            self->handle_status_reply(from, std::move(content.value()));
         return true;
     default:
         return false;
@@ -374,14 +386,14 @@
     self->peer_lost(peer);
 }
 
-void report_service::tick()
+void report_service::subscribe_missing()
 {
-    self->tick();
+    self->subscribe_missing();
 }
 
-void report_service::status(status_callback done)
+void report_service::query_status(status_callback done)
 {
-    self->status(std::move(done));
+    self->query_status(std::move(done));
 }
 
 std::size_t report_service::size() const
@@ -392,14 +404,14 @@
 std::string report_service::dump() const
 {
     nlohmann::json list = nlohmann::json::array();
-    for (const auto& [id, one] : self->reports)
+    for (const auto& [id, report] : self->reports)
         list.push_back({{"instance", id.value()},
-                        {"phase", one.phase},
-                        {"serving", one.serving},
-                        {"running", one.running},
-                        {"revision", one.revision}});
+                        {"phase", report.phase},
+                        {"serving", report.serving},
+                        {"running", report.running},
+                        {"revision", report.revision}});
     nlohmann::json halls = nlohmann::json::array();
-    for (const auto& hall : self->halls)
+    for (const auto& hall : self->designated_halls)
         halls.push_back(hall.value());
     return nlohmann::json{{"designated_halls", std::move(halls)},
                           {"routed", self->routed.size()},
--- a/src/coursejunction/daemon/report_service.hpp
+++ b/src/coursejunction/daemon/report_service.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What an entry hears of the replicas, and what it tells of them.
+ * @brief Collects sidecars' reports at an entry and serves status from them.
  */
 #ifndef COURSEJUNCTION_DAEMON_REPORT_SERVICE_HPP
 #define COURSEJUNCTION_DAEMON_REPORT_SERVICE_HPP
@@ -19,43 +19,49 @@
 
 class node;
 
-/*! @brief Status of all halls, as far as they could be asked. */
+/*! @brief Status of all halls that could be queried. */
 struct status_view
 {
     std::map<instance_id, message::report> replicas;
-    std::vector<hall_id> silent_halls;
+    std::vector<hall_id> silent_halls; /*!< No entry of them answered. */
 };
 
-/*! @brief Subscribes to sides, keeps their last reports, grants permits to
- * close, and gathers the status of all halls from their designated
- * entries. */
+/*! @brief Subscribes to sidecars and keeps their last reports, grants replicas
+ * permits to close for a load, and gathers the status of all halls from their
+ * designated entries. */
 class report_service
 {
 public:
-    /*! @brief Called with each report. */
+    /*! @brief Called with each report, also when only the load changed or the
+     * connection was lost. */
     using report_callback = std::function<void(const message::report&)>;
     using status_callback = std::function<void(const status_view&)>;
 
-    report_service(node& owner, report_callback heard);
+    report_service(node& owner, report_callback on_report);
     ~report_service();
 
-    /*! @brief Chooses anew which sides to hear. */
-    void members_changed();
+    /*! @brief Selects anew the sidecars to subscribe to; called when members
+     * change, and regularly. */
+    void update_subscriptions();
 
-    /*! @brief Takes a frame of this service.
-     * @return Whether it was one. */
-    bool received(const instance_id& from, frame& one);
+    /*! @brief Handles a frame with a report, a permit request or a status
+     * query.
+     * @return Whether the frame was of one of these types. */
+    bool handle_frame(const instance_id& from, frame& received);
 
-    /*! @brief Notes that a connection is gone. */
+    /*! @brief Marks the replica of a peer whose connection is lost as
+     * unreachable. */
     void peer_lost(const instance_id& peer);
 
-    /*! @brief Subscribes again where a connection was lost. */
-    void tick();
+    /*! @brief Subscribes to selected sidecars without a subscription; called
+     * regularly. */
+    void subscribe_missing();
 
-    /*! @brief Gathers the status; answers within a second. */
-    void status(status_callback done);
+    /*! @brief Gathers the status of all halls. Calls `done` within a second,
+     * with the halls that have not answered until then as silent. */
+    void query_status(status_callback done);
 
-    /*! @brief Returns the sides that this entry hears. */
+    /*! @brief Returns the number of sidecars that have reported. */
     [[nodiscard]] std::size_t size() const;
 
     /*! @brief Returns the state as JSON. */
--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -26,23 +26,24 @@
 namespace internal
 {
 
-/*! @brief Bytes of an answer that is gathered before it is given. */
-constexpr std::size_t max_whole_answer = std::size_t{32} << 20U;
+/*! @brief Maximum size in bytes of a response that is buffered whole before
+ * it is sent to the caller. */
+constexpr std::size_t max_buffered_response = std::size_t{32} << 20U;
 
-/*! @brief Status of a request that is quarantined: asking again is no use
- * before the time that goes with it. */
+/*! @brief HTTP status of a quarantined request: a client retry is refused
+ * again until the Retry-After time of the response has passed. */
 constexpr int quarantined_status = 422;
 
-/*! @brief Another copy of a request that is doubted waits so long for the one
- * that runs; as at the entries of the platform. */
-constexpr milliseconds doubt_wait{250};
+/*! @brief How long a copy of a suspect request waits after its arrival
+ * while another copy of it runs; the same as in exchange_options. */
+constexpr milliseconds suspect_wait{250};
 
-/*! @brief A caller whose request is on trial comes back after so long; as at
- * the entries of the platform. */
-constexpr milliseconds trial_time{1000};
+/*! @brief Retry-After for a request on trial; the same as in
+ * exchange_options. */
+constexpr milliseconds trial_retry_after{1000};
 
-/*! @brief When to come back if nobody serves the model. */
-constexpr milliseconds no_upstream_retry{1000};
+/*! @brief Retry-After when no upstream serves the model. */
+constexpr milliseconds no_upstream_retry_after{1000};
 
 } // namespace internal
 
@@ -51,11 +52,11 @@
     using queue_key = std::pair<std::string, std::string>;
     using live_request = internal::live_request;
     using attempt_end = internal::attempt_end;
-    using pointer = internal::live_pointer;
+    using request_pointer = internal::live_pointer;
 
     explicit implementation(node& owner)
         : host(owner), upstreams(owner.settings()), claims(owner),
-          answers(owner, claims)
+          responses(owner, claims)
     {
     }
 
@@ -63,34 +64,36 @@
 
     // Arrival.
 
-    void request(http_request from, const std::shared_ptr<http_reply>& reply)
+    void handle_request(http_request incoming,
+                        const std::shared_ptr<http_reply>& reply)
     {
         auto parsed =
-            parse_entry_request(from, host.settings().default_deadline);
+            parse_entry_request(incoming, host.settings().default_deadline);
         if (!parsed)
             return internal::caller_answers::refuse_input(
                 reply, parsed.error().message);
-        auto one = std::make_shared<live_request>();
-        static_cast<entry_request&>(*one) = std::move(parsed.value());
-        one->reply = reply;
-        one->content = request_content::of(one->organisation.value(), one->path,
-                                           one->body);
-        one->arrived = now();
-        one->deadline = one->arrived + one->timeout;
-        if (host.is_leaving() && host.leaving_for() > leave_accept)
-            return give_up(one, 503, "this entry is leaving",
-                           milliseconds(100));
-        if (live.size() >= host.settings().max_streams)
-            return give_up(one, 503, "too many requests in progress",
-                           milliseconds(500));
-        one->stream = ++streams;
+        auto request = std::make_shared<live_request>();
+        static_cast<entry_request&>(*request) = std::move(parsed.value());
+        request->reply = reply;
+        request->content = request_content::of(request->organisation.value(),
+                                               request->path, request->body);
+        request->arrived = now();
+        request->deadline = request->arrived + request->timeout;
+        if (host.is_leaving() && host.leaving_for() > accept_while_leaving)
+            return refuse(request, 503, "this entry is shutting down",
+                          milliseconds(100));
+        if (live_requests.size() >= host.settings().max_streams)
+            return refuse(request, 503, "too many requests in progress",
+                          milliseconds(500));
+        request->stream = ++last_stream;
         host.counters().count("requests_total");
         retries.request();
-        live.emplace(one->stream, one);
+        live_requests.emplace(request->stream, request);
         reply->on_abandoned(
-            [this, stream = one->stream]
-            { host.loop().post([this, stream] { abandoned(stream); }); });
-        place(one);
+            [this, stream = request->stream] {
+                host.loop().post([this, stream] { handle_disconnect(stream); });
+            });
+        dispatch_or_queue(request);
     }
 
     // Queue and routing.
@@ -111,158 +114,170 @@
     }
 
     /*! @brief Dispatches a request, queues it, or refuses it at once. */
-    void place(const pointer& one)
+    void dispatch_or_queue(const request_pointer& request)
     {
-        if (kept_from_upstreams(one))
+        if (withhold_suspect(request))
             return;
-        // A queue is made only for what is served: names come from outside.
-        if (!upstreams.served(one->route, now()))
-            return give_up(one, unserved_status(*one),
-                           "no upstream serves " + one->route.model,
-                           internal::no_upstream_retry);
-        auto& queue = queue_of(one->route);
+        // Model names come from callers: a queue is created only for a model
+        // that is served, so that requests cannot create queues without end.
+        if (!upstreams.served(request->route, now()))
+            return refuse(request, unserved_status(*request),
+                          "no upstream serves " + request->route.model,
+                          internal::no_upstream_retry_after);
+        auto& queue = queue_of(request->route);
         if (queue.empty())
         {
-            if (const auto to = upstreams.choose(one->route, now()))
+            if (const auto to = upstreams.choose(request->route, now()))
             {
-                queue.charge(one->organisation);
-                return dispatch(one, *to);
+                queue.charge(request->organisation);
+                return dispatch(request, *to);
             }
         }
-        const auto verdict = queue.offer(
-            {one->stream, one->organisation, one->priority, one->deadline},
-            times[key_of(one->route)], now());
+        const auto verdict =
+            queue.offer({request->stream, request->organisation,
+                         request->priority, request->deadline},
+                        estimates[key_of(request->route)], now());
         if (!verdict.accepted)
         {
             host.counters().count("requests_refused_total");
-            return give_up(one, 429, "no room before the deadline",
-                           verdict.retry_after);
+            return refuse(request, 429,
+                          "no free slot expected before the deadline",
+                          verdict.retry_after);
         }
         host.counters().count("requests_queued_total");
     }
 
-    /*! @brief Upstreams that end under a request get few copies of it.
-     * @return Whether it was answered or waits for a copy that runs. */
-    bool kept_from_upstreams(const pointer& one)
+    /*! @brief Limits how many copies of a request run at once when upstreams
+     * have crashed under it.
+     * @return Whether the request was refused or held; false when it may be
+     * dispatched now. */
+    bool withhold_suspect(const request_pointer& request)
     {
-        const auto standing = host.crashes().standing(one->content, now());
-        if (standing == crash_status::clear)
+        const auto status = host.crashes().standing(request->content, now());
+        if (status == crash_status::clear)
             return false;
-        const bool trial = standing == crash_status::on_trial;
-        const auto most = host.crashes().most_running(
-            one->content, trial && owns_trials(one->content), now());
-        // A trial is one attempt: that it failed may be all it was to show.
-        if (most == 0 || (trial && one->maybe_ran))
-            turn_away(one);
-        else if (copies_running(*one) < most)
+        const bool on_trial = status == crash_status::on_trial;
+        const auto max_running = host.crashes().most_running(
+            request->content, on_trial && is_trial_owner(request->content),
+            now());
+        // A trial is a single attempt whose failure may already be its result:
+        // a request on trial that may have run is not sent again.
+        if (max_running == 0 || (on_trial && request->maybe_ran))
+            refuse_quarantined(request);
+        else if (running_copies(*request) < max_running)
             return false;
-        else if (now() - one->arrived < internal::doubt_wait || one->maybe_ran)
-            held.push_back(one->stream);
+        else if (now() - request->arrived < internal::suspect_wait ||
+                 request->maybe_ran)
+            held_requests.push_back(request->stream);
         else
-            give_up(one, 503, "another copy of the request runs",
-                    internal::doubt_wait);
+            refuse(request, 503, "another copy of the request is running",
+                   internal::suspect_wait);
         return true;
     }
 
-    /*! @brief All entries agree on the one that runs the trials of a request,
-     * by a rendezvous among those that are usable. */
-    [[nodiscard]] bool owns_trials(const request_content& what) const
+    /*! @brief Tells whether this entry runs the trials of a request. Rendezvous
+     * hashing over the usable entries lets all of them agree on one. */
+    [[nodiscard]] bool is_trial_owner(const request_content& content) const
     {
         const auto& members = host.members();
         std::vector<instance_id> entries;
-        for (const auto& [id, one] : members.all())
+        for (const auto& [id, member] : members.all())
         {
-            if (one.kind == role::entry && members.usable(id, now()))
+            if (member.kind == role::entry && members.usable(id, now()))
                 entries.push_back(id);
         }
-        const auto first = rendezvous_rank(what.hex(), entries, 1);
-        return !first.empty() && first.front() == host.settings().instance;
+        const auto ranked = rendezvous_rank(content.hex(), entries, 1);
+        return !ranked.empty() && ranked.front() == host.settings().instance;
     }
 
-    [[nodiscard]] std::size_t copies_running(const live_request& one) const
+    [[nodiscard]] std::size_t running_copies(const live_request& request) const
     {
         return static_cast<std::size_t>(std::count_if(
-            live.begin(), live.end(),
+            live_requests.begin(), live_requests.end(),
             [&](const auto& other)
             {
-                return other.first != one.stream && other.second->running &&
-                       other.second->content == one.content;
+                return other.first != request.stream && other.second->running &&
+                       other.second->content == request.content;
             }));
     }
 
-    /*! @brief Looks again at requests that wait for a copy of theirs. */
-    void release_held()
+    /*! @brief Tries held requests again; expired ones are refused. */
+    void resend_held()
     {
-        for (const auto stream : std::exchange(held, {}))
+        for (const auto stream : std::exchange(held_requests, {}))
         {
-            const auto found = live.find(stream);
-            if (found == live.end())
+            const auto found = live_requests.find(stream);
+            if (found == live_requests.end())
                 continue;
-            const auto one = found->second;
-            if (one->deadline <= now())
-                give_up(one, 504, "the deadline has passed", milliseconds(0));
+            const auto request = found->second;
+            if (request->deadline <= now())
+                refuse(request, 504, "the deadline has passed",
+                       milliseconds(0));
             else
-                retry(one);
+                resend(request);
         }
     }
 
-    /*! @brief Enough upstreams ended under a request: its final answer. */
-    void turn_away(const pointer& one)
+    /*! @brief Sends the final response to a request that is quarantined. */
+    void refuse_quarantined(const request_pointer& request)
     {
         host.counters().count("requests_turned_away_total");
-        log::problem("request_turned_away", {{"request", one->id.value()},
-                                             {"content", one->content.hex()}});
-        give_up(one, internal::quarantined_status,
-                "the request is quarantined: upstreams ended under it",
-                std::max(host.crashes().records().quarantine_left(one->content,
-                                                                  now()),
-                         internal::trial_time));
+        log::problem("request_turned_away",
+                     {{"request", request->id.value()},
+                      {"content", request->content.hex()}});
+        refuse(request, internal::quarantined_status,
+               "the request is quarantined: upstreams crashed while running it",
+               std::max(host.crashes().records().quarantine_left(
+                            request->content, now()),
+                        internal::trial_retry_after));
     }
 
-    int unserved_status(const live_request& one) const
+    int unserved_status(const live_request& request) const
     {
         const auto& specs = host.view().current().deployments();
         const bool known =
             std::any_of(specs.begin(), specs.end(),
                         [&](const auto& spec)
-                        { return spec.second.model == one.route.model; });
-        return known || upstreams.knows(one.route.model) ? 503 : 404;
+                        { return spec.second.model == request.route.model; });
+        return known || upstreams.knows(request.route.model) ? 503 : 404;
     }
 
-    void pump()
+    void dispatch_queued()
     {
         for (auto& [key, queue] : queues)
         {
-            while (!queue.empty() && pump_one(queue))
+            while (!queue.empty() && dispatch_next(queue))
             {
             }
         }
     }
 
-    /*! @brief Dispatches the request that is due first and has an upstream. */
-    bool pump_one(fair_queue& queue)
+    /*! @brief Takes the first request, in service order of the organisations,
+     * that can be dispatched, is withheld or has ended already.
+     * @return Whether a request was taken from the queue. */
+    bool dispatch_next(fair_queue& queue)
     {
         for (const auto& organisation : queue.service_order())
         {
             const auto* front = queue.front(organisation);
-            const auto found = live.find(front->number);
-            if (found == live.end())
+            const auto found = live_requests.find(front->number);
+            if (found == live_requests.end())
             {
                 queue.pop(organisation);
                 return true;
             }
-            const auto one = found->second;
-            if (kept_from_upstreams(one))
+            const auto request = found->second;
+            if (withhold_suspect(request))
             {
                 queue.pop(organisation);
                 return true;
             }
-            const auto to = upstreams.choose(one->route, now());
+            const auto to = upstreams.choose(request->route, now());
             if (!to)
                 continue;
             queue.pop(organisation);
             queue.record_dispatch(organisation, now());
-            dispatch(one, *to);
+            dispatch(request, *to);
             return true;
         }
         return false;
@@ -270,272 +285,293 @@
 
     // Attempts.
 
-    void dispatch(const pointer& one, const instance_id& to)
+    void dispatch(const request_pointer& request, const instance_id& to)
     {
-        one->upstream = to;
-        one->running = true;
-        one->started = now();
-        ++one->attempt;
-        one->parts = 0;
-        one->gathered.clear();
-        one->events.drop();
+        request->upstream = to;
+        request->running = true;
+        request->started = now();
+        ++request->attempt;
+        request->parts = 0;
+        request->gathered.clear();
+        request->events.drop();
         upstreams.entered(to);
-        if (!host.send(to, dispatch_of(*one, left(*one)), one->body))
-            attempt_ended(one, {outcome::not_run, refusal::unreachable, 503,
-                                "side is not known", milliseconds(100)});
+        if (!host.send(to, dispatch_of(*request, time_left(*request)),
+                       request->body))
+            handle_failed_attempt(
+                request, {outcome::not_run, refusal::unreachable, 503,
+                          "no connection to the sidecar", milliseconds(100)});
     }
 
-    static milliseconds left(const live_request& one)
+    static milliseconds time_left(const live_request& request)
     {
-        return std::chrono::duration_cast<milliseconds>(one.deadline - now());
+        return std::chrono::duration_cast<milliseconds>(request.deadline -
+                                                        now());
     }
 
-    void leave_upstream(const pointer& one)
+    void release_upstream(const request_pointer& request)
     {
-        if (!one->running)
+        if (!request->running)
             return;
-        one->running = false;
-        upstreams.left(one->upstream);
+        request->running = false;
+        upstreams.left(request->upstream);
     }
 
-    pointer attempt_of(const instance_id& from, std::uint64_t stream,
-                       std::uint32_t attempt)
+    request_pointer find_attempt(const instance_id& from, std::uint64_t stream,
+                                 std::uint32_t attempt)
     {
-        const auto found = live.find(stream);
-        if (found == live.end() || found->second->attempt != attempt ||
+        const auto found = live_requests.find(stream);
+        if (found == live_requests.end() || found->second->attempt != attempt ||
             found->second->upstream != from || !found->second->running)
         {
-            // Late: of an attempt that was given up.
+            // The frame belongs to an attempt that was cancelled or replaced.
             host.counters().count("late_frames_total");
             return nullptr;
         }
         return found->second;
     }
 
-    void part(const instance_id& from, const message::answer_part& head,
-              const std::string& bytes)
+    void handle_part(const instance_id& from, const message::answer_part& head,
+                     const std::string& bytes)
     {
-        const auto one = attempt_of(from, head.stream, head.attempt);
-        if (!one)
+        const auto request = find_attempt(from, head.stream, head.attempt);
+        if (!request)
             return;
-        if (head.index != one->parts ||
-            one->gathered.size() + bytes.size() > internal::max_whole_answer)
-            return broken(one, "parts of the answer are missing or too many");
-        ++one->parts;
-        if (!one->streamed)
+        if (head.index != request->parts ||
+            request->gathered.size() + bytes.size() >
+                internal::max_buffered_response)
+            return fail_attempt(
+                request,
+                "parts of the response are missing or it is too large");
+        ++request->parts;
+        if (!request->streamed)
         {
-            one->gathered += bytes;
+            request->gathered += bytes;
             return;
         }
-        pass_events(one, one->events.take(bytes));
+        forward_events(request, request->events.take(bytes));
     }
 
-    void pass_events(const pointer& one, const std::string& whole)
+    void forward_events(const request_pointer& request,
+                        const std::string& whole)
     {
         if (whole.empty())
             return;
-        if (!one->begun)
+        if (!request->begun)
         {
-            const auto* weights = upstreams.weights(one->upstream);
+            const auto* weights = upstreams.weights(request->upstream);
             if (weights != nullptr)
-                one->route.weights = *weights;
-            answers.begin(*one);
+                request->route.weights = *weights;
+            responses.begin(*request);
         }
-        answers.give(one, whole);
+        responses.give(request, whole);
     }
 
-    void broken(const pointer& one, const std::string& reason)
+    void fail_attempt(const request_pointer& request, const std::string& reason)
     {
-        cancel(one);
-        attempt_ended(one, {outcome::unknown, refusal::none, 502, reason,
-                            milliseconds(0)});
+        cancel(request);
+        handle_failed_attempt(request, {outcome::unknown, refusal::none, 502,
+                                        reason, milliseconds(0)});
     }
 
-    void cancel(const pointer& one)
+    void cancel(const request_pointer& request)
     {
         message::cancel cancel;
-        cancel.stream = one->stream;
-        cancel.attempt = one->attempt;
-        host.send(one->upstream, cancel);
+        cancel.stream = request->stream;
+        cancel.attempt = request->attempt;
+        host.send(request->upstream, cancel);
     }
 
-    void end(const instance_id& from, const message::answer_end& head)
+    void handle_end(const instance_id& from, const message::answer_end& head)
     {
-        const auto one = attempt_of(from, head.stream, head.attempt);
-        if (!one)
+        const auto request = find_attempt(from, head.stream, head.attempt);
+        if (!request)
             return;
         if (head.result == outcome::answered &&
-            (head.parts != one->parts || !one->events.whole()))
-            return broken(one, "parts of the answer are missing");
+            (head.parts != request->parts || !request->events.whole()))
+            return fail_attempt(request, "parts of the response are missing");
         if (head.result == outcome::answered)
-            return answered(one, head);
-        attempt_ended(one, {head.result, head.refused, head.status, head.reason,
-                            milliseconds(head.retry_after_ms)});
+            return complete(request, head);
+        handle_failed_attempt(request,
+                              {head.result, head.refused, head.status,
+                               head.reason, milliseconds(head.retry_after_ms)});
     }
 
-    void answered(const pointer& one, const message::answer_end& head)
+    void complete(const request_pointer& request,
+                  const message::answer_end& head)
     {
-        const auto took = now() - one->started;
+        const auto took = now() - request->started;
         upstreams.succeeded(
-            one->upstream,
+            request->upstream,
             std::chrono::duration_cast<std::chrono::microseconds>(took));
-        host.crashes().answered(one->content, now());
-        times.learn(key_of(one->route), to_seconds(took));
-        queue_of(one->route).record_completion(now());
-        leave_upstream(one);
-        live.erase(one->stream);
-        answers.answered(*one, head);
-        pump();
-    }
-
-    /*! @brief An attempt gave no answer: try elsewhere, or say so. */
-    void attempt_ended(const pointer& one, const attempt_end& end)
-    {
-        leave_upstream(one);
-        one->maybe_ran = one->maybe_ran || end.result == outcome::unknown;
-        upstreams.failed(one->upstream, end.refused, now());
-        one->route.excluded.push_back(one->upstream);
-        if (retries.allows(*one, end, left(*one)))
+        host.crashes().answered(request->content, now());
+        estimates.learn(key_of(request->route), to_seconds(took));
+        queue_of(request->route).record_completion(now());
+        release_upstream(request);
+        live_requests.erase(request->stream);
+        responses.answered(*request, head);
+        dispatch_queued();
+    }
+
+    /*! @brief Handles an attempt that ended without a response: the request
+     * goes to another upstream where the retry policy allows it, else the
+     * failure is its final response. */
+    void handle_failed_attempt(const request_pointer& request,
+                               const attempt_end& end)
+    {
+        release_upstream(request);
+        request->maybe_ran =
+            request->maybe_ran || end.result == outcome::unknown;
+        upstreams.failed(request->upstream, end.refused, now());
+        request->route.excluded.push_back(request->upstream);
+        if (retries.allows(*request, end, time_left(*request)))
         {
             host.counters().count("retries_total");
-            return retry(one);
+            return resend(request);
         }
-        live.erase(one->stream);
-        answers.conclude(one, end);
-        pump();
+        live_requests.erase(request->stream);
+        responses.conclude(request, end);
+        dispatch_queued();
     }
 
-    /*! @brief A begun stream is cut rather than queued: its weights may be
-     * gone by the time there is room. */
-    void retry(const pointer& one)
+    /*! @brief Sends a request to another upstream, or queues it. A stream that
+     * has begun is cut rather than queued: by the time a slot is free, no
+     * upstream may serve its weights any more. */
+    void resend(const request_pointer& request)
     {
-        if (kept_from_upstreams(one))
+        if (withhold_suspect(request))
             return;
-        if (const auto to = upstreams.choose(one->route, now()))
-            return dispatch(one, *to);
-        if (one->begun)
-            return give_up(one, 502, "no upstream to resume the stream",
-                           milliseconds(0));
-        // Everybody else is full: all may be asked again.
-        one->route.excluded.clear();
-        place(one);
+        if (const auto to = upstreams.choose(request->route, now()))
+            return dispatch(request, *to);
+        if (request->begun)
+            return refuse(request, 502,
+                          "no upstream available to resume the stream",
+                          milliseconds(0));
+        // No other upstream has a free slot: allow those tried before again.
+        request->route.excluded.clear();
+        dispatch_or_queue(request);
     }
 
-    // Answers without a run.
+    // Responses without an attempt.
 
-    void give_up(const pointer& one, int status, const std::string& reason,
-                 milliseconds retry_after)
+    void refuse(const request_pointer& request, int status,
+                const std::string& reason, milliseconds retry_after)
     {
-        live.erase(one->stream);
-        answers.conclude(one, {outcome::not_run, refusal::none, status, reason,
-                               retry_after});
+        live_requests.erase(request->stream);
+        responses.conclude(request, {outcome::not_run, refusal::none, status,
+                                     reason, retry_after});
     }
 
-    void abandoned(std::uint64_t stream)
+    void handle_disconnect(std::uint64_t stream)
     {
-        const auto found = live.find(stream);
-        if (found == live.end())
+        const auto found = live_requests.find(stream);
+        if (found == live_requests.end())
             return;
-        const auto one = found->second;
+        const auto request = found->second;
         host.counters().count("callers_left_total");
-        live.erase(found);
-        if (one->running)
+        live_requests.erase(found);
+        if (request->running)
         {
-            cancel(one);
-            leave_upstream(one);
+            cancel(request);
+            release_upstream(request);
         }
         else
         {
-            queue_of(one->route).remove(one->organisation, stream);
+            queue_of(request->route).remove(request->organisation, stream);
         }
-        pump();
+        dispatch_queued();
     }
 
-    // Sides.
+    // Sidecars.
 
-    void reported(const message::report& one)
+    void handle_report(const message::report& report)
     {
-        upstreams.reported(one, now());
-        pump();
+        upstreams.reported(report, now());
+        dispatch_queued();
     }
 
     void peer_lost(const instance_id& peer)
     {
         claims.peer_lost(peer);
         upstreams.peer_lost(peer);
-        std::vector<pointer> affected;
-        for (const auto& [stream, one] : live)
+        std::vector<request_pointer> affected;
+        for (const auto& [stream, request] : live_requests)
         {
-            if (one->running && one->upstream == peer)
-                affected.push_back(one);
+            if (request->running && request->upstream == peer)
+                affected.push_back(request);
         }
-        for (const auto& one : affected)
-            attempt_ended(one, {outcome::unknown, refusal::none, 502,
-                                "the connection to the side was lost",
-                                milliseconds(0)});
+        for (const auto& request : affected)
+            handle_failed_attempt(request,
+                                  {outcome::unknown, refusal::none, 502,
+                                   "the connection to the sidecar was lost",
+                                   milliseconds(0)});
     }
 
-    // Time.
+    // Timers.
 
     void tick()
     {
         for (auto& [key, queue] : queues)
         {
-            for (const auto& late : queue.remove_late(times[key], now()))
-                expired(late.number, queue);
+            for (const auto& late : queue.remove_late(estimates[key], now()))
+                refuse_expired(late.number, queue);
         }
-        if (now() - deadlines_checked > deadline_interval)
+        if (now() - last_deadline_check > deadline_check_interval)
             check_deadlines();
-        release_held();
-        pump();
+        resend_held();
+        dispatch_queued();
     }
 
-    void expired(std::uint64_t stream, const fair_queue& queue)
+    void refuse_expired(std::uint64_t stream, const fair_queue& queue)
     {
-        const auto found = live.find(stream);
-        if (found == live.end())
+        const auto found = live_requests.find(stream);
+        if (found == live_requests.end())
             return;
-        const auto one = found->second;
+        const auto request = found->second;
         host.counters().count("requests_expired_total");
-        give_up(one, 429, "no room before the deadline",
-                fair_queue::retry_after(
-                    queue.expected_wait(one->organisation, now())));
+        refuse(request, 429, "no free slot expected before the deadline",
+               fair_queue::retry_after(
+                   queue.expected_wait(request->organisation, now())));
     }
 
-    /*! @brief Ends attempts whose deadline has passed before a first part. */
+    /*! @brief Cancels attempts whose deadline has passed before the response to
+     * the caller has begun. */
     void check_deadlines()
     {
-        deadlines_checked = now();
-        std::vector<pointer> late;
-        for (const auto& [stream, one] : live)
+        last_deadline_check = now();
+        std::vector<request_pointer> late;
+        for (const auto& [stream, request] : live_requests)
         {
-            if (one->running && !one->begun && one->deadline <= now())
-                late.push_back(one);
+            if (request->running && !request->begun &&
+                request->deadline <= now())
+                late.push_back(request);
         }
-        for (const auto& one : late)
+        for (const auto& request : late)
         {
-            cancel(one);
-            leave_upstream(one);
-            live.erase(one->stream);
-            answers.conclude(one, {outcome::unknown, refusal::none, 504,
-                                   "the deadline has passed", milliseconds(0)});
+            cancel(request);
+            release_upstream(request);
+            live_requests.erase(request->stream);
+            responses.conclude(request,
+                               {outcome::unknown, refusal::none, 504,
+                                "the deadline has passed", milliseconds(0)});
         }
     }
 
-    static constexpr milliseconds leave_accept{3000};
-    static constexpr milliseconds deadline_interval{50};
+    /*! @brief How long an entry that is leaving still accepts requests. */
+    static constexpr milliseconds accept_while_leaving{3000};
+    static constexpr milliseconds deadline_check_interval{50};
 
     node& host;
     internal::live_upstreams upstreams;
     internal::claim_notes claims;
-    internal::caller_answers answers;
+    internal::caller_answers responses;
     internal::retry_rule retries;
-    internal::service_times<queue_key> times;
+    internal::service_times<queue_key> estimates;
     std::map<queue_key, fair_queue> queues;
-    std::unordered_map<std::uint64_t, pointer> live;
-    std::vector<std::uint64_t> held; /*!< They wait for a copy of theirs. */
-    std::uint64_t streams{0};
-    time_point deadlines_checked{};
+    std::unordered_map<std::uint64_t, request_pointer> live_requests;
+    /*! @brief Streams of requests that wait while a copy of them runs. */
+    std::vector<std::uint64_t> held_requests;
+    std::uint64_t last_stream{0};
+    time_point last_deadline_check{};
 };
 
 request_service::request_service(node& owner)
@@ -545,34 +581,34 @@
 
 request_service::~request_service() = default;
 
-void request_service::request(http_request from,
-                              const std::shared_ptr<http_reply>& reply)
+void request_service::handle_request(http_request incoming,
+                                     const std::shared_ptr<http_reply>& reply)
 {
-    self->request(std::move(from), reply);
+    self->handle_request(std::move(incoming), reply);
 }
 
-void request_service::reported(const message::report& one)
+void request_service::handle_report(const message::report& report)
 {
-    self->reported(one);
+    self->handle_report(report);
 }
 
-bool request_service::received(const instance_id& from, frame& one)
+bool request_service::handle_frame(const instance_id& from, frame& received)
 {
-    if (one.type == frame_type::answer_part)
+    if (received.type == frame_type::answer_part)
     {
-        const auto head = decode<message::answer_part>(one.head);
+        const auto head = decode<message::answer_part>(received.head);
         if (head)
-            self->part(from, head.value(), one.payload);
+            self->handle_part(from, head.value(), received.payload);
         return true;
     }
-    if (one.type == frame_type::answer_end)
+    if (received.type == frame_type::answer_end)
     {
-        const auto head = decode<message::answer_end>(one.head);
+        const auto head = decode<message::answer_end>(received.head);
         if (head)
-            self->end(from, head.value());
+            self->handle_end(from, head.value());
         return true;
     }
-    return self->claims.received(from, one);
+    return self->claims.received(from, received);
 }
 
 void request_service::peer_lost(const instance_id& peer)
@@ -587,7 +623,7 @@
 
 std::size_t request_service::size() const
 {
-    return self->live.size();
+    return self->live_requests.size();
 }
 
 std::string request_service::dump() const
@@ -598,7 +634,7 @@
         waiting.push_back({{"kind", key.first},
                            {"model", key.second},
                            {"waiting", queue.size()}});
-    return json{{"requests", self->live.size()},
+    return json{{"requests", self->live_requests.size()},
                 {"upstreams", self->upstreams.dump()},
                 {"queues", std::move(waiting)}}
         .dump();
--- a/src/coursejunction/daemon/request_service.hpp
+++ b/src/coursejunction/daemon/request_service.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Callers' requests, from their arrival at an entry to their outcome.
+ * @brief Handles callers' requests at an entry, from arrival to final response.
  */
 #ifndef COURSEJUNCTION_DAEMON_REQUEST_SERVICE_HPP
 #define COURSEJUNCTION_DAEMON_REQUEST_SERVICE_HPP
@@ -17,30 +17,35 @@
 
 class node;
 
-/*! @brief Queues, routes, dispatches, retries and answers requests. */
+/*! @brief Queues and routes requests, dispatches them to upstreams, tries
+ * failed attempts elsewhere, and responds to the callers. */
 class request_service
 {
 public:
     explicit request_service(node& owner);
     ~request_service();
 
-    /*! @brief Takes a caller's request to a model engine or plain service. */
-    void request(http_request from, const std::shared_ptr<http_reply>& reply);
+    /*! @brief Handles a caller's request for a model engine or a plain
+     * service; the response is sent through `reply`. */
+    void handle_request(http_request incoming,
+                        const std::shared_ptr<http_reply>& reply);
 
-    /*! @brief Takes a side's report. */
-    void reported(const message::report& one);
+    /*! @brief Applies a sidecar's report to the routing state. */
+    void handle_report(const message::report& report);
 
-    /*! @brief Takes a frame of an answer.
-     * @return Whether it was one. */
-    bool received(const instance_id& from, frame& one);
+    /*! @brief Handles a frame that carries a part or the end of a response, or
+     * that belongs to a claim.
+     * @return Whether the frame was of one of these types. */
+    bool handle_frame(const instance_id& from, frame& received);
 
-    /*! @brief Notes that a side's connection is gone. */
+    /*! @brief Fails the attempts at a peer whose connection is lost. */
     void peer_lost(const instance_id& peer);
 
-    /*! @brief Moves on: deadlines and the queue. */
+    /*! @brief Expires requests and dispatches queued ones; called every few
+     * milliseconds. */
     void tick();
 
-    /*! @brief Returns how many requests are in progress. */
+    /*! @brief Returns the number of requests without a final response. */
     [[nodiscard]] std::size_t size() const;
 
     /*! @brief Returns the state as JSON. */
--- a/src/coursejunction/daemon/resource_api.cpp
+++ b/src/coursejunction/daemon/resource_api.cpp
@@ -380,7 +380,7 @@
         }
         host.counters().count("configuration_writes_total", 1,
                               {{"result", "accepted"}});
-        host.adopt(got.end.value());
+        host.offer_configuration(got.end.value());
         const auto* spec = got.end.value().find(name);
         internal::send_json(
             reply, 200,
@@ -410,7 +410,7 @@
                     return internal::send_json(
                         reply, 404,
                         {{"write", id.value()}, {"accepted", false}});
-                host.adopt(stored.value());
+                host.offer_configuration(stored.value());
                 send_accepted(id, *made, reply);
             });
     }
@@ -434,7 +434,7 @@
             host.view().current().find(deployment_name(name)) == nullptr)
             return internal::send_error(reply, error_kind::not_found,
                                         "no deployment " + name);
-        reports.status(
+        reports.query_status(
             [this, name, reply](const status_view& view)
             {
                 json items = json::array();
--- a/src/coursejunction/daemon/run_service.cpp
+++ b/src/coursejunction/daemon/run_service.cpp
@@ -18,28 +18,34 @@
 namespace internal
 {
 
-constexpr std::size_t remembered_requests = 100'000;
-constexpr std::size_t kept_body = std::size_t{64} << 10U;
-constexpr std::chrono::seconds longest_silence{300};
-constexpr milliseconds outage_retry{1000};
-constexpr milliseconds busy_retry{100};
-/*! @brief Time in which an upstream that lives answers for its state. */
-constexpr milliseconds end_timeout{1000};
-constexpr std::string_view weights_mark = "\"weights\":\"";
-constexpr std::string_view done_mark = "data: [DONE]";
+constexpr std::size_t max_remembered_requests = 100'000;
+/*! @brief Larger responses of not-repeatable requests are not cached. */
+constexpr std::size_t max_cached_body = std::size_t{64} << 10U;
+/*! @brief How long an upstream may send nothing during a run. */
+constexpr std::chrono::seconds upstream_silence_timeout{300};
+/*! @brief Retry-After when the outcome of a claim is not known. */
+constexpr milliseconds claim_retry_after{1000};
+/*! @brief Retry-After when the upstream cannot take the request now. */
+constexpr milliseconds busy_retry_after{100};
+/*! @brief Timeout of the state read that shows whether an upstream crashed. */
+constexpr milliseconds crash_check_timeout{1000};
+constexpr std::string_view weights_field = "\"weights\":\"";
+constexpr std::string_view stream_end = "data: [DONE]";
 constexpr std::size_t hash_digits = 64;
-constexpr std::size_t tail_kept = 128;
+/*! @brief Bytes of a response's end that are searched for the end event. */
+constexpr std::size_t max_tail = 128;
 
-/*! @brief Looks in a part of an answer for weights other than expected. */
-bool foreign_weights(std::string_view part, const std::string& expected)
+/*! @brief Tells whether a part of a response carries a weights hash other than
+ * the expected one. */
+bool has_foreign_weights(std::string_view part, const std::string& expected)
 {
-    auto at = part.find(weights_mark);
+    auto at = part.find(weights_field);
     while (at != std::string_view::npos)
     {
-        const auto hash = part.substr(at + weights_mark.size(), hash_digits);
+        const auto hash = part.substr(at + weights_field.size(), hash_digits);
         if (hash.size() == hash_digits && hash != expected)
             return true;
-        at = part.find(weights_mark, at + weights_mark.size());
+        at = part.find(weights_field, at + weights_field.size());
     }
     return false;
 }
@@ -50,434 +56,464 @@
 {
     using run_key = std::pair<instance_id, std::uint64_t>;
 
-    struct run
+    struct active_run
     {
-        message::dispatch ask;
-        instance_id from;
+        message::dispatch dispatch;
+        instance_id entry;
         std::string body;
         request_content content;
-        std::string expected;
+        std::string expected_weights; /*!< Empty for a plain service. */
         std::string content_type;
         std::string tail;
-        std::string kept;
+        std::string cached_body;
         http_client::call_id call{0};
-        std::uint32_t parts{0};
-        bool trial{false};
-        bool claiming{false};
-        bool orphan{false};
-        bool mixed{false};
-        refusal refused{refusal::none};
-        time_point began{};
+        std::uint32_t sent_parts{0};
+        bool on_trial{false};
+        bool claim_pending{false};
+        bool entry_lost{false};
+        bool foreign_weights{false}; /*!< Aborted because of them. */
+        refusal refusal_reason{refusal::none};
+        time_point started_at{};
     };
 
-    using run_pointer = std::shared_ptr<run>;
+    using run_pointer = std::shared_ptr<active_run>;
 
-    implementation(node& owner, upstream_client& to, run_gate with)
-        : host(owner), upstream(to), gate(std::move(with)),
-          registry(internal::remembered_requests),
-          claims(owner, internal::remembered_requests)
+    implementation(node& owner, upstream_client& target,
+                   replica_callbacks callbacks)
+        : host(owner), upstream(target), replica(std::move(callbacks)),
+          registry(internal::max_remembered_requests),
+          claims(owner, internal::max_remembered_requests)
     {
     }
 
     static time_point now() { return event_loop::now(); }
 
-    // Admission.
+    // Claims and admission.
 
-    void dispatched(const instance_id& from, message::dispatch ask,
-                    std::string body)
+    void handle_dispatch(const instance_id& from, message::dispatch dispatch,
+                         std::string body)
     {
-        auto one = std::make_shared<run>();
-        one->from = from;
-        one->content = request_content::of(ask.organisation, ask.path, body);
-        one->trial = host.crashes().standing(one->content, now()) ==
-                     crash_status::on_trial;
-        one->body = std::move(body);
-        one->began = now();
-        const auto why = refused(ask);
-        one->ask = std::move(ask);
-        if (why != refusal::none)
-            return refuse(one, why, internal::busy_retry);
-        runs[{from, one->ask.stream}] = one;
-        if (one->ask.not_repeatable)
-            return admit(one);
-        start(one);
+        auto run = std::make_shared<active_run>();
+        run->entry = from;
+        run->content =
+            request_content::of(dispatch.organisation, dispatch.path, body);
+        run->on_trial = host.crashes().standing(run->content, now()) ==
+                        crash_status::on_trial;
+        run->body = std::move(body);
+        run->started_at = now();
+        const auto reason = refusal_for(dispatch);
+        run->dispatch = std::move(dispatch);
+        if (reason != refusal::none)
+            return refuse(run, reason, internal::busy_retry_after);
+        runs[{from, run->dispatch.stream}] = run;
+        if (run->dispatch.not_repeatable)
+            return start_once(run);
+        start(run);
     }
 
-    refusal refused(const message::dispatch& ask) const
+    refusal refusal_for(const message::dispatch& dispatch) const
     {
         if (host.is_leaving())
             return refusal::leaving;
-        if (!gate.open() ||
-            (!ask.weights.empty() && ask.weights != gate.weights().hex()))
+        if (!replica.accepts_requests() ||
+            (!dispatch.weights.empty() &&
+             dispatch.weights != replica.serving_version().hex()))
             return refusal::closed;
-        return runs.size() >= gate.slots() ? refusal::busy : refusal::none;
+        return runs.size() >= replica.slots() ? refusal::busy : refusal::none;
     }
 
-    /*! @brief Ends an attempt that did not start and never will. */
-    void refuse(const run_pointer& one, refusal why, milliseconds retry_after)
+    /*! @brief Ends an attempt that has not started and never will. */
+    void refuse(const run_pointer& run, refusal reason,
+                milliseconds retry_after)
     {
-        one->refused = why;
-        end(one, outcome::not_run, 503, std::string(to_string(why)),
-            retry_after);
+        run->refusal_reason = reason;
+        send_end(run, outcome::not_run, 503, std::string(to_string(reason)),
+                 retry_after);
     }
 
-    void admit(const run_pointer& one)
+    /*! @brief Starts a not-repeatable request, unless it was started before
+     * here or elsewhere. */
+    void start_once(const run_pointer& run)
     {
-        const request_id id(one->ask.request);
+        const request_id id(run->dispatch.request);
         switch (registry.begin_claim(id))
         {
         case start_decision::start:
-            one->claiming = true;
-            return claim(one);
+            run->claim_pending = true;
+            return request_claim(run);
         case start_decision::claim_pending:
         case start_decision::running:
-            return duplicate(one, internal::outage_retry);
+            return end_duplicate(run, internal::claim_retry_after);
         case start_decision::finished:
-            return repeat(one, registry.find_response(id));
+            return replay_response(run, registry.find_response(id));
         case start_decision::claimed_elsewhere:
-            return duplicate(one);
+            return end_duplicate(run);
         case start_decision::forbidden:
-            return refuse(one, refusal::cancelled, milliseconds(0));
+            return refuse(run, refusal::cancelled, milliseconds(0));
         }
     }
 
     /*! @brief Ends an attempt of a request that was started before. */
-    void duplicate(const run_pointer& one,
-                   milliseconds retry_after = milliseconds(0))
+    void end_duplicate(const run_pointer& run,
+                       milliseconds retry_after = milliseconds(0))
     {
-        one->refused = refusal::duplicate;
-        end(one, outcome::unknown, 409,
-            std::string(to_string(refusal::duplicate)), retry_after);
+        run->refusal_reason = refusal::duplicate;
+        send_end(run, outcome::unknown, 409,
+                 std::string(to_string(refusal::duplicate)), retry_after);
     }
 
-    /*! @brief Gives the kept answer of a request that has run. */
-    void repeat(const run_pointer& one, const cached_response* answer)
+    /*! @brief Sends the cached response of a request that has already run; a
+     * response that is not cached makes it a duplicate. */
+    void replay_response(const run_pointer& run,
+                         const cached_response* response)
     {
-        if (answer == nullptr)
-            return duplicate(one);
-        one->content_type = answer->content_type;
-        part(one, answer->body);
-        end(one, outcome::answered, answer->status, "repeated answer");
+        if (response == nullptr)
+            return end_duplicate(run);
+        run->content_type = response->content_type;
+        send_part(run, response->body);
+        send_end(run, outcome::answered, response->status, "cached response");
     }
 
-    void claim(const run_pointer& one)
+    void request_claim(const run_pointer& run)
     {
-        claims.claim(request_id(one->ask.request),
-                     [this, one](internal::claim_end end)
-                     { claimed(one, end); });
+        claims.claim(request_id(run->dispatch.request),
+                     [this, run](internal::claim_end result)
+                     { handle_claim(run, result); });
     }
 
-    void claimed(const run_pointer& one, internal::claim_end end)
+    void handle_claim(const run_pointer& run, internal::claim_end result)
     {
-        const request_id id(one->ask.request);
-        switch (end)
+        const request_id id(run->dispatch.request);
+        switch (result)
         {
         case internal::claim_end::won:
-            one->claiming = false;
+            run->claim_pending = false;
             if (registry.start_claimed(id))
-                return start(one);
-            return refuse(one, refusal::cancelled, milliseconds(0));
+                return start(run);
+            return refuse(run, refusal::cancelled, milliseconds(0));
         case internal::claim_end::lost:
-            one->claiming = false;
+            run->claim_pending = false;
             registry.claim_lost(id);
-            return duplicate(one);
+            return end_duplicate(run);
         case internal::claim_end::unknown:
-            return unclaimed(one);
+            return handle_unknown_claim(run);
         }
     }
 
-    void unclaimed(const run_pointer& one)
+    void handle_unknown_claim(const run_pointer& run)
     {
-        one->claiming = false;
-        registry.release_claim(request_id(one->ask.request));
-        refuse(one, refusal::claim, internal::outage_retry);
+        run->claim_pending = false;
+        registry.release_claim(request_id(run->dispatch.request));
+        refuse(run, refusal::claim, internal::claim_retry_after);
     }
 
     // Running.
 
-    void start(const run_pointer& one)
+    void start(const run_pointer& run)
     {
         host.counters().count("runs_started_total");
-        one->expected = gate.weights().empty() ? "" : gate.weights().hex();
+        run->expected_weights = replica.serving_version().empty()
+                                    ? ""
+                                    : replica.serving_version().hex();
         http_call call;
         call.method = "POST";
-        call.url = upstream.url() + one->ask.path;
+        call.url = upstream.url() + run->dispatch.path;
         call.headers = {{"Content-Type", "application/json"},
-                        {"Request-Id", one->ask.request},
-                        {"Organisation", one->ask.organisation},
-                        {"Priority", std::to_string(one->ask.priority)},
-                        {"Seed", std::to_string(one->ask.seed)}};
-        if (one->ask.resume_from > 0)
-            call.headers["Resume-From"] = std::to_string(one->ask.resume_from);
-        call.body = std::move(one->body);
-        // The entry ends what is late; a begun answer may be late and whole.
+                        {"Request-Id", run->dispatch.request},
+                        {"Organisation", run->dispatch.organisation},
+                        {"Priority", std::to_string(run->dispatch.priority)},
+                        {"Seed", std::to_string(run->dispatch.seed)}};
+        if (run->dispatch.resume_from > 0)
+            call.headers["Resume-From"] =
+                std::to_string(run->dispatch.resume_from);
+        call.body = std::move(run->body);
+        // No timeout for the whole call: the entry cancels late requests, and
+        // a response that has begun may end after its deadline.
         call.new_connection = true;
-        call.answer_time = internal::longest_silence;
-        call.stall_time = internal::longest_silence;
-        one->call = host.http().start(
+        call.answer_time = internal::upstream_silence_timeout;
+        call.stall_time = internal::upstream_silence_timeout;
+        run->call = host.http().start(
             std::move(call),
-            [this, one](const http_result& done) { ended(one, done); },
-            [this, one](int, std::string bytes)
-            { streamed(one, std::move(bytes)); });
+            [this, run](const http_result& done)
+            { handle_upstream_result(run, done); },
+            [this, run](int, std::string bytes)
+            { handle_bytes(run, std::move(bytes)); });
     }
 
-    void streamed(const run_pointer& one, std::string bytes)
+    void handle_bytes(const run_pointer& run, std::string bytes)
     {
-        if (one->mixed)
+        if (run->foreign_weights)
             return;
-        if (!one->expected.empty() &&
-            internal::foreign_weights(bytes, one->expected))
-            return mixed(one);
-        if (one->parts == 0 && !one->expected.empty())
+        if (!run->expected_weights.empty() &&
+            internal::has_foreign_weights(bytes, run->expected_weights))
+            return abort_foreign_weights(run);
+        if (run->sent_parts == 0 && !run->expected_weights.empty())
         {
-            const auto took = now() - one->began;
-            gate.first_token(took);
+            const auto took = now() - run->started_at;
+            replica.record_first_token(took);
             host.counters().observe("first_token_seconds", to_seconds(took));
         }
-        one->tail.append(bytes);
-        if (one->tail.size() > internal::tail_kept)
-            one->tail.erase(0, one->tail.size() - internal::tail_kept);
-        part(one, bytes);
+        run->tail.append(bytes);
+        if (run->tail.size() > internal::max_tail)
+            run->tail.erase(0, run->tail.size() - internal::max_tail);
+        send_part(run, bytes);
     }
 
-    /*! @brief An answer was computed with other weights than intended: it is
-     * cut here and the upstream is read again. */
-    void mixed(const run_pointer& one)
+    /*! @brief Aborts a response that was computed with other weights than the
+     * expected ones, and has the state of the upstream read again. */
+    void abort_foreign_weights(const run_pointer& run)
     {
-        one->mixed = true;
+        run->foreign_weights = true;
         host.counters().count("answers_foreign_weights_total");
-        host.http().cancel(one->call);
-        gate.doubt();
-        finish(one, outcome::unknown, 502, "answer with unintended weights");
+        host.http().cancel(run->call);
+        replica.invalidate();
+        finish(run, outcome::unknown, 502,
+               "the response came from unexpected weights");
     }
 
-    void part(const run_pointer& one, std::string_view bytes)
+    void send_part(const run_pointer& run, std::string_view bytes)
     {
-        if (one->ask.not_repeatable && one->kept.size() <= internal::kept_body)
-            one->kept.append(bytes);
+        if (run->dispatch.not_repeatable &&
+            run->cached_body.size() <= internal::max_cached_body)
+            run->cached_body.append(bytes);
         message::answer_part part;
-        part.stream = one->ask.stream;
-        part.attempt = one->ask.attempt;
-        part.index = one->parts++;
-        if (!one->orphan)
-            host.send(one->from, part, bytes);
+        part.stream = run->dispatch.stream;
+        part.attempt = run->dispatch.attempt;
+        part.index = run->sent_parts++;
+        if (!run->entry_lost)
+            host.send(run->entry, part, bytes);
     }
 
-    void ended(const run_pointer& one, const http_result& done)
+    void handle_upstream_result(const run_pointer& run, const http_result& done)
     {
         if (done.reach == http_reach::not_sent)
-            return unreached(one);
+            return end_unreached(run);
         if (done.reach == http_reach::interrupted)
         {
-            const bool served = !one->expected.empty() && gate.open();
-            gate.doubt();
-            look_for_end(*one, served);
-            return finish(one, outcome::unknown, 502,
-                          "the upstream broke off: " + done.fault);
+            const bool was_serving =
+                !run->expected_weights.empty() && replica.accepts_requests();
+            replica.invalidate();
+            check_for_crash(*run, was_serving);
+            return finish(run, outcome::unknown, 502,
+                          "the upstream connection was interrupted: " +
+                              done.fault);
         }
         const auto type = done.headers.find("content-type");
-        one->content_type = type == done.headers.end() ? "" : type->second;
-        if (done.status == 503 && !one->expected.empty())
+        run->content_type = type == done.headers.end() ? "" : type->second;
+        if (done.status == 503 && !run->expected_weights.empty())
         {
-            gate.doubt();
-            return refuse(one, refusal::closed, internal::busy_retry);
+            replica.invalidate();
+            return refuse(run, refusal::closed, internal::busy_retry_after);
         }
         const auto weights = done.headers.find("weights");
-        if (!one->expected.empty() && done.ok() &&
-            (weights == done.headers.end() || weights->second != one->expected))
-            return mixed(one);
+        if (!run->expected_weights.empty() && done.ok() &&
+            (weights == done.headers.end() ||
+             weights->second != run->expected_weights))
+            return abort_foreign_weights(run);
         const bool stream =
-            one->content_type.rfind("text/event-stream", 0) == 0;
-        if (stream && one->tail.find(internal::done_mark) == std::string::npos)
-            return finish(one, outcome::unknown, 502, "the stream has no end");
+            run->content_type.rfind("text/event-stream", 0) == 0;
+        if (stream && run->tail.find(internal::stream_end) == std::string::npos)
+            return finish(run, outcome::unknown, 502,
+                          "the stream ended without [DONE]");
         if (!done.ok() && !done.body.empty())
-            part(one, done.body);
-        finish(one, outcome::answered, static_cast<std::uint16_t>(done.status),
+            send_part(run, done.body);
+        finish(run, outcome::answered, static_cast<std::uint16_t>(done.status),
                "");
     }
 
-    /*! @brief A run broke off. Whether its upstream ended is asked there: it
-     * did when nobody listens any more, or when it serves nothing where it
-     * served weights.
-     * @param served Whether it served until then. The order to load again goes
-     * out at once; without it, an upstream that already loads was ordered to
-     * while the run was under way, and may have cut it. */
-    void look_for_end(const run& one, bool served)
+    /*! @brief Asks an upstream that interrupted a run whether it has crashed:
+     * it has when it accepts no connection, or when an engine serves no version
+     * any more.
+     * @param was_serving Whether it served a version until then. If so, an
+     * engine that is loading has crashed too, since the load command is sent
+     * again at once. If not, the load may have begun during the run and cut
+     * it. */
+    void check_for_crash(const active_run& run, bool was_serving)
     {
-        const instance_id life(host.settings().instance.value() + "/" +
-                               std::to_string(host.incarnation()));
-        const auto end = crash_id_of(life, incarnation(ends + 1));
-        const auto evidence = one.trial       ? crash_evidence::trial
-                              : one.parts > 0 ? crash_evidence::mid_response
-                                              : crash_evidence::before_response;
-        if (!witness.add_lost_attempt({host.settings().instance,
-                                       upstream.url(),
-                                       {one.content, end, evidence}},
-                                      now()))
+        const instance_id process_id(host.settings().instance.value() + "/" +
+                                     std::to_string(host.incarnation()));
+        const auto crash =
+            crash_id_of(process_id, incarnation(crash_count + 1));
+        const auto evidence = run.on_trial ? crash_evidence::trial
+                              : run.sent_parts > 0
+                                  ? crash_evidence::mid_response
+                                  : crash_evidence::before_response;
+        if (!crash_tracker.add_lost_attempt({host.settings().instance,
+                                             upstream.url(),
+                                             {run.content, crash, evidence}},
+                                            now()))
             return;
         http_call call;
         call.url = upstream.url() + "/v1/state";
-        call.timeout = internal::end_timeout;
+        call.timeout = internal::crash_check_timeout;
         host.http().start(std::move(call),
-                          [this, engine = !one.expected.empty(),
-                           served](const http_result& done)
+                          [this, engine = !run.expected_weights.empty(),
+                           was_serving](const http_result& done)
                           {
-                              if (has_ended(done, engine, served))
-                                  upstream_ended();
+                              if (has_crashed(done, engine, was_serving))
+                                  record_upstream_crash();
                           });
     }
 
-    [[nodiscard]] static bool has_ended(const http_result& done, bool engine,
-                                        bool served)
+    [[nodiscard]] static bool has_crashed(const http_result& done, bool engine,
+                                          bool was_serving)
     {
         if (done.reach == http_reach::not_sent)
             return true;
         const auto body = nlohmann::json::parse(done.body, nullptr, false);
         return engine && done.ok() && body.is_object() &&
                body.value("serving", "").empty() &&
-               (served || !body.value("loading", false));
+               (was_serving || !body.value("loading", false));
     }
 
-    void upstream_ended()
+    void record_upstream_crash()
     {
-        ++ends;
-        const auto accused = witness.confirm_crash(
+        ++crash_count;
+        const auto reports = crash_tracker.confirm_crash(
             host.settings().instance, crash_proof::confirmed, now());
         host.counters().count("upstreams_ended_under_requests_total");
         log::warning("upstream_ended",
-                     {{"requests", std::to_string(accused.size())}});
-        host.crashes().accuse(accused, now());
+                     {{"requests", std::to_string(reports.size())}});
+        host.crashes().accuse(reports, now());
     }
 
-    /*! @brief The upstream was never connected to: it did not run. */
-    void unreached(const run_pointer& one)
+    /*! @brief Ends a run that did not start, as the upstream accepted no
+     * connection. */
+    void end_unreached(const run_pointer& run)
     {
-        if (one->ask.not_repeatable)
-            registry.upstream_unreached(request_id(one->ask.request));
-        gate.doubt();
-        refuse(one, refusal::unreachable, internal::busy_retry);
+        if (run->dispatch.not_repeatable)
+            registry.upstream_unreached(request_id(run->dispatch.request));
+        replica.invalidate();
+        refuse(run, refusal::unreachable, internal::busy_retry_after);
     }
 
-    void finish(const run_pointer& one, outcome what, std::uint16_t status,
+    void finish(const run_pointer& run, outcome result, std::uint16_t status,
                 const std::string& reason)
     {
-        if (one->ask.not_repeatable)
+        if (run->dispatch.not_repeatable)
         {
-            const bool whole = what == outcome::answered &&
-                               one->kept.size() <= internal::kept_body;
-            registry.finish(
-                request_id(one->ask.request),
-                whole ? cached_response{status, one->content_type, one->kept}
-                      : cached_response{});
+            const bool cacheable =
+                result == outcome::answered &&
+                run->cached_body.size() <= internal::max_cached_body;
+            registry.finish(request_id(run->dispatch.request),
+                            cacheable
+                                ? cached_response{status, run->content_type,
+                                                  run->cached_body}
+                                : cached_response{});
         }
-        end(one, what, status, reason);
+        send_end(run, result, status, reason);
     }
 
-    void end(const run_pointer& one, outcome what, std::uint16_t status,
-             const std::string& reason,
-             milliseconds retry_after = milliseconds(0))
+    void send_end(const run_pointer& run, outcome result, std::uint16_t status,
+                  const std::string& reason,
+                  milliseconds retry_after = milliseconds(0))
     {
-        const auto found = runs.find({one->from, one->ask.stream});
-        if (found != runs.end() && found->second == one)
+        const auto found = runs.find({run->entry, run->dispatch.stream});
+        if (found != runs.end() && found->second == run)
             runs.erase(found);
         host.counters().count("runs_ended_total", 1,
-                              {{"outcome", std::string(to_string(what))}});
-        if (one->orphan)
+                              {{"outcome", std::string(to_string(result))}});
+        if (run->entry_lost)
             return;
         message::answer_end end;
-        end.stream = one->ask.stream;
-        end.attempt = one->ask.attempt;
-        end.result = what;
-        end.refused = one->refused;
+        end.stream = run->dispatch.stream;
+        end.attempt = run->dispatch.attempt;
+        end.result = result;
+        end.refused = run->refusal_reason;
         end.status = status;
-        end.parts = one->parts;
+        end.parts = run->sent_parts;
         end.retry_after_ms = static_cast<std::uint32_t>(retry_after.count());
         end.load = static_cast<std::uint32_t>(runs.size());
-        end.content_type = one->content_type;
-        end.weights = one->expected;
+        end.content_type = run->content_type;
+        end.weights = run->expected_weights;
         end.reason = reason;
-        host.send(one->from, end);
+        host.send(run->entry, end);
     }
 
-    // Cancelling.
+    // Cancellation.
 
-    void cancelled(const instance_id& from, const message::cancel& cancel)
+    void handle_cancel(const instance_id& from, const message::cancel& cancel)
     {
         const auto found = runs.find({from, cancel.stream});
-        if (found == runs.end() || found->second->ask.attempt != cancel.attempt)
+        if (found == runs.end() ||
+            found->second->dispatch.attempt != cancel.attempt)
             return;
-        // Ending the run takes it out of the map: hold it meanwhile.
-        const auto one = found->second;
-        withdraw(one);
+        // Copied, since ending the run erases it from the map.
+        const auto run = found->second;
+        cancel_run(run);
     }
 
-    /*! @brief Ends a run whose caller has left. */
-    void withdraw(const run_pointer& one)
+    /*! @brief Cancels a run that no caller waits for; a not-repeatable request
+     * that has started runs to its end. */
+    void cancel_run(const run_pointer& run)
     {
-        if (one->claiming)
+        if (run->claim_pending)
         {
-            // Not started: promise that it never will be.
-            static_cast<void>(registry.forbid(request_id(one->ask.request)));
+            // It has not started: makes sure that it never will.
+            static_cast<void>(
+                registry.forbid(request_id(run->dispatch.request)));
             return;
         }
-        if (one->ask.not_repeatable)
+        if (run->dispatch.not_repeatable)
             return;
         host.counters().count("runs_cancelled_total");
-        host.http().cancel(one->call);
-        finish(one, outcome::unknown, 499, "cancelled");
+        host.http().cancel(run->call);
+        finish(run, outcome::unknown, 499, "cancelled");
     }
 
     void peer_lost(const instance_id& peer)
     {
         claims.peer_lost(peer);
         std::vector<run_pointer> affected;
-        for (const auto& [key, one] : runs)
+        for (const auto& [key, run] : runs)
         {
             if (key.first == peer)
-                affected.push_back(one);
+                affected.push_back(run);
         }
-        for (const auto& one : affected)
+        for (const auto& run : affected)
         {
-            one->orphan = true;
-            withdraw(one);
+            run->entry_lost = true;
+            cancel_run(run);
         }
     }
 
     node& host;
     upstream_client& upstream;
-    run_gate gate;
+    replica_callbacks replica;
     run_registry registry;
     internal::run_claims claims;
-    lost_attempt_tracker witness;
-    std::uint64_t ends{0}; /*!< Of the upstream, as far as they were seen. */
+    lost_attempt_tracker crash_tracker;
+    std::uint64_t crash_count{0}; /*!< Crashes of the upstream seen here. */
     std::map<run_key, run_pointer> runs;
 };
 
-run_service::run_service(node& owner, upstream_client& upstream, run_gate gate)
-    : self(std::make_unique<implementation>(owner, upstream, std::move(gate)))
+run_service::run_service(node& owner, upstream_client& upstream,
+                         replica_callbacks replica)
+    : self(
+          std::make_unique<implementation>(owner, upstream, std::move(replica)))
 {
 }
 
 run_service::~run_service() = default;
 
-bool run_service::received(const instance_id& from, frame& one)
+bool run_service::handle_frame(const instance_id& from, frame& received)
 {
-    if (one.type == frame_type::dispatch)
+    if (received.type == frame_type::dispatch)
     {
-        auto ask = decode<message::dispatch>(one.head);
-        if (ask)
-            self->dispatched(from, std::move(ask.value()),
-                             std::move(one.payload));
+        auto dispatch = decode<message::dispatch>(received.head);
+        if (dispatch)
+            self->handle_dispatch(from, std::move(dispatch.value()),
+                                  std::move(received.payload));
         return true;
     }
-    if (one.type == frame_type::cancel)
+    if (received.type == frame_type::cancel)
     {
-        const auto cancel = decode<message::cancel>(one.head);
+        const auto cancel = decode<message::cancel>(received.head);
         if (cancel)
-            self->cancelled(from, cancel.value());
+            self->handle_cancel(from, cancel.value());
         return true;
     }
-    return self->claims.received(from, one);
+    return self->claims.received(from, received);
 }
 
 void run_service::peer_lost(const instance_id& peer)
@@ -493,14 +529,14 @@
 std::string run_service::dump() const
 {
     nlohmann::json list = nlohmann::json::array();
-    for (const auto& [key, one] : self->runs)
+    for (const auto& [key, run] : self->runs)
         list.push_back({{"entry", key.first.value()},
                         {"stream", key.second},
-                        {"request", one->ask.request},
-                        {"organisation", one->ask.organisation},
-                        {"parts", one->parts},
-                        {"not_repeatable", one->ask.not_repeatable},
-                        {"claiming", one->claiming}});
+                        {"request", run->dispatch.request},
+                        {"organisation", run->dispatch.organisation},
+                        {"parts", run->sent_parts},
+                        {"not_repeatable", run->dispatch.not_repeatable},
+                        {"claiming", run->claim_pending}});
     return nlohmann::json{{"runs", std::move(list)},
                           {"remembered", self->registry.size()}}
         .dump();
--- a/src/coursejunction/daemon/run_service.hpp
+++ b/src/coursejunction/daemon/run_service.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Runs requests at the upstream on behalf of entries.
+ * @brief Runs requests from entries at the local upstream.
  */
 #ifndef COURSEJUNCTION_DAEMON_RUN_SERVICE_HPP
 #define COURSEJUNCTION_DAEMON_RUN_SERVICE_HPP
@@ -20,43 +20,46 @@
 class node;
 class upstream_client;
 
-/*! @brief What the runs need to know of the replica. */
-struct run_gate
+/*! @brief Access of the run service to the state of the replica. */
+struct replica_callbacks
 {
-    /*! @brief Tells whether new requests may run at the upstream. */
-    std::function<bool()> open;
+    /*! @brief Tells whether the upstream accepts new requests. */
+    std::function<bool()> accepts_requests;
 
-    /*! @brief Returns how many requests may run at once. */
+    /*! @brief Returns the maximum number of concurrent runs. */
     std::function<std::size_t()> slots;
 
-    /*! @brief Returns the hash that answers must carry; empty for a plain
-     * service. */
-    std::function<digest()> weights;
+    /*! @brief Returns the hash of the weights that responses must carry; empty
+     * for a plain service. */
+    std::function<digest()> serving_version;
 
-    /*! @brief Called when an answer carried other weights. */
-    std::function<void()> doubt;
+    /*! @brief Called when the state of the upstream must be read again: it
+     * could not be reached, failed a run, or answered with other weights. */
+    std::function<void()> invalidate;
 
-    /*! @brief Called with the time to a first token. */
-    std::function<void(std::chrono::microseconds)> first_token;
+    /*! @brief Called with the time to the first token of each engine run. */
+    std::function<void(std::chrono::microseconds)> record_first_token;
 };
 
-/*! @brief Starts, streams, cancels and accounts for runs. Here it is decided,
- * once, whether a request that may run only once starts. */
+/*! @brief Starts, streams and cancels runs. It also makes the only decision on
+ * whether a not-repeatable request starts, after claiming its id. */
 class run_service
 {
 public:
-    run_service(node& owner, upstream_client& upstream, run_gate gate);
+    run_service(node& owner, upstream_client& upstream,
+                replica_callbacks replica);
     ~run_service();
 
-    /*! @brief Takes a frame of a run.
-     * @return Whether it was one. */
-    bool received(const instance_id& from, frame& one);
+    /*! @brief Handles a frame that dispatches or cancels a run, or that belongs
+     * to a claim.
+     * @return Whether the frame was of one of these types. */
+    bool handle_frame(const instance_id& from, frame& received);
 
-    /*! @brief Notes that an entry's connection is gone: what may be repeated
-     * is cancelled, what may not runs to its end. */
+    /*! @brief Cancels the runs of an entry whose connection is lost;
+     * not-repeatable requests that have started run to their end. */
     void peer_lost(const instance_id& peer);
 
-    /*! @brief Returns how many runs are in progress. */
+    /*! @brief Returns the number of runs in progress. */
     [[nodiscard]] std::size_t size() const;
 
     /*! @brief Returns the state as JSON. */
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -44,7 +44,7 @@
           transfer(
               owner, engine, [this](const digest& version) { staged(version); },
               std::move(filter)),
-          runs(owner, engine, make_gate()),
+          runs(owner, engine, make_replica_callbacks()),
           orders(
               owner, [this] { send_order(); }, [this] { order_refused(); }),
           reports(owner), plain(owner.settings().upstream_kind == "plain")
@@ -54,7 +54,7 @@
     void start()
     {
         node_hooks hooks;
-        hooks.received = [this](const instance_id& from, frame one)
+        hooks.frame_received = [this](const instance_id& from, frame one)
         { received(from, std::move(one)); };
         hooks.peer_lost = [this](const instance_id& peer)
         {
@@ -64,12 +64,12 @@
         };
         hooks.configuration_changed = [this] { reconcile(); };
         hooks.members_changed = [this] { reconcile(); };
-        hooks.http =
+        hooks.handle_http =
             [](const http_request&, const std::shared_ptr<http_reply>& reply)
         { reply->send(404, "text/plain", {}, "no such path\n"); };
         hooks.dump = [this] { return dump(); };
-        hooks.leaving = [this] { report(); };
-        hooks.idle = [this] { return runs.size() == 0 && transfer.idle(); };
+        hooks.leave_started = [this] { report(); };
+        hooks.is_idle = [this] { return runs.size() == 0 && transfer.idle(); };
         host.start(std::move(hooks));
         tick_timer = host.loop().every(internal::side_tick, [this] { tick(); });
         report_timer = host.loop().every(host.settings().report_interval, [this]
@@ -79,17 +79,18 @@
                                            [this] { poll_engine(); });
     }
 
-    run_gate make_gate()
+    replica_callbacks make_replica_callbacks()
     {
-        run_gate gate;
-        gate.open = [this] { return plain || copy.accepts_requests(); };
-        gate.slots = [this] { return slots_now(); };
-        gate.weights = [this]
+        replica_callbacks callbacks;
+        callbacks.accepts_requests = [this]
+        { return plain || copy.accepts_requests(); };
+        callbacks.slots = [this] { return slots_now(); };
+        callbacks.serving_version = [this]
         { return plain ? digest() : copy.serving_version(); };
-        gate.doubt = [this] { doubt(); };
-        gate.first_token = [this](std::chrono::microseconds took)
+        callbacks.invalidate = [this] { doubt(); };
+        callbacks.record_first_token = [this](std::chrono::microseconds took)
         { transfer.first_token(took); };
-        return gate;
+        return callbacks;
     }
 
     static time_point now() { return event_loop::now(); }
@@ -312,7 +313,7 @@
 
     void received(const instance_id& from, frame one)
     {
-        if (runs.received(from, one) || transfer.received(from, one))
+        if (runs.handle_frame(from, one) || transfer.received(from, one))
             return;
         if (one.type == frame_type::subscribe)
         {
