--- a/src/coursejunction/daemon/chunk_uploader.cpp
+++ b/src/coursejunction/daemon/chunk_uploader.cpp
@@ -8,28 +8,31 @@
 namespace internal
 {
 
-constexpr std::size_t upload_limit = 4;
-constexpr std::chrono::microseconds send_ahead{2000};
+/*! @brief Plain requests beyond this many are refused as busy. */
+constexpr std::size_t max_queued_uploads = 4;
+/*! @brief A chunk is sent once at most this much of the uplink's time is still
+ * taken up by the chunks before it. */
+constexpr std::chrono::microseconds max_backlog{2000};
 
 } // namespace internal
 
-chunk_uploader::chunk_uploader(node& owner, lookup find, chunk_filter change)
-    : host(owner), find_chunk(std::move(find)), filter(std::move(change)),
-      link(owner.settings().upload_rate), queue(internal::upload_limit)
+chunk_uploader::chunk_uploader(node& owner, lookup find, chunk_filter modify)
+    : host(owner), find_chunk(std::move(find)), filter(std::move(modify)),
+      uplink(owner.settings().upload_rate), queue(internal::max_queued_uploads)
 {
 }
 
-bool chunk_uploader::offer(upload one)
+bool chunk_uploader::offer(upload next)
 {
-    if (!queue.offer(std::move(one)))
+    if (!queue.offer(std::move(next)))
         return false;
     send_due();
     return true;
 }
 
-void chunk_uploader::enqueue_first(upload one)
+void chunk_uploader::enqueue_first(upload next)
 {
-    queue.urge(std::move(one));
+    queue.urge(std::move(next));
     send_due();
 }
 
@@ -41,36 +44,37 @@
 
 void chunk_uploader::send_due()
 {
-    while (link.backlog(node::now()) <= internal::send_ahead)
+    while (uplink.backlog(node::now()) <= internal::max_backlog)
     {
         const auto next = queue.next();
         if (!next)
             return;
         send(*next);
     }
-    due = host.loop().after(link.backlog(node::now()), [this] { send_due(); });
+    send_timer =
+        host.loop().after(uplink.backlog(node::now()), [this] { send_due(); });
 }
 
-void chunk_uploader::send(const upload& one)
+void chunk_uploader::send(const upload& next)
 {
-    const auto chunk = find_chunk(one.manifest, one.chunk);
+    const auto chunk = find_chunk(next.manifest, next.chunk);
     if (!chunk)
         return;
     message::chunk_reply reply;
-    reply.manifest = one.manifest;
-    reply.chunk = one.chunk;
+    reply.manifest = next.manifest;
+    reply.chunk = next.chunk;
     reply.status = message::chunk_status::given;
     reply.queue = static_cast<std::uint32_t>(queue.size());
-    link.reserve(static_cast<double>(chunk->size()), node::now());
-    sent += chunk->size();
+    uplink.reserve(static_cast<double>(chunk->size()), node::now());
+    total_sent += chunk->size();
     if (!filter)
     {
-        host.send(one.to, reply, *chunk, true);
+        host.send(next.to, reply, *chunk, true);
         return;
     }
-    auto changed = *chunk;
-    filter(changed);
-    host.send(one.to, reply, changed, true);
+    auto modified = *chunk;
+    filter(modified);
+    host.send(next.to, reply, modified, true);
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/daemon/chunk_uploader.hpp
+++ b/src/coursejunction/daemon/chunk_uploader.hpp
@@ -20,62 +20,68 @@
 
 class node;
 
-/*! @brief Changes a chunk before it is sent; only a faulty build sets one. */
+/*! @brief Modifies a chunk before it is sent; set only by the test build that
+ * is faulty on purpose. */
 using chunk_filter = std::function<void(std::string&)>;
 
-/*! @brief Queues requests for chunks and sends them one after another, each
- * when the uplink has carried the one before. */
+/*! @brief Queues requested chunks and sends them one after another, at the rate
+ * of the uplink. */
 class chunk_uploader
 {
 public:
     using upload = upload_queue::upload;
 
-    /*! @brief Finds a chunk that is held; null when it is not. */
+    /*! @brief Returns a chunk, or null when it is not held. */
     using lookup = std::function<std::shared_ptr<const std::string>(
         const digest& manifest, chunk_index chunk)>;
 
-    chunk_uploader(node& owner, lookup find, chunk_filter change);
+    chunk_uploader(node& owner, lookup find, chunk_filter modify);
 
-    /*! @brief Queues a chunk.
+    /*! @brief Queues a held chunk.
      * @return False when the queue is full. */
-    [[nodiscard]] bool offer(upload one);
+    [[nodiscard]] bool offer(upload next);
 
-    /*! @brief Queues a chunk before all others. */
-    void enqueue_first(upload one);
+    /*! @brief Queues a held chunk ahead of those queued by `offer`, whatever
+     * the length of the queue. */
+    void enqueue_first(upload next);
 
-    /*! @brief Notes that a peer waits for a chunk that is not held yet. */
-    void add_waiter(upload one) { queue.wait(std::move(one)); }
+    /*! @brief Records that a peer waits for a chunk that is not held yet. */
+    void add_waiter(upload wanted) { queue.wait(std::move(wanted)); }
 
-    /*! @brief Sends a chunk, now held, to those who wait for it. */
+    /*! @brief Queues a chunk that has arrived for the peers that wait for it,
+     * ahead of those queued by `offer`. */
     void serve_waiters(const digest& manifest, chunk_index chunk);
 
-    /*! @brief Forgets who waits for chunks of a version. */
+    /*! @brief Forgets the peers that wait for chunks of a version. */
     void drop_waiters(const digest& manifest) { queue.give_up(manifest); }
 
-    /*! @brief Forgets a peer that is gone. */
+    /*! @brief Drops all uploads to a peer that is gone. */
     void remove_peer(const instance_id& peer) { queue.drop(peer); }
 
-    /*! @brief Sets the portion of the uplink that may be used. */
-    void set_link_fraction(double portion) { link.limit_to(portion); }
+    /*! @brief Sets the fraction of the uplink's rate that uploads may use. */
+    void set_link_fraction(double fraction) { uplink.limit_to(fraction); }
 
-    [[nodiscard]] double link_fraction() const { return link.fraction(); }
+    [[nodiscard]] double link_fraction() const { return uplink.fraction(); }
     [[nodiscard]] std::size_t size() const { return queue.size(); }
     [[nodiscard]] bool empty() const { return queue.empty(); }
 
-    /*! @brief Returns the bytes sent. */
-    [[nodiscard]] std::uint64_t sent_bytes() const noexcept { return sent; }
+    /*! @brief Returns the bytes of all chunks sent. */
+    [[nodiscard]] std::uint64_t sent_bytes() const noexcept
+    {
+        return total_sent;
+    }
 
 private:
     void send_due();
-    void send(const upload& one);
+    void send(const upload& next);
 
     node& host;
     lookup find_chunk;
     chunk_filter filter;
-    link_pacer link;
+    link_pacer uplink;
     upload_queue queue;
-    std::uint64_t sent{0};
-    timer due;
+    std::uint64_t total_sent{0};
+    timer send_timer;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/daemon/entry.cpp
+++ b/src/coursejunction/daemon/entry.cpp
@@ -73,7 +73,7 @@
                      const std::shared_ptr<http_reply>& reply)
     {
         if (!internal::is_caller_path(request))
-            return resources.request(request, reply);
+            return resources.handle_request(request, reply);
         if (request.method != "POST")
             return reply->send(405, "text/plain", {}, "only POST is allowed\n");
         requests.handle_request(std::move(request), reply);
--- a/src/coursejunction/daemon/entry_request.hpp
+++ b/src/coursejunction/daemon/entry_request.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief A caller's request as its HTTP head and body say it.
+ * @brief Parses a caller's request from its HTTP headers and body.
  */
 #ifndef COURSEJUNCTION_DAEMON_ENTRY_REQUEST_HPP
 #define COURSEJUNCTION_DAEMON_ENTRY_REQUEST_HPP
@@ -15,7 +15,7 @@
 namespace coursejunction
 {
 
-/*! @brief What a caller asks an entry for. */
+/*! @brief A caller's request to an entry. */
 struct entry_request
 {
     request_id id;
@@ -26,14 +26,15 @@
     std::int32_t priority{0};
     bool not_repeatable{false};
     bool streamed{false};
-    milliseconds timeout{0}; /*!< Until the deadline. */
+    milliseconds timeout{0}; /*!< From arrival to the deadline. */
 };
 
-/*! @brief Reads a request; its body is moved out.
- * @param otherwise Deadline when the caller names none.
- * @return The request, or `invalid` with the header or field that is wrong. */
-[[nodiscard]] result<entry_request> parse_entry_request(http_request& from,
-                                                        milliseconds otherwise);
+/*! @brief Parses a request, moving out its body.
+ * @param default_timeout Used when the caller sets no deadline.
+ * @return The request, or `invalid` with a message that names the header or
+ * field at fault. */
+[[nodiscard]] result<entry_request>
+parse_entry_request(http_request& from, milliseconds default_timeout);
 
 } // namespace coursejunction
 
--- a/src/coursejunction/daemon/quarantine_api.cpp
+++ b/src/coursejunction/daemon/quarantine_api.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-void answer(http_reply& reply, int status, const nlohmann::json& body)
+void send_json(http_reply& reply, int status, const nlohmann::json& body)
 {
     reply.send(status, "application/json", {}, body.dump());
 }
 
-std::string_view standing_name(crash_status what)
+std::string_view status_name(crash_status status)
 {
-    switch (what)
+    switch (status)
     {
     case crash_status::clear:
         return "clear";
@@ -35,16 +35,16 @@
 std::string quarantine_json(const crash_ledger& ledger, time_point now)
 {
     auto list = nlohmann::json::array();
-    for (const auto& [what, one] : ledger.histories())
+    for (const auto& [content, history] : ledger.histories())
     {
-        const auto standing = ledger.status(what, now);
-        if (standing == crash_status::clear)
+        const auto status = ledger.status(content, now);
+        if (status == crash_status::clear)
             continue;
         list.push_back(
-            {{"content", what.hex()},
-             {"standing", std::string(standing_name(standing))},
-             {"ends", one.active_crashes()},
-             {"left_ms", ledger.quarantine_left(what, now).count()}});
+            {{"content", content.hex()},
+             {"standing", std::string(status_name(status))},
+             {"ends", history.active_crashes()},
+             {"left_ms", ledger.quarantine_left(content, now).count()}});
     }
     return list.dump();
 }
@@ -60,19 +60,19 @@
         return reply.send(200, "application/json", {},
                           quarantine_json(ledger, now));
     if (from.method != "DELETE" || from.path.size() <= root.size() + 1)
-        return answer(reply, 404,
-                      {{"error", "not_found"}, {"message", "no such path"}});
-    const auto what = request_content::parse(
+        return send_json(reply, 404,
+                         {{"error", "not_found"}, {"message", "no such path"}});
+    const auto content = request_content::parse(
         std::string_view(from.path).substr(root.size() + 1));
-    if (!what)
-        return answer(
+    if (!content)
+        return send_json(
             reply, 400,
-            {{"error", "invalid"}, {"message", what.error().message}});
-    if (!lift(what.value()))
-        return answer(reply, 404,
-                      {{"error", "not_found"},
-                       {"message", "this content is not quarantined"}});
-    answer(reply, 200, {{"lifted", what.value().hex()}});
+            {{"error", "invalid"}, {"message", content.error().message}});
+    if (!lift(content.value()))
+        return send_json(reply, 404,
+                         {{"error", "not_found"},
+                          {"message", "this content is not quarantined"}});
+    send_json(reply, 200, {{"lifted", content.value().hex()}});
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/daemon/quarantine_api.hpp
+++ b/src/coursejunction/daemon/quarantine_api.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Shows and lifts quarantines over HTTP.
+ * @brief Lists and lifts quarantines of requests over HTTP.
  */
 #ifndef COURSEJUNCTION_DAEMON_QUARANTINE_API_HPP
 #define COURSEJUNCTION_DAEMON_QUARANTINE_API_HPP
@@ -13,16 +13,17 @@
 namespace coursejunction
 {
 
-/*! @brief Path of the list; an item has its content after a slash. */
+/*! @brief Path of the list; the path of an item adds a slash and the hash of
+ * its content. */
 inline constexpr const char* quarantine_path = "/v1/quarantine";
 
-/*! @brief Ends a quarantine; returns whether there was one. */
+/*! @brief Lifts a quarantine; returns whether there was one. */
 using lift_callback = std::function<bool(const request_content&)>;
 
-/*! @brief Answers `GET` with the requests that are quarantined, on trial or
- * doubted (an array of `content`, `standing`, `ends` and `left_ms`), and
- * `DELETE` of an item by lifting it: 200, 404 where there is none, 400 for what
- * is no content.
+/*! @brief Responds to `GET` of the list with the requests that are quarantined,
+ * on trial or suspect (an array of `content`, `standing`, `ends` and
+ * `left_ms`). `DELETE` of an item lifts its quarantine: 200, 404 if there is
+ * none, 400 if the path holds no content hash.
  */
 void handle_quarantine_request(const http_request& from, http_reply& reply,
                                const crash_ledger& ledger,
--- a/src/coursejunction/daemon/resource_api.cpp
+++ b/src/coursejunction/daemon/resource_api.cpp
@@ -23,11 +23,12 @@
 using reply_pointer = std::shared_ptr<http_reply>;
 
 constexpr std::string_view api_root = "/v1/";
-constexpr std::chrono::seconds write_limit{5};
-constexpr std::chrono::seconds watch_most{30};
+constexpr std::chrono::seconds write_timeout{5};
+/*! @brief Time after which a watch is answered with the unchanged list. */
+constexpr std::chrono::seconds watch_timeout{30};
 constexpr std::size_t max_watches = 256;
 
-int status_of(error_kind kind)
+int http_status_of(error_kind kind)
 {
     switch (kind)
     {
@@ -46,7 +47,7 @@
     return 500;
 }
 
-std::string_view name_of(error_kind kind)
+std::string_view error_name(error_kind kind)
 {
     switch (kind)
     {
@@ -71,10 +72,11 @@
     to->send(status, "application/json", {}, body.dump());
 }
 
-void send_error(const reply_pointer& to, const error& what)
+void send_error(const reply_pointer& to, const error& failed)
 {
-    send_json(to, status_of(what.kind),
-              {{"error", name_of(what.kind)}, {"message", what.message}});
+    send_json(
+        to, http_status_of(failed.kind),
+        {{"error", error_name(failed.kind)}, {"message", failed.message}});
 }
 
 void send_error(const reply_pointer& to, error_kind kind,
@@ -97,32 +99,32 @@
     return parts;
 }
 
-/*! @brief Replicas of a deployment by hall and phase. */
-json hall_summary(const deployment& spec,
-                  const std::vector<const message::report*>& replicas)
+/*! @brief Returns the replicas of a deployment by hall and phase. */
+json halls_json(const deployment& spec,
+                const std::vector<const message::report*>& replicas)
 {
     json halls = json::array();
-    for (const auto& where : spec.placements)
+    for (const auto& placement : spec.placements)
     {
         std::map<std::string, int> phases;
-        json failed = json::array();
+        json troubled = json::array();
         int serving = 0;
-        for (const auto* one : replicas)
+        for (const auto* replica : replicas)
         {
-            if (one->hall != where.hall.value())
+            if (replica->hall != placement.hall.value())
                 continue;
-            ++phases[one->phase];
-            serving += one->serving == spec.version.hex() ? 1 : 0;
-            if (!one->reason.empty())
-                failed.push_back({{"instance", one->instance},
-                                  {"phase", one->phase},
-                                  {"reason", one->reason}});
+            ++phases[replica->phase];
+            serving += replica->serving == spec.version.hex() ? 1 : 0;
+            if (!replica->reason.empty())
+                troubled.push_back({{"instance", replica->instance},
+                                    {"phase", replica->phase},
+                                    {"reason", replica->reason}});
         }
-        halls.push_back({{"hall", where.hall.value()},
-                         {"wanted", where.count},
+        halls.push_back({{"hall", placement.hall.value()},
+                         {"wanted", placement.count},
                          {"serving", serving},
                          {"phases", phases},
-                         {"troubled", std::move(failed)}});
+                         {"troubled", std::move(troubled)}});
     }
     return halls;
 }
@@ -130,28 +132,28 @@
 json status_json(const deployment& spec, const status_view& view)
 {
     std::vector<const message::report*> replicas;
-    for (const auto& [id, one] : view.replicas)
+    for (const auto& [id, replica] : view.replicas)
     {
-        if (one.deployment == spec.name.value())
-            replicas.push_back(&one);
+        if (replica.deployment == spec.name.value())
+            replicas.push_back(&replica);
     }
     std::size_t wanted = 0;
-    for (const auto& where : spec.placements)
-        wanted += where.count;
+    for (const auto& placement : spec.placements)
+        wanted += placement.count;
     std::uint64_t done = 0;
     std::uint64_t total = 0;
     std::uint64_t origin = 0;
     std::uint64_t cross = 0;
     std::size_t serving = 0;
     std::uint64_t oldest = UINT64_MAX;
-    for (const auto* one : replicas)
+    for (const auto* replica : replicas)
     {
-        done += one->bytes_done;
-        total += one->bytes_total;
-        origin += one->origin_bytes;
-        cross += one->cross_hall_bytes;
-        serving += one->serving == spec.version.hex() ? 1 : 0;
-        oldest = std::min(oldest, one->revision);
+        done += replica->bytes_done;
+        total += replica->bytes_total;
+        origin += replica->origin_bytes;
+        cross += replica->cross_hall_bytes;
+        serving += replica->serving == spec.version.hex() ? 1 : 0;
+        oldest = std::min(oldest, replica->revision);
     }
     json silent = json::array();
     for (const auto& hall : view.silent_halls)
@@ -170,7 +172,7 @@
             {"origin_bytes", origin},
             {"cross_hall_bytes", cross},
             {"silent_halls", std::move(silent)},
-            {"halls", hall_summary(spec, replicas)}};
+            {"halls", halls_json(spec, replicas)}};
 }
 
 } // namespace internal
@@ -183,52 +185,53 @@
 
     struct watch
     {
-        std::uint64_t after{0};
+        std::uint64_t after_revision{0};
         reply_pointer reply;
-        timer limit;
+        timer timeout;
     };
 
-    implementation(node& owner, report_service& from)
-        : host(owner), reports(from)
+    implementation(node& owner, report_service& source)
+        : host(owner), reports(source)
     {
     }
 
-    void request(const http_request& from, const reply_pointer& reply)
+    void handle_request(const http_request& from, const reply_pointer& reply)
     {
-        if (!allowed(from))
+        if (!is_authorised(from))
             return internal::send_json(
                 reply, 401,
                 {{"error", "unauthorised"},
-                 {"message", "Authorization: needs the operators' token"}});
+                 {"message",
+                  "Authorization: the operators' bearer token is required"}});
         const auto parts = internal::path_parts(from.path);
         if (parts.empty())
-            return missing(reply);
+            return send_not_found(reply);
         if (parts[0] == "deployments" && parts.size() <= 2)
-            return deployments(parts, from, reply);
+            return handle_deployments(parts, from, reply);
         if (parts[0] == "status" && parts.size() <= 2)
-            return status(parts, reply);
+            return send_status(parts, reply);
         if (parts[0] == "writes" && parts.size() == 2)
-            return find_write(write_id(parts[1]), reply);
+            return send_write_result(write_id(parts[1]), reply);
         if (parts[0] == "quarantine")
             return handle_quarantine_request(
                 from, *reply, host.crashes().records(),
-                [this](const request_content& what)
-                { return host.crashes().lift(what, node::now()); },
+                [this](const request_content& content)
+                { return host.crashes().lift(content, node::now()); },
                 node::now());
         if (parts[0] == "leave" && from.method == "POST")
         {
             host.leave();
             return internal::send_json(reply, 202, {{"leaving", true}});
         }
-        missing(reply);
+        send_not_found(reply);
     }
 
-    static void missing(const reply_pointer& reply)
+    static void send_not_found(const reply_pointer& reply)
     {
         internal::send_error(reply, error_kind::not_found, "no such path");
     }
 
-    bool allowed(const http_request& from) const
+    bool is_authorised(const http_request& from) const
     {
         const auto given = from.header("authorization");
         const auto wanted = "Bearer " + host.settings().operator_token;
@@ -236,38 +239,41 @@
                CRYPTO_memcmp(given.data(), wanted.data(), wanted.size()) == 0;
     }
 
-    void deployments(const std::vector<std::string>& parts,
-                     const http_request& from, const reply_pointer& reply)
+    void handle_deployments(const std::vector<std::string>& parts,
+                            const http_request& from,
+                            const reply_pointer& reply)
     {
         if (!host.view().ready() && from.method == "GET")
-            return internal::send_error(reply, error_kind::unavailable,
-                                        "no configuration is known yet");
+            return internal::send_error(
+                reply, error_kind::unavailable,
+                "no configuration has been received yet");
         const auto name = parts.size() == 2 ? parts[1] : std::string{};
         if (from.method == "GET" && name.empty())
-            return list(from, reply);
+            return handle_list(from, reply);
         if (from.method == "GET")
-            return read(deployment_name(name), reply);
+            return send_deployment(deployment_name(name), reply);
         if (from.method == "POST" && name.empty())
-            return write(action::create, name, from, reply);
+            return handle_write(action::create, name, from, reply);
         if (from.method == "PUT" && !name.empty())
-            return write(action::replace, name, from, reply);
+            return handle_write(action::replace, name, from, reply);
         if (from.method == "DELETE" && !name.empty())
-            return remove(deployment_name(name), from, reply);
+            return handle_delete(deployment_name(name), from, reply);
         internal::send_json(reply, 405, {{"error", "method_not_allowed"}});
     }
 
     // Reading.
 
-    void read(const deployment_name& name, const reply_pointer& reply)
+    void send_deployment(const deployment_name& name,
+                         const reply_pointer& reply)
     {
         const auto* spec = host.view().current().find(name);
         if (spec == nullptr)
             return internal::send_error(reply, error_kind::not_found,
-                                        "no deployment " + name.value());
+                                        "no deployment named " + name.value());
         internal::send_json(reply, 200, json::parse(spec->json()));
     }
 
-    void list(const http_request& from, const reply_pointer& reply)
+    void handle_list(const http_request& from, const reply_pointer& reply)
     {
         if (!from.parameter("watch"))
             return send_list(reply);
@@ -277,18 +283,18 @@
             return send_list(reply);
         if (watches.size() >= internal::max_watches)
             return internal::send_error(reply, error_kind::unavailable,
-                                        "too many watches");
-        auto& one = watches.emplace_back();
+                                        "too many open watches");
+        auto& watching = watches.emplace_back();
         const auto at = std::prev(watches.end());
-        one.after = after;
-        one.reply = reply;
-        one.limit = host.loop().after(internal::watch_most,
-                                      [this, at]
-                                      {
-                                          const auto open = at->reply;
-                                          watches.erase(at);
-                                          send_list(open);
-                                      });
+        watching.after_revision = after;
+        watching.reply = reply;
+        watching.timeout = host.loop().after(internal::watch_timeout,
+                                             [this, at]
+                                             {
+                                                 const auto open = at->reply;
+                                                 watches.erase(at);
+                                                 send_list(open);
+                                             });
     }
 
     void send_list(const reply_pointer& reply)
@@ -307,7 +313,7 @@
         const auto number = host.view().current().number().value();
         for (auto it = watches.begin(); it != watches.end();)
         {
-            if (it->after >= number)
+            if (it->after_revision >= number)
             {
                 ++it;
                 continue;
@@ -319,8 +325,8 @@
 
     // Writing.
 
-    void write(action kind, const std::string& name, const http_request& from,
-               const reply_pointer& reply)
+    void handle_write(action kind, const std::string& name,
+                      const http_request& from, const reply_pointer& reply)
     {
         auto spec = deployment::parse(from.body);
         if (!spec)
@@ -333,11 +339,11 @@
         change.name = spec.value().name;
         change.read = spec.value().changed;
         change.spec = std::move(spec.value());
-        start(std::move(change), reply);
+        start_write(std::move(change), reply);
     }
 
-    void remove(const deployment_name& name, const http_request& from,
-                const reply_pointer& reply)
+    void handle_delete(const deployment_name& name, const http_request& from,
+                       const reply_pointer& reply)
     {
         const auto number = from.parameter("revision");
         if (!number)
@@ -347,36 +353,36 @@
         change.kind = action::remove;
         change.name = name;
         change.read = revision(std::strtoull(number->c_str(), nullptr, 10));
-        start(std::move(change), reply);
+        start_write(std::move(change), reply);
     }
 
-    void start(configuration_change change, const reply_pointer& reply)
+    void start_write(configuration_change change, const reply_pointer& reply)
     {
         auto store = std::make_shared<configuration_store>(
             host.loop(), host.key_values(),
-            event_loop::now() + internal::write_limit);
+            event_loop::now() + internal::write_timeout);
         const auto name = change.name;
         configuration_writer<configuration_store>::start(
             *store, std::move(change), write_id(random_id()),
             host.view().current(),
             [this, store, name, reply](const write_result& got)
-            { written(name, got, reply); });
+            { write_finished(name, got, reply); });
     }
 
-    void written(const deployment_name& name, const write_result& got,
-                 const reply_pointer& reply)
+    void write_finished(const deployment_name& name, const write_result& got,
+                        const reply_pointer& reply)
     {
         if (!got.end)
         {
             host.counters().count("configuration_writes_total", 1,
-                                  {{"result", std::string(internal::name_of(
+                                  {{"result", std::string(internal::error_name(
                                                   got.end.error().kind))}});
-            json body{{"error", internal::name_of(got.end.error().kind)},
+            json body{{"error", internal::error_name(got.end.error().kind)},
                       {"message", got.end.error().message}};
             if (got.end.error().kind == error_kind::unknown)
                 body["write"] = got.id.value();
             return internal::send_json(
-                reply, internal::status_of(got.end.error().kind), body);
+                reply, internal::http_status_of(got.end.error().kind), body);
         }
         host.counters().count("configuration_writes_total", 1,
                               {{"result", "accepted"}});
@@ -390,9 +396,10 @@
               spec == nullptr ? json() : json::parse(spec->json())}});
     }
 
-    /*! @brief Says what became of a write. What is in force was accepted, also
-     * when the service has lost it since. */
-    void find_write(const write_id& id, const reply_pointer& reply)
+    /*! @brief Sends the result of a write. A write that is part of the
+     * configuration in force was accepted, even if the key-value service has
+     * lost it since. */
+    void send_write_result(const write_id& id, const reply_pointer& reply)
     {
         const auto known = host.view().current().written(id);
         if (known)
@@ -426,14 +433,14 @@
 
     // Status.
 
-    void status(const std::vector<std::string>& parts,
-                const reply_pointer& reply)
+    void send_status(const std::vector<std::string>& parts,
+                     const reply_pointer& reply)
     {
         const auto name = parts.size() == 2 ? parts[1] : std::string{};
         if (!name.empty() &&
             host.view().current().find(deployment_name(name)) == nullptr)
             return internal::send_error(reply, error_kind::not_found,
-                                        "no deployment " + name);
+                                        "no deployment named " + name);
         reports.query_status(
             [this, name, reply](const status_view& view)
             {
@@ -463,10 +470,10 @@
 
 resource_api::~resource_api() = default;
 
-void resource_api::request(const http_request& from,
-                           const std::shared_ptr<http_reply>& reply)
+void resource_api::handle_request(const http_request& from,
+                                  const std::shared_ptr<http_reply>& reply)
 {
-    self->request(from, reply);
+    self->handle_request(from, reply);
 }
 
 void resource_api::configuration_changed()
--- a/src/coursejunction/daemon/resource_api.hpp
+++ b/src/coursejunction/daemon/resource_api.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The operators' resource interface: JSON over HTTP, version 1.
+ * @brief Operators' HTTP API: JSON, version 1.
  */
 #ifndef COURSEJUNCTION_DAEMON_RESOURCE_API_HPP
 #define COURSEJUNCTION_DAEMON_RESOURCE_API_HPP
@@ -14,19 +14,20 @@
 class node;
 class report_service;
 
-/*! @brief Create, read, list, replace, delete, watch and status of
- * deployments. */
+/*! @brief Creates, reads, lists, replaces, deletes and watches deployments,
+ * gives their status, and lists and lifts quarantines. */
 class resource_api
 {
 public:
     resource_api(node& owner, report_service& reports);
     ~resource_api();
 
-    /*! @brief Takes an operator's request. */
-    void request(const http_request& from,
-                 const std::shared_ptr<http_reply>& reply);
+    /*! @brief Handles an operator's request; without the operators' token it is
+     * refused. */
+    void handle_request(const http_request& from,
+                        const std::shared_ptr<http_reply>& reply);
 
-    /*! @brief Answers watches; called when a configuration comes into
+    /*! @brief Responds to open watches; called when a configuration comes into
      * force. */
     void configuration_changed();
 
--- a/src/coursejunction/daemon/run_daemon.cpp
+++ b/src/coursejunction/daemon/run_daemon.cpp
@@ -16,7 +16,7 @@
 namespace internal
 {
 
-int code(daemon_exit value)
+int exit_code(daemon_exit value)
 {
     return static_cast<int>(value);
 }
@@ -26,35 +26,35 @@
     log::open(settings.instance.value(), settings.log_level);
     event_loop loop;
     const auto kind = settings.kind;
-    auto made = node::create(loop, std::move(settings));
-    if (!made)
+    auto created = node::create(loop, std::move(settings));
+    if (!created)
     {
-        std::cerr << "coursejunctiond: " << made.error().message << "\n";
-        return code(daemon_exit::ports_unavailable);
+        std::cerr << "coursejunctiond: " << created.error().message << "\n";
+        return exit_code(daemon_exit::ports_unavailable);
     }
     if (kind == role::entry)
     {
-        const entry running(*made.value());
+        const entry running(*created.value());
         loop.run();
     }
     else
     {
-        const side running(*made.value(), std::move(filter));
+        const side running(*created.value(), std::move(filter));
         loop.run();
     }
-    return code(daemon_exit::stopped);
+    return exit_code(daemon_exit::stopped);
 }
 
 } // namespace internal
 
 int run_daemon(int argc, char** argv, chunk_filter filter)
 {
-    cxxopts::Options options("coursejunctiond",
-                             "Distributes model weights in bursts and routes "
-                             "live requests: role entry or side, by settings.");
+    cxxopts::Options options(
+        "coursejunctiond", "Distributes model weights and routes requests. The "
+                           "settings choose the role: entry or side.");
     options.add_options()("settings", "settings file (INI)",
                           cxxopts::value<std::string>())(
-        "check", "only check the settings")("version", "print the version")(
+        "check", "check the settings and exit")("version", "print the version")(
         "help", "print this help");
     options.parse_positional("settings");
     options.positional_help("SETTINGS");
@@ -65,18 +65,18 @@
         {
             std::cout << options.help() << "\nExit codes: 0 stopped or checked,"
                       << " 1 ports cannot be opened, 2 wrong settings.\n";
-            return internal::code(daemon_exit::stopped);
+            return internal::exit_code(daemon_exit::stopped);
         }
         if (parsed.count("version") > 0)
         {
             std::cout << "coursejunctiond " << package_version << " protocol "
                       << static_cast<int>(protocol_version) << "\n";
-            return internal::code(daemon_exit::stopped);
+            return internal::exit_code(daemon_exit::stopped);
         }
         if (parsed.count("settings") == 0)
         {
             std::cerr << "coursejunctiond: no settings file given\n";
-            return internal::code(daemon_exit::invalid_settings);
+            return internal::exit_code(daemon_exit::invalid_settings);
         }
         auto settings =
             node_settings::load(parsed["settings"].as<std::string>());
@@ -84,17 +84,17 @@
         {
             std::cerr << "coursejunctiond: " << settings.error().message
                       << "\n";
-            return internal::code(daemon_exit::invalid_settings);
+            return internal::exit_code(daemon_exit::invalid_settings);
         }
         if (parsed.count("check") > 0)
-            return internal::code(daemon_exit::stopped);
+            return internal::exit_code(daemon_exit::stopped);
         return internal::run_node(std::move(settings.value()),
                                   std::move(filter));
     }
     catch (const cxxopts::exceptions::exception& caught)
     {
         std::cerr << "coursejunctiond: " << caught.what() << "\n";
-        return internal::code(daemon_exit::invalid_settings);
+        return internal::exit_code(daemon_exit::invalid_settings);
     }
 }
 
--- a/src/coursejunction/daemon/run_daemon.hpp
+++ b/src/coursejunction/daemon/run_daemon.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Main function of the daemon, shared with the build that is faulty on
- * purpose.
+ * @brief Main function of the daemon, shared with the test build that is faulty
+ * on purpose.
  */
 #ifndef COURSEJUNCTION_DAEMON_RUN_DAEMON_HPP
 #define COURSEJUNCTION_DAEMON_RUN_DAEMON_HPP
@@ -10,19 +10,20 @@
 namespace coursejunction
 {
 
-/*! @brief Version of the whole package. */
+/*! @brief Version of the package. */
 inline constexpr const char* package_version = "0.1.0";
 
 /*! @brief Exit codes of the daemon. */
 enum class daemon_exit : int
 {
-    stopped = 0,           /*!< A planned stop, or `--check` found no fault. */
+    stopped = 0,           /*!< Stopped as planned, or `--check` passed. */
     ports_unavailable = 1, /*!< The ports could not be opened. */
     invalid_settings = 2   /*!< The command line or the settings are wrong. */
 };
 
-/*! @brief Reads the command line and settings, then runs until stopped.
- * @param filter Changes chunks before they are sent; empty in the product. */
+/*! @brief Reads the command line and the settings, then runs until stopped.
+ * @param filter Modifies chunks before they are sent; empty in releases.
+ * @return A `daemon_exit` code. */
 [[nodiscard]] int run_daemon(int argc, char** argv, chunk_filter filter = {});
 
 } // namespace coursejunction
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -20,17 +20,18 @@
 namespace internal
 {
 
-constexpr milliseconds side_tick{20};
-constexpr milliseconds engine_poll{500};
-constexpr std::string_view service_label = "service=";
+constexpr milliseconds side_tick_interval{20};
+constexpr milliseconds engine_poll_interval{500};
+constexpr std::string_view service_label_prefix = "service=";
 
-/*! @brief Name of the plain service that labels give an upstream. */
+/*! @brief Returns the name of the plain service from an upstream's labels;
+ * empty when none has the prefix. */
 std::string service_name(const std::vector<std::string>& labels)
 {
     for (const auto& label : labels)
     {
-        if (label.rfind(service_label, 0) == 0)
-            return label.substr(service_label.size());
+        if (label.rfind(service_label_prefix, 0) == 0)
+            return label.substr(service_label_prefix.size());
     }
     return {};
 }
@@ -42,40 +43,44 @@
     implementation(node& owner, chunk_filter filter)
         : host(owner), engine(owner.http(), owner.settings().upstream_url),
           transfer(
-              owner, engine, [this](const digest& version) { staged(version); },
+              owner, engine,
+              [this](const digest& version) { staging_completed(version); },
               std::move(filter)),
           runs(owner, engine, make_replica_callbacks()),
-          orders(
-              owner, [this] { send_order(); }, [this] { order_refused(); }),
-          reports(owner), plain(owner.settings().upstream_kind == "plain")
+          commands(
+              owner, [this] { send_load_command(); },
+              [this] { fence_refused(); }),
+          reports(owner),
+          is_plain_service(owner.settings().upstream_kind == "plain")
     {
     }
 
     void start()
     {
         node_hooks hooks;
-        hooks.frame_received = [this](const instance_id& from, frame one)
-        { received(from, std::move(one)); };
+        hooks.frame_received = [this](const instance_id& from, frame received)
+        { handle_frame(from, std::move(received)); };
         hooks.peer_lost = [this](const instance_id& peer)
         {
             reports.peer_lost(peer);
             runs.peer_lost(peer);
             transfer.peer_lost(peer);
         };
-        hooks.configuration_changed = [this] { reconcile(); };
-        hooks.members_changed = [this] { reconcile(); };
+        hooks.configuration_changed = [this] { update_target(); };
+        hooks.members_changed = [this] { update_target(); };
         hooks.handle_http =
             [](const http_request&, const std::shared_ptr<http_reply>& reply)
         { reply->send(404, "text/plain", {}, "no such path\n"); };
         hooks.dump = [this] { return dump(); };
-        hooks.leave_started = [this] { report(); };
+        hooks.leave_started = [this] { send_report(); };
         hooks.is_idle = [this] { return runs.size() == 0 && transfer.idle(); };
         host.start(std::move(hooks));
-        tick_timer = host.loop().every(internal::side_tick, [this] { tick(); });
+        tick_timer =
+            host.loop().every(internal::side_tick_interval, [this] { tick(); });
         report_timer = host.loop().every(host.settings().report_interval, [this]
-                                         { reports.tell_load(state()); });
-        if (!plain)
-            poll_timer = host.loop().every(internal::engine_poll,
+                                         { reports.tell_load(make_report()); });
+        if (!is_plain_service)
+            poll_timer = host.loop().every(internal::engine_poll_interval,
                                            [this] { poll_engine(); });
     }
 
@@ -83,120 +88,127 @@
     {
         replica_callbacks callbacks;
         callbacks.accepts_requests = [this]
-        { return plain || copy.accepts_requests(); };
-        callbacks.slots = [this] { return slots_now(); };
-        callbacks.serving_version = [this]
-        { return plain ? digest() : copy.serving_version(); };
-        callbacks.invalidate = [this] { doubt(); };
+        { return is_plain_service || local_replica.accepts_requests(); };
+        callbacks.slots = [this] { return effective_slots(); };
+        callbacks.serving_version = [this] {
+            return is_plain_service ? digest()
+                                    : local_replica.serving_version();
+        };
+        callbacks.invalidate = [this] { invalidate(); };
         callbacks.record_first_token = [this](std::chrono::microseconds took)
-        { transfer.first_token(took); };
+        { transfer.record_first_token(took); };
         return callbacks;
     }
 
     static time_point now() { return event_loop::now(); }
 
-    /*! @brief The settings' limit, or the engine's own when that is lower. */
-    std::size_t slots_now() const
+    /*! @brief Returns the maximum number of concurrent runs: the limit of the
+     * settings, or that of the engine when it is lower. */
+    std::size_t effective_slots() const
     {
-        const auto most = host.settings().upstream_slots;
-        return engine_slots == 0 ? most : std::min(most, engine_slots);
+        const auto configured = host.settings().upstream_slots;
+        return engine_slots == 0 ? configured
+                                 : std::min(configured, engine_slots);
     }
 
-    // What is wanted.
+    // Target state.
 
-    void reconcile()
+    void update_target()
     {
-        if (plain || !host.view().ready())
+        if (is_plain_service || !host.view().ready())
             return;
         const auto& wanted = host.view().current();
-        const auto assigned = assign_deployments(wanted, slots());
+        const auto assigned = assign_deployments(wanted, candidates());
         const auto own = assigned.find(host.settings().instance);
         const auto* spec =
             own == assigned.end() ? nullptr : wanted.find(own->second);
         if (spec == nullptr)
         {
-            copy.set_target(std::nullopt);
-            transfer.want_nothing();
-            return changed();
+            local_replica.set_target(std::nullopt);
+            transfer.clear_target();
+            return report_if_changed();
         }
         target = *spec;
-        copy.set_target(replica_target{spec->name, spec->model, spec->adapter,
-                                       spec->version, spec->paused});
-        transfer.participants(sharers(assigned, wanted, spec->version));
-        transfer.want(spec->version, spec->weigh);
-        changed();
+        local_replica.set_target(replica_target{spec->name, spec->model,
+                                                spec->adapter, spec->version,
+                                                spec->paused});
+        transfer.set_participants(replicas_of(assigned, wanted, spec->version));
+        transfer.set_target(spec->version, spec->weigh);
+        report_if_changed();
     }
 
-    /*! @brief Instances that are listed and not leaving; heartbeats and
-     * failures do not move deployments, so that a short cut moves nothing. */
-    std::vector<upstream_candidate> slots() const
+    /*! @brief Returns the listed upstreams that are not leaving. Missed
+     * heartbeats and failures do not count, so that a short partition moves no
+     * deployment. */
+    std::vector<upstream_candidate> candidates() const
     {
         std::vector<upstream_candidate> found;
-        for (const auto& [id, one] : host.members().all())
+        for (const auto& [id, member] : host.members().all())
         {
-            if (one.kind == role::side && one.upstream_kind != "plain" &&
-                !one.leaving)
-                found.push_back({id, one.hall, one.region, one.labels});
+            if (member.kind == role::side && member.upstream_kind != "plain" &&
+                !member.leaving)
+                found.push_back(
+                    {id, member.hall, member.region, member.labels});
         }
         return found;
     }
 
     std::vector<participant>
-    sharers(const std::map<instance_id, deployment_name>& assigned,
-            const configuration& wanted, const digest& version) const
+    replicas_of(const std::map<instance_id, deployment_name>& assigned,
+                const configuration& wanted, const digest& version) const
     {
         std::vector<participant> all;
         for (const auto& [id, name] : assigned)
         {
             const auto* spec = wanted.find(name);
-            const auto* listed = host.members().find(id);
-            if (spec != nullptr && listed != nullptr &&
+            const auto* member = host.members().find(id);
+            if (spec != nullptr && member != nullptr &&
                 spec->version == version)
-                all.push_back({id, listed->hall, listed->region});
+                all.push_back({id, member->hall, member->region});
         }
         return all;
     }
 
-    void staged(const digest& version)
+    void staging_completed(const digest& version)
     {
-        copy.staging_completed(version);
-        changed();
+        local_replica.staging_completed(version);
+        report_if_changed();
     }
 
-    void doubt()
+    void invalidate()
     {
-        copy.invalidate();
-        changed();
+        local_replica.invalidate();
+        report_if_changed();
     }
 
     // The replica.
 
     void tick()
     {
-        if (orders.tick(now()))
+        if (commands.tick(now()))
         {
             host.counters().count("pauses_noticed_total");
             log::warning("pause_noticed");
         }
         transfer.tick();
-        if (plain)
+        if (is_plain_service)
             return;
-        const auto before = copy.phase();
-        act(copy.next_action(runs.size(), now()));
-        if (copy.phase() != before)
-            changed();
+        const auto phase_before = local_replica.phase();
+        execute(local_replica.next_action(runs.size(), now()));
+        if (local_replica.phase() != phase_before)
+            report_if_changed();
     }
 
-    void act(replica_action action)
+    void execute(replica_action action)
     {
         switch (action)
         {
         case replica_action::read_upstream:
             return read_engine();
         case replica_action::request_permit:
-            return ask_permit();
+            return request_permit();
         case replica_action::send_load_command:
-            return orders.request();
+            return commands.request();
         case replica_action::stage:
         case replica_action::none:
             return;
@@ -205,222 +217,235 @@
 
     void read_engine()
     {
-        if (reading)
+        if (read_pending)
             return;
-        reading = true;
+        read_pending = true;
         engine.read_state(
             [this](const result<engine_state>& got)
             {
-                reading = false;
+                read_pending = false;
                 if (!got)
                 {
-                    copy.version_read_failed(got.error().message, now());
-                    return changed();
+                    local_replica.version_read_failed(got.error().message,
+                                                      now());
+                    return report_if_changed();
                 }
-                seen(got.value());
+                engine_state_read(got.value());
             });
     }
 
-    void seen(const engine_state& state)
+    void engine_state_read(const engine_state& state)
     {
-        cached = state.cached;
+        cached_prefixes = state.cached_prefixes;
         engine_slots = state.slots;
-        orders.seen(state.newest);
+        commands.seen(state.newest_token);
         if (state.loading)
             return;
-        const auto before = copy.serving_version();
+        const auto served_before = local_replica.serving_version();
         if (state.serving.empty() &&
-            (!before.empty() || copy.phase() == replica_phase::checking))
-            engine_lost_all();
-        copy.version_read(state.serving, now());
-        if (before != copy.serving_version())
+            (!served_before.empty() ||
+             local_replica.phase() == replica_phase::checking))
+            restage_version();
+        local_replica.version_read(state.serving, now());
+        if (served_before != local_replica.serving_version())
         {
-            transfer.serving(copy.serving_version());
+            transfer.set_served_version(local_replica.serving_version());
             log::state("upstream_serves", {{"version", state.serving.hex()}});
         }
-        changed();
+        report_if_changed();
     }
 
-    /*! @brief The engine serves nothing any more: it may have restarted and
-     * lost what was staged, so it is handed over again before an order. */
-    void engine_lost_all()
+    /*! @brief Stages the version again before the next load command: an engine
+     * that serves nothing any more may have restarted and lost what was
+     * staged. */
+    void restage_version()
     {
-        copy.staging_lost();
-        transfer.hand_over_again();
+        local_replica.staging_lost();
+        transfer.restage();
     }
 
-    /*! @brief Looks at the engine regularly: load, cache, and whether it
-     * still serves what it should. */
+    /*! @brief Reads the engine's state (serving version, slots and cached
+     * prefixes), except while it is loading; called regularly. */
     void poll_engine()
     {
-        if (copy.phase() != replica_phase::loading)
+        if (local_replica.phase() != replica_phase::loading)
             read_engine();
     }
 
-    void ask_permit()
+    void request_permit()
     {
-        const auto first =
+        const auto entries =
             host.members().designated_entries(host.settings().hall, 1, now());
-        if (first.empty())
+        if (entries.empty())
             return;
         message::permit_request request;
         request.instance = host.settings().instance.value();
         request.hall = host.settings().hall.value();
-        request.deployment = copy.target()->name.value();
-        request.version = copy.target()->version.hex();
-        host.send(first.front(), request);
+        request.deployment = local_replica.target()->name.value();
+        request.version = local_replica.target()->version.hex();
+        host.send(entries.front(), request);
     }
 
-    // Orders.
+    // Load commands.
 
-    void order_refused()
+    void fence_refused()
     {
-        copy.load_finished(false, "another side is in charge of the upstream",
-                           now());
-        changed();
+        local_replica.load_finished(
+            false, "another sidecar controls the upstream", now());
+        report_if_changed();
     }
 
-    void send_order()
+    void send_load_command()
     {
-        if (!copy.target())
-            return copy.load_finished(false, "nothing is wanted any more",
-                                      now());
-        load_order order;
-        order.version = copy.target()->version;
-        order.model = copy.target()->model;
-        order.adapter = copy.target()->adapter;
-        order.engine_role = target.engine_role;
-        order.token = orders.token();
-        orders.ordered();
+        if (!local_replica.target())
+            return local_replica.load_finished(
+                false, "no version is wanted any more", now());
+        load_command command;
+        command.version = local_replica.target()->version;
+        command.model = local_replica.target()->model;
+        command.adapter = local_replica.target()->adapter;
+        command.engine_role = target.engine_role;
+        command.token = commands.token();
+        commands.ordered();
         host.counters().count("load_orders_total");
-        engine.load(order, [this](const load_answer& got) { loaded(got); });
+        engine.load(command, [this](const load_response& response)
+                    { load_ended(response); });
     }
 
-    void loaded(const load_answer& got)
+    void load_ended(const load_response& response)
     {
-        using kind = load_answer::kind;
-        if (got.end == kind::stale)
-            orders.refused();
-        if (got.end == kind::incomplete)
-            engine_lost_all();
-        if (got.end != kind::loaded)
-            log::warning("load_failed", {{"reason", got.reason}});
-        copy.load_finished(got.end == kind::loaded, got.reason, now());
-        changed();
+        using kind = load_response::kind;
+        if (response.outcome == kind::stale_token)
+            commands.refused();
+        if (response.outcome == kind::chunks_missing)
+            restage_version();
+        if (response.outcome != kind::loaded)
+            log::warning("load_failed", {{"reason", response.reason}});
+        local_replica.load_finished(response.outcome == kind::loaded,
+                                    response.reason, now());
+        report_if_changed();
     }
 
     // Peers.
 
-    void received(const instance_id& from, frame one)
+    void handle_frame(const instance_id& from, frame received)
     {
-        if (runs.handle_frame(from, one) || transfer.received(from, one))
+        if (runs.handle_frame(from, received) ||
+            transfer.handle_frame(from, received))
             return;
-        if (one.type == frame_type::subscribe)
+        if (received.type == frame_type::subscribe)
         {
-            const auto ask = decode<message::subscribe>(one.head);
-            if (!ask)
+            const auto request = decode<message::subscribe>(received.head);
+            if (!request)
                 return;
-            reports.subscribe(from, ask.value().routing, state());
+            reports.subscribe(from, request.value().routing, make_report());
         }
-        else if (one.type == frame_type::permit_reply)
+        else if (received.type == frame_type::permit_reply)
         {
-            const auto reply = decode<message::permit_reply>(one.head);
+            const auto reply = decode<message::permit_reply>(received.head);
             const auto version = reply ? digest::parse(reply.value().version)
                                        : digest::parse("");
             if (version && reply.value().granted)
-                copy.permit_granted(version.value(), now());
+                local_replica.permit_granted(version.value(), now());
         }
     }
 
-    message::report state() const
+    message::report make_report() const
     {
         const auto& settings = host.settings();
         const auto progress = transfer.progress();
-        message::report now_state;
-        now_state.instance = settings.instance.value();
-        now_state.region = settings.region.value();
-        now_state.hall = settings.hall.value();
-        now_state.kind = settings.upstream_kind;
-        now_state.revision = host.view().current().number().value();
-        now_state.running = static_cast<std::uint32_t>(runs.size());
-        now_state.slots = static_cast<std::uint32_t>(slots_now());
-        now_state.leaving = host.is_leaving();
-        if (plain)
+        message::report report;
+        report.instance = settings.instance.value();
+        report.region = settings.region.value();
+        report.hall = settings.hall.value();
+        report.kind = settings.upstream_kind;
+        report.revision = host.view().current().number().value();
+        report.running = static_cast<std::uint32_t>(runs.size());
+        report.slots = static_cast<std::uint32_t>(effective_slots());
+        report.leaving = host.is_leaving();
+        if (is_plain_service)
         {
-            now_state.model = internal::service_name(settings.labels);
-            now_state.phase = "serving";
-            return now_state;
+            report.model = internal::service_name(settings.labels);
+            report.phase = "serving";
+            return report;
         }
-        describe_replica(now_state);
-        now_state.bytes_done = progress.bytes_done;
-        now_state.bytes_total = progress.bytes_total;
-        now_state.reason = copy.failure_reason().empty()
-                               ? progress.reason
-                               : copy.failure_reason();
-        now_state.origin_bytes = transfer.counters().origin_bytes;
-        now_state.cross_hall_bytes = transfer.counters().cross_hall_bytes;
-        now_state.cached_prefixes = cached;
-        return now_state;
+        fill_replica_state(report);
+        report.bytes_done = progress.bytes_done;
+        report.bytes_total = progress.bytes_total;
+        report.reason = local_replica.failure_reason().empty()
+                            ? progress.reason
+                            : local_replica.failure_reason();
+        report.origin_bytes = transfer.counters().origin_bytes;
+        report.cross_hall_bytes = transfer.counters().cross_hall_bytes;
+        report.cached_prefixes = cached_prefixes;
+        return report;
     }
 
-    void describe_replica(message::report& into) const
+    void fill_replica_state(message::report& into) const
     {
-        into.phase = to_string(copy.phase());
-        into.serving =
-            copy.serving_version().empty() ? "" : copy.serving_version().hex();
-        if (copy.target())
+        into.phase = to_string(local_replica.phase());
+        into.serving = local_replica.serving_version().empty()
+                           ? ""
+                           : local_replica.serving_version().hex();
+        if (local_replica.target())
         {
-            into.deployment = copy.target()->name.value();
-            into.model = copy.target()->model;
-            into.wanted = copy.target()->version.hex();
+            into.deployment = local_replica.target()->name.value();
+            into.model = local_replica.target()->model;
+            into.wanted = local_replica.target()->version.hex();
         }
-        if (!copy.accepts_requests())
+        if (!local_replica.accepts_requests())
             into.serving.clear();
     }
 
-    /*! @brief Reports now when something that matters to routing or status
-     * has changed, else with the next regular report. */
-    void changed()
+    /*! @brief Sends a report now when the phase or the serving version has
+     * changed, which routing and status depend on; other changes wait for the
+     * next regular report. */
+    void report_if_changed()
     {
-        const auto key = std::pair(copy.phase(), copy.serving_version());
+        const auto key =
+            std::pair(local_replica.phase(), local_replica.serving_version());
         if (key == reported)
             return;
         reported = key;
-        log::state("replica", {{"phase", std::string(to_string(copy.phase()))},
-                               {"reason", copy.failure_reason()}});
-        report();
+        log::state("replica",
+                   {{"phase", std::string(to_string(local_replica.phase()))},
+                    {"reason", local_replica.failure_reason()}});
+        send_report();
     }
 
-    void report() { reports.tell(state()); }
+    void send_report() { reports.tell(make_report()); }
 
     std::string dump() const
     {
         using nlohmann::json;
-        return json{{"phase", to_string(copy.phase())},
-                    {"reason", copy.failure_reason()},
-                    {"serving", copy.serving_version().hex()},
-                    {"wanted", copy.target() ? copy.target()->version.hex()
-                                             : std::string{}},
-                    {"open", plain || copy.accepts_requests()},
-                    {"fencing_token", orders.token().value()},
-                    {"subscribers", reports.size()},
-                    {"transfer", json::parse(transfer.dump())},
-                    {"requests", json::parse(runs.dump())}}
+        return json{
+            {"phase", to_string(local_replica.phase())},
+            {"reason", local_replica.failure_reason()},
+            {"serving", local_replica.serving_version().hex()},
+            {"wanted", local_replica.target()
+                           ? local_replica.target()->version.hex()
+                           : std::string{}},
+            {"open", is_plain_service || local_replica.accepts_requests()},
+            {"fencing_token", commands.token().value()},
+            {"subscribers", reports.size()},
+            {"transfer", json::parse(transfer.dump())},
+            {"requests", json::parse(runs.dump())}}
             .dump();
     }
 
     node& host;
     upstream_client engine;
-    replica copy;
+    replica local_replica;
     transfer_service transfer;
     run_service runs;
-    internal::fenced_orders orders;
+    internal::fenced_orders commands;
     internal::side_reports reports;
     deployment target;
-    bool plain;
-    bool reading{false};
+    bool is_plain_service;
+    bool read_pending{false};
     std::size_t engine_slots{0};
-    std::vector<std::uint64_t> cached;
+    std::vector<std::uint64_t> cached_prefixes;
+    /*! @brief Phase and serving version of the last report. */
     std::pair<replica_phase, digest> reported{};
     timer tick_timer;
     timer report_timer;
--- a/src/coursejunction/daemon/side.hpp
+++ b/src/coursejunction/daemon/side.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The side process: stands beside one upstream.
+ * @brief The side role: the sidecar of one upstream.
  */
 #ifndef COURSEJUNCTION_DAEMON_SIDE_HPP
 #define COURSEJUNCTION_DAEMON_SIDE_HPP
@@ -13,14 +13,14 @@
 
 class node;
 
-/*! @brief Keeps one replica at what the configuration wants, and runs
- * requests at its upstream. */
+/*! @brief Brings one replica to the state that the configuration wants, and
+ * runs requests at its upstream. */
 class side
 {
 public:
-    /*! @brief Starts the role on a node.
-     * @param filter Changes chunks before they are sent; empty but in a
-     * build that is faulty on purpose. */
+    /*! @brief Starts the role on a node, which must outlive it.
+     * @param filter Changes chunks before they are sent; only set by the build
+     * that is faulty on purpose, for tests. */
     explicit side(node& owner, chunk_filter filter = {});
     ~side();
 
--- a/src/coursejunction/daemon/state_dump.hpp
+++ b/src/coursejunction/daemon/state_dump.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What a process of an installation believes, as JSON on request.
+ * @brief Formats the state of an entry or a sidecar as JSON, for `/dump`.
  */
 #ifndef COURSEJUNCTION_DAEMON_STATE_DUMP_HPP
 #define COURSEJUNCTION_DAEMON_STATE_DUMP_HPP
@@ -16,23 +16,23 @@
 namespace coursejunction
 {
 
-/*! @brief Requests that an entry has in hand. */
+/*! @brief Numbers of requests in progress at an entry. */
 struct entry_load
 {
-    std::size_t open{0};   /*!< Not answered yet. */
-    std::size_t queued{0}; /*!< Of those, without a place at an upstream. */
+    std::size_t open{0};   /*!< Without a final response. */
+    std::size_t queued{0}; /*!< Of those, waiting for a slot of an upstream. */
 };
 
-/*! @brief Returns what an entry believes of its peers and of every upstream.
- * Ages are in ms. */
+/*! @brief Returns what an entry knows of its peers and of every upstream. Ages
+ * are in ms. */
 [[nodiscard]] std::string entry_state_json(const store_mirror& mirror,
                                            const peer_directory& peers,
-                                           const upstream_registry& book,
+                                           const upstream_registry& upstreams,
                                            const entry_load& load,
                                            time_point now);
 
-/*! @brief Returns what a side believes of its peers and of its upstream, and
- * how far each version is. */
+/*! @brief Returns what a sidecar knows of its peers and its upstream, and the
+ * transfer progress of each version. */
 [[nodiscard]] std::string side_state_json(const store_mirror& mirror,
                                           const peer_directory& peers,
                                           const agent_state& agent,
--- a/src/coursejunction/daemon/status_server.cpp
+++ b/src/coursejunction/daemon/status_server.cpp
@@ -11,25 +11,27 @@
 status_server::create(event_loop& loop, metrics& counters,
                       const std::string& address, std::uint16_t port)
 {
-    auto made = std::make_unique<status_server>();
+    auto created = std::make_unique<status_server>();
     if (port == 0)
-        return made;
+        return created;
     auto server = http_server::create(
         address, port, {},
-        [&loop, &counters, state = made->state](
+        [&loop, &counters, handlers = created->handlers](
             http_request request, std::shared_ptr<http_reply> reply)
         {
             loop.post(
-                [&counters, state, request = std::move(request),
+                [&counters, handlers, request = std::move(request),
                  reply = std::move(reply)]
                 {
                     const auto& path = request.path;
-                    if (path.starts_with(quarantine_path) && state->quarantine)
-                        state->quarantine(request, *reply);
+                    if (path.starts_with(quarantine_path) &&
+                        handlers->quarantine)
+                        handlers->quarantine(request, *reply);
                     else if (path == "/metrics")
                         reply->send(200, "text/plain", {}, counters.text());
-                    else if (path == "/dump" && state->dump)
-                        reply->send(200, "application/json", {}, state->dump());
+                    else if (path == "/dump" && handlers->dump)
+                        reply->send(200, "application/json", {},
+                                    handlers->dump());
                     else
                         reply->send(404, "text/plain", {},
                                     "only /metrics and /dump\n");
@@ -37,19 +39,19 @@
         });
     if (!server)
         return failure(server.error().kind, server.error().message);
-    made->server = std::move(server.value());
-    return made;
+    created->server = std::move(server.value());
+    return created;
 }
 
 void status_server::set_quarantine_handler(
-    std::function<void(const http_request&, http_reply&)> call)
+    std::function<void(const http_request&, http_reply&)> handler)
 {
-    state->quarantine = std::move(call);
+    handlers->quarantine = std::move(handler);
 }
 
 void status_server::set_dump_handler(std::function<std::string()> dump)
 {
-    state->dump = std::move(dump);
+    handlers->dump = std::move(dump);
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/daemon/status_server.hpp
+++ b/src/coursejunction/daemon/status_server.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Serves a process's metrics and its state to whoever asks.
+ * @brief Serves the metrics and the state of a process over HTTP.
  */
 #ifndef COURSEJUNCTION_DAEMON_STATUS_SERVER_HPP
 #define COURSEJUNCTION_DAEMON_STATUS_SERVER_HPP
@@ -17,34 +17,36 @@
 namespace coursejunction
 {
 
-/*! @brief `GET /metrics`, `GET /dump` and, of an entry, the list of quarantined
- * requests on a port of its own. */
+/*! @brief Serves `GET /metrics`, `GET /dump` and, at an entry, the quarantine
+ * list, on a separate port without authorisation. */
 class status_server
 {
 public:
-    /*! @brief Listens.
-     * @param port 0 serves nothing.
-     * @return The page, or `unavailable`. */
+    /*! @brief Creates the server and opens its port.
+     * @param port With 0 nothing is served.
+     * @return The server, or `unavailable` when the port cannot be opened. */
     [[nodiscard]] static result<std::unique_ptr<status_server>>
     create(event_loop& loop, metrics& counters, const std::string& address,
            std::uint16_t port);
 
-    /*! @brief Sets what `/dump` answers; called on the loop's thread. */
+    /*! @brief Sets the source of the `/dump` response, which is called on the
+     * loop's thread. */
     void set_dump_handler(std::function<std::string()> dump);
 
-    /*! @brief Sets what answers below `/v1/quarantine`; called on the loop's
-     * thread. Whoever reaches the port may lift a quarantine. */
+    /*! @brief Sets the handler for `/v1/quarantine` and the paths below it,
+     * which is called on the loop's thread. Anyone who can reach the port can
+     * lift a quarantine. */
     void set_quarantine_handler(
-        std::function<void(const http_request&, http_reply&)> call);
+        std::function<void(const http_request&, http_reply&)> handler);
 
 private:
-    struct described
+    struct handler_set
     {
         std::function<std::string()> dump;
         std::function<void(const http_request&, http_reply&)> quarantine;
     };
 
-    std::shared_ptr<described> state{std::make_shared<described>()};
+    std::shared_ptr<handler_set> handlers{std::make_shared<handler_set>()};
     std::unique_ptr<http_server> server;
 };
 
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -14,79 +14,84 @@
 struct transfer_service::implementation
 {
     implementation(node& owner, upstream_client& engine, staged_callback staged,
-                   chunk_filter change)
-        : host(owner), uploads(
+                   chunk_filter filter)
+        : host(owner), uploader(
                            owner,
                            [this](const digest& version, chunk_index chunk)
                            { return held.find(version, chunk); },
-                           std::move(change)),
-          fetching(owner, engine, std::move(staged), held, uploads)
+                           std::move(filter)),
+          fetch(owner, engine, std::move(staged), held, uploader)
     {
     }
 
-    bool received(const instance_id& from, frame& one)
+    bool handle_frame(const instance_id& from, frame& received)
     {
-        switch (one.type)
+        switch (received.type)
         {
         case frame_type::have:
-            fetching.heard_have(from, decode<message::have>(one.head));
+            fetch.heard_have(from, decode<message::have>(received.head));
             return true;
         case frame_type::chunk_request:
-            asked(from, decode<message::chunk_request>(one.head));
+            handle_chunk_request(from,
+                                 decode<message::chunk_request>(received.head));
             return true;
         case frame_type::chunk_reply:
-            fetching.replied(from, decode<message::chunk_reply>(one.head),
-                             std::move(one.payload));
+            fetch.replied(from, decode<message::chunk_reply>(received.head),
+                          std::move(received.payload));
             return true;
         case frame_type::manifest_request:
-            asked_manifest(from, decode<message::manifest_request>(one.head));
+            handle_manifest_request(
+                from, decode<message::manifest_request>(received.head));
             return true;
         case frame_type::manifest_reply:
-            fetching.replied_manifest(decode<message::manifest_reply>(one.head),
-                                      one.payload);
+            fetch.replied_manifest(
+                decode<message::manifest_reply>(received.head),
+                received.payload);
             return true;
         default:
             return false;
         }
     }
 
-    void asked(const instance_id& from,
-               const result<message::chunk_request>& request)
+    void handle_chunk_request(const instance_id& from,
+                              const result<message::chunk_request>& decoded)
     {
-        if (!request)
+        if (!decoded)
             return;
-        const auto& ask = request.value();
-        const bool wanted = fetching.wants(ask.manifest);
-        const auto found = held.find(ask.manifest);
+        const auto& request = decoded.value();
+        const bool wanted = fetch.wants(request.manifest);
+        const auto found = held.find(request.manifest);
         if (!found)
-            return refuse(from, ask,
+            return refuse(from, request,
                           wanted ? message::chunk_status::absent
                                  : message::chunk_status::foreign);
-        fetching.asked(from, ask.manifest);
-        const bool here = found->contains(ask.chunk);
-        if (!here && ask.wait && wanted)
-            return uploads.add_waiter({from, ask.manifest, ask.chunk});
-        if (!here)
-            return refuse(from, ask, message::chunk_status::absent);
-        if (ask.wait)
-            return uploads.enqueue_first({from, ask.manifest, ask.chunk});
-        if (!uploads.offer({from, ask.manifest, ask.chunk}))
-            refuse(from, ask, message::chunk_status::busy);
+        fetch.asked(from, request.manifest);
+        const bool chunk_held = found->contains(request.chunk);
+        if (!chunk_held && request.wait && wanted)
+            return uploader.add_waiter({from, request.manifest, request.chunk});
+        if (!chunk_held)
+            return refuse(from, request, message::chunk_status::absent);
+        if (request.wait)
+            return uploader.enqueue_first(
+                {from, request.manifest, request.chunk});
+        if (!uploader.offer({from, request.manifest, request.chunk}))
+            refuse(from, request, message::chunk_status::busy);
     }
 
-    void refuse(const instance_id& to, const message::chunk_request& ask,
-                message::chunk_status why)
+    void refuse(const instance_id& to, const message::chunk_request& request,
+                message::chunk_status status)
     {
         message::chunk_reply reply;
-        reply.manifest = ask.manifest;
-        reply.chunk = ask.chunk;
-        reply.status = why;
-        reply.queue = static_cast<std::uint32_t>(uploads.size());
+        reply.manifest = request.manifest;
+        reply.chunk = request.chunk;
+        reply.status = status;
+        reply.queue = static_cast<std::uint32_t>(uploader.size());
         host.send(to, reply);
     }
 
-    void asked_manifest(const instance_id& from,
-                        const result<message::manifest_request>& request)
+    void
+    handle_manifest_request(const instance_id& from,
+                            const result<message::manifest_request>& request)
     {
         if (!request)
             return;
@@ -100,17 +105,17 @@
 
     void tick()
     {
-        if (!fetching.active())
+        if (!fetch.active())
             return;
-        uploads.set_link_fraction(governor.portion());
-        fetching.tick();
+        uploader.set_link_fraction(governor.portion());
+        fetch.tick();
     }
 
     node& host;
-    chunk_uploader uploads;
+    chunk_uploader uploader;
     transfer_governor governor;
     internal::held_versions held;
-    internal::version_fetch fetching;
+    internal::version_fetch fetch;
 };
 
 transfer_service::transfer_service(node& owner, upstream_client& engine,
@@ -122,41 +127,41 @@
 
 transfer_service::~transfer_service() = default;
 
-void transfer_service::want(const digest& version, weighting weigh)
+void transfer_service::set_target(const digest& version, weighting weigh)
 {
-    self->fetching.want(version, weigh);
+    self->fetch.want(version, weigh);
 }
 
-void transfer_service::want_nothing()
+void transfer_service::clear_target()
 {
-    self->fetching.stop();
+    self->fetch.stop();
 }
 
-void transfer_service::serving(const digest& version)
+void transfer_service::set_served_version(const digest& version)
 {
     self->held.serving(version);
-    self->fetching.release();
+    self->fetch.release();
 }
 
-void transfer_service::hand_over_again()
+void transfer_service::restage()
 {
-    self->fetching.hand_over_again();
+    self->fetch.hand_over_again();
 }
 
-void transfer_service::participants(std::vector<participant> all)
+void transfer_service::set_participants(std::vector<participant> all)
 {
-    self->fetching.participants(std::move(all));
+    self->fetch.participants(std::move(all));
 }
 
-bool transfer_service::received(const instance_id& from, frame& one)
+bool transfer_service::handle_frame(const instance_id& from, frame& received)
 {
-    return self->received(from, one);
+    return self->handle_frame(from, received);
 }
 
 void transfer_service::peer_lost(const instance_id& peer)
 {
-    self->uploads.remove_peer(peer);
-    self->fetching.peer_lost(peer);
+    self->uploader.remove_peer(peer);
+    self->fetch.peer_lost(peer);
 }
 
 void transfer_service::tick()
@@ -164,49 +169,49 @@
     self->tick();
 }
 
-void transfer_service::first_token(std::chrono::microseconds took)
+void transfer_service::record_first_token(std::chrono::microseconds took)
 {
-    const bool running = self->fetching.begun() &&
-                         (!self->fetching.complete() || !self->uploads.empty());
-    self->governor.first_token(took, running);
+    const bool transferring = self->fetch.begun() && (!self->fetch.complete() ||
+                                                      !self->uploader.empty());
+    self->governor.first_token(took, transferring);
 }
 
 bool transfer_service::idle() const
 {
-    return self->uploads.empty();
+    return self->uploader.empty();
 }
 
 transfer_progress transfer_service::progress() const
 {
-    return self->fetching.progress();
+    return self->fetch.progress();
 }
 
 const transfer_counters& transfer_service::counters() const
 {
-    return self->fetching.counters();
+    return self->fetch.counters();
 }
 
 std::string transfer_service::dump() const
 {
-    const auto& counts = self->fetching.counters();
-    const auto& announced = self->fetching.announced();
+    const auto& counts = self->fetch.counters();
+    const auto& announced = self->fetch.announced();
     nlohmann::json held = nlohmann::json::array();
     for (const auto& [version, chunks] : self->held.all())
         held.push_back({{"version", version.hex()},
                         {"bytes", chunks->bytes()},
                         {"complete", chunks->complete()}});
     return nlohmann::json{{"held", std::move(held)},
-                          {"wanted", self->fetching.dump()},
+                          {"wanted", self->fetch.dump()},
                           {"listeners", announced.listener_count()},
                           {"neighbours", announced.neighbour_count()},
-                          {"upload_queue", self->uploads.size()},
-                          {"link_portion", self->uploads.link_fraction()},
+                          {"upload_queue", self->uploader.size()},
+                          {"link_portion", self->uploader.link_fraction()},
                           {"origin_bytes", counts.origin_bytes},
                           {"weight_store_bytes", counts.weight_store_bytes},
                           {"peer_bytes", counts.peer_bytes},
                           {"cross_hall_bytes", counts.cross_hall_bytes},
                           {"cross_region_bytes", counts.cross_region_bytes},
-                          {"sent_bytes", self->uploads.sent_bytes()},
+                          {"sent_bytes", self->uploader.sent_bytes()},
                           {"corrupt", counts.corrupt_chunks},
                           {"duplicate", counts.duplicate_chunks}}
         .dump();
--- a/src/coursejunction/daemon/transfer_service.hpp
+++ b/src/coursejunction/daemon/transfer_service.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Carries out transfers: asks, sends, verifies, hands over.
+ * @brief Transfers versions: fetches, verifies, stages and serves chunks.
  */
 #ifndef COURSEJUNCTION_DAEMON_TRANSFER_SERVICE_HPP
 #define COURSEJUNCTION_DAEMON_TRANSFER_SERVICE_HPP
@@ -23,7 +23,7 @@
 class node;
 class upstream_client;
 
-/*! @brief Bytes moved since the process started. */
+/*! @brief Bytes received and chunks discarded since the process started. */
 struct transfer_counters
 {
     std::uint64_t origin_bytes{0};
@@ -31,8 +31,8 @@
     std::uint64_t peer_bytes{0};
     std::uint64_t cross_hall_bytes{0};
     std::uint64_t cross_region_bytes{0};
-    std::uint64_t corrupt_chunks{0};
-    std::uint64_t duplicate_chunks{0};
+    std::uint64_t corrupt_chunks{0};   /*!< A wrong manifest counts too. */
+    std::uint64_t duplicate_chunks{0}; /*!< Received when already held. */
 };
 
 /*! @brief Progress of the wanted version. */
@@ -40,53 +40,56 @@
 {
     std::uint64_t bytes_done{0};
     std::uint64_t bytes_total{0};
-    std::string reason;
+    std::string reason; /*!< Last failure; empty when none. */
 };
 
-/*! @brief Gets the wanted version whole into the engine's staging area, and
- * serves the versions it holds to others. */
+/*! @brief Fetches the wanted version, stages it at the engine, and serves held
+ * versions to peers. */
 class transfer_service
 {
 public:
-    /*! @brief Called when a version is whole, verified and handed over. */
+    /*! @brief Called when all chunks of a version are verified and staged. */
     using staged_callback = std::function<void(const digest&)>;
 
     transfer_service(node& owner, upstream_client& engine,
                      staged_callback staged, chunk_filter filter);
     ~transfer_service();
 
-    /*! @brief Sets the wanted version; another one under way is stopped, its
-     * chunks that both have in common are kept. */
-    void want(const digest& version, weighting weigh);
+    /*! @brief Sets the wanted version. The transfer of another version is
+     * stopped; chunks that both have in common are kept. */
+    void set_target(const digest& version, weighting weigh);
 
-    /*! @brief Stops wanting anything; what is held is still served. */
-    void want_nothing();
+    /*! @brief Stops the transfer, if any; held versions are still served to
+     * peers. */
+    void clear_target();
 
-    /*! @brief Says which version the engine serves; others that are not
-     * wanted are released. */
-    void serving(const digest& version);
+    /*! @brief Sets the version that the engine serves; held versions that are
+     * neither served nor wanted are released. */
+    void set_served_version(const digest& version);
 
-    /*! @brief Hands the wanted version over again, after the engine lost
-     * it. */
-    void hand_over_again();
+    /*! @brief Stages the wanted version again, after the engine lost it. */
+    void restage();
 
-    /*! @brief Sets who takes part in the wanted version's transfer. */
-    void participants(std::vector<participant> all);
+    /*! @brief Sets the instances that take part in the transfer of the wanted
+     * version. */
+    void set_participants(std::vector<participant> all);
 
-    /*! @brief Takes a frame of a transfer.
+    /*! @brief Handles a frame of a transfer.
      * @return Whether it was one. */
-    bool received(const instance_id& from, frame& one);
+    bool handle_frame(const instance_id& from, frame& received);
 
-    /*! @brief Notes that a peer's connection is gone. */
+    /*! @brief Forgets a peer whose connection is lost. */
     void peer_lost(const instance_id& peer);
 
-    /*! @brief Moves on; called every few milliseconds. */
+    /*! @brief Requests missing chunks and continues staging; called every few
+     * milliseconds. */
     void tick();
 
-    /*! @brief Takes the time to a first token of a live request. */
-    void first_token(std::chrono::microseconds took);
+    /*! @brief Records the time to first token of a request: slow ones during a
+     * transfer reduce the fraction of the uplink that uploads may use. */
+    void record_first_token(std::chrono::microseconds took);
 
-    /*! @brief Tells whether nothing is being sent. */
+    /*! @brief Tells whether no upload is queued. */
     [[nodiscard]] bool idle() const;
 
     [[nodiscard]] transfer_progress progress() const;
--- a/src/coursejunction/daemon/upstream_client.cpp
+++ b/src/coursejunction/daemon/upstream_client.cpp
@@ -19,12 +19,12 @@
     const auto body = json::parse(end.body, nullptr, false);
     if (!end.ok() || !body.is_object())
         return failure(error_kind::unavailable,
-                       "engine does not answer: " + end.fault);
+                       "the engine does not respond: " + end.fault);
     engine_state state;
     const auto serving = digest::parse(body.value("serving", ""));
     if (serving)
         state.serving = serving.value();
-    state.newest = fencing_token(body.value("token", std::uint64_t{0}));
+    state.newest_token = fencing_token(body.value("token", std::uint64_t{0}));
     state.loading = body.value("loading", false);
     state.running = body.value("running", std::size_t{0});
     state.slots = body.value("slots", std::size_t{0});
@@ -33,30 +33,31 @@
         for (const auto& hash : body["cached"])
         {
             if (hash.is_number_unsigned())
-                state.cached.push_back(hash.get<std::uint64_t>());
+                state.cached_prefixes.push_back(hash.get<std::uint64_t>());
         }
     }
     return state;
 }
 
-load_answer parse_load(const http_result& end)
+load_response parse_load(const http_result& end)
 {
-    using kind = load_answer::kind;
+    using kind = load_response::kind;
     if (end.reach == http_reach::interrupted)
-        return {kind::unknown, "the order's answer was lost: " + end.fault};
+        return {kind::unknown,
+                "the response to the load command was lost: " + end.fault};
     if (end.reach == http_reach::not_sent)
-        return {kind::failed, "engine does not answer: " + end.fault};
+        return {kind::failed, "the engine does not respond: " + end.fault};
     if (end.ok())
         return {kind::loaded, ""};
     const auto body = json::parse(end.body, nullptr, false);
     const auto reason =
         body.is_object() ? body.value("error", "") : std::string{};
-    const auto text = "engine refused the load: " + reason + " (status " +
+    const auto text = "the engine refused the load: " + reason + " (status " +
                       std::to_string(end.status) + ")";
     if (end.status == 422)
-        return {kind::incomplete, text};
+        return {kind::chunks_missing, text};
     if (reason == "stale token")
-        return {kind::stale, text};
+        return {kind::stale_token, text};
     return {kind::failed, text};
 }
 
@@ -104,17 +105,17 @@
         std::move(bytes), std::move(done));
 }
 
-void upstream_client::load(const load_order& order,
-                           std::function<void(load_answer)> done)
+void upstream_client::load(const load_command& command,
+                           std::function<void(load_response)> done)
 {
     http_call call;
     call.method = "POST";
     call.url = base_url + "/v1/load";
-    call.body = internal::json{{"version", order.version.hex()},
-                               {"model", order.model},
-                               {"adapter", order.adapter},
-                               {"role", order.engine_role},
-                               {"token", order.token.value()}}
+    call.body = internal::json{{"version", command.version.hex()},
+                               {"model", command.model},
+                               {"adapter", command.adapter},
+                               {"role", command.engine_role},
+                               {"token", command.token.value()}}
                     .dump();
     call.timeout = internal::load_timeout;
     client.start(std::move(call),
--- a/src/coursejunction/daemon/upstream_client.hpp
+++ b/src/coursejunction/daemon/upstream_client.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief HTTP to the upstream on the side's own instance.
+ * @brief HTTP client for the engine on the sidecar's own instance.
  */
 #ifndef COURSEJUNCTION_DAEMON_UPSTREAM_CLIENT_HPP
 #define COURSEJUNCTION_DAEMON_UPSTREAM_CLIENT_HPP
@@ -18,19 +18,20 @@
 namespace coursejunction
 {
 
-/*! @brief What an engine says of itself. */
+/*! @brief State that an engine reports of itself. */
 struct engine_state
 {
-    digest serving;       /*!< Empty when nothing whole is served. */
-    fencing_token newest; /*!< Highest of all orders; empty when not told. */
+    digest serving; /*!< Empty when no whole version is served. */
+    /*! @brief Highest token of all load commands; empty when not reported. */
+    fencing_token newest_token;
     bool loading{false};
     std::size_t running{0};
     std::size_t slots{0};
-    std::vector<std::uint64_t> cached;
+    std::vector<std::uint64_t> cached_prefixes; /*!< Hashes. */
 };
 
-/*! @brief An order to load. */
-struct load_order
+/*! @brief A command to load a staged version. */
+struct load_command
 {
     digest version;
     std::string model;
@@ -39,43 +40,46 @@
     fencing_token token;
 };
 
-/*! @brief What an engine answered to an order. */
-struct load_answer
+/*! @brief An engine's response to a load command. */
+struct load_response
 {
     enum class kind : std::uint8_t
     {
         loaded,
-        stale,      /*!< The token is old: another side is in charge. */
-        incomplete, /*!< Staged chunks are missing at the engine. */
+        stale_token, /*!< A newer one is known: another sidecar controls it. */
+        chunks_missing, /*!< The engine lacks some of the staged chunks. */
         failed,
-        unknown /*!< The order may have been carried out. */
+        unknown /*!< No response: the command may have been executed. */
     };
 
-    kind end{kind::unknown};
+    kind outcome{kind::unknown};
     std::string reason;
 };
 
-/*! @brief Speaks to one model engine. */
+/*! @brief Client of one model engine. Its calls end with `done`, on success,
+ * failure and timeout alike. */
 class upstream_client
 {
 public:
     upstream_client(http_client& carrier, std::string base);
 
-    /*! @brief Asks what the engine serves and how busy it is. */
+    /*! @brief Reads what the engine serves and how busy it is. */
     void read_state(std::function<void(result<engine_state>)> done);
 
-    /*! @brief Hands over a manifest. */
+    /*! @brief Stages a manifest; `done` receives whether it was accepted. */
     void stage_manifest(const digest& version, std::string text,
                         std::function<void(bool)> done);
 
-    /*! @brief Hands over a verified chunk. */
+    /*! @brief Stages a verified chunk; `done` receives whether it was accepted.
+     */
     void stage_chunk(const digest& version, std::uint32_t chunk,
                      std::string bytes, std::function<void(bool)> done);
 
-    /*! @brief Orders a load. */
-    void load(const load_order& order, std::function<void(load_answer)> done);
+    /*! @brief Sends a load command; a load may take minutes. */
+    void load(const load_command& command,
+              std::function<void(load_response)> done);
 
-    /*! @brief Returns the base address. */
+    /*! @brief Returns the base URL. */
     [[nodiscard]] const std::string& url() const noexcept { return base_url; }
 
 private:
--- a/tests/daemon/entry_request.cpp
+++ b/tests/daemon/entry_request.cpp
@@ -21,66 +21,68 @@
     return cj::parse_entry_request(from, 7s);
 }
 
-std::string fault(const std::string& path, const std::string& body,
-                  cj::header_map headers = {})
+std::string error_of(const std::string& path, const std::string& body,
+                     cj::header_map headers = {})
 {
-    const auto read = parse(path, body, std::move(headers));
-    return read ? std::string{} : read.error().message;
+    const auto parsed = parse(path, body, std::move(headers));
+    return parsed ? std::string{} : parsed.error().message;
 }
 
 } // namespace
 
-SCENARIO("a caller's request is read from head and body", "[daemon]")
+SCENARIO("a caller's request is parsed from its headers and body", "[daemon]")
 {
-    GIVEN("a completion")
+    GIVEN("a completion request")
     {
-        const auto read =
+        const auto parsed =
             parse("/v1/completions",
                   R"({"model":"tutor","prompt":")" + std::string(200, 'x') +
                       R"(","stream":true})",
                   {{"organisation", "school"}, {"deadline-ms", "250"}});
-        REQUIRE(read);
-        CHECK(read.value().route.model == "tutor");
-        CHECK(read.value().streamed);
-        CHECK(read.value().timeout == 250ms);
-        CHECK(read.value().route.prefixes.size() == 3);
-        CHECK_FALSE(read.value().id.empty());
+        REQUIRE(parsed);
+        CHECK(parsed.value().route.model == "tutor");
+        CHECK(parsed.value().streamed);
+        CHECK(parsed.value().timeout == 250ms);
+        CHECK(parsed.value().route.prefixes.size() == 3);
+        CHECK_FALSE(parsed.value().id.empty());
     }
-    GIVEN("a call of a plain service")
+    GIVEN("a request to a plain service")
     {
-        const auto read =
+        const auto parsed =
             parse("/services/ledger/charge", "{}",
                   {{"request-id", "c1"}, {"not-repeatable", "true"}});
-        REQUIRE(read);
-        CHECK(read.value().route.model == "ledger");
-        CHECK(read.value().path == "/charge");
-        CHECK(read.value().timeout == 7s);
-        CHECK(read.value().not_repeatable);
+        REQUIRE(parsed);
+        CHECK(parsed.value().route.model == "ledger");
+        CHECK(parsed.value().path == "/charge");
+        CHECK(parsed.value().timeout == 7s);
+        CHECK(parsed.value().not_repeatable);
     }
-    GIVEN("faults")
+    GIVEN("invalid requests, each refused with the field at fault")
     {
         const std::string path = "/v1/completions";
         const std::string good = R"({"model":"tutor"})";
-        CHECK(fault(path, "{") == "body: must be a JSON object");
-        CHECK(fault(path, "[]") == "body: must be a JSON object");
-        CHECK(fault(path, R"({"model":7})") == "model: must be a text");
-        CHECK(fault(path, R"({"model":"m","prompt":[]})") ==
-              "prompt: must be a text");
-        CHECK(fault(path, good, {{"deadline-ms", "0"}}) ==
+        CHECK(error_of(path, "{") == "body: must be a JSON object");
+        CHECK(error_of(path, "[]") == "body: must be a JSON object");
+        CHECK(error_of(path, R"({"model":7})") == "model: must be a string");
+        CHECK(error_of(path, R"({"model":"m","prompt":[]})") ==
+              "prompt: must be a string");
+        CHECK(error_of(path, good, {{"deadline-ms", "0"}}) ==
               "Deadline-Ms: must lie between 1 and 3600000");
-        CHECK(fault(path, good, {{"not-repeatable", "yes"}}) ==
+        CHECK(error_of(path, good, {{"not-repeatable", "yes"}}) ==
               "Not-Repeatable: must be true or false");
-        CHECK(fault(path, good, {{"not-repeatable", "true"}}) ==
-              "Request-Id: is needed with Not-Repeatable");
-        CHECK(fault(path, good, {{"request-id", std::string(300, 'x')}}) ==
+        CHECK(error_of(path, good, {{"not-repeatable", "true"}}) ==
+              "Request-Id: is required with Not-Repeatable");
+        CHECK(error_of(path, good, {{"request-id", std::string(300, 'x')}}) ==
               "Request-Id: must have at most 256 bytes");
-        CHECK(fault("/services/", "{}") == "path: names no service");
+        CHECK(error_of("/services/", "{}") ==
+              "path: the service name is missing");
     }
 }
 
-TEST_CASE("any body is read or refused", "[daemon]")
+TEST_CASE("arbitrary bodies and headers are parsed or refused without a crash",
+          "[daemon]")
 {
-    rc::prop("whatever the bytes",
+    rc::prop("for any bytes",
              [](const std::string& body, const std::string& header)
              {
                  static_cast<void>(parse("/v1/completions", body,
--- a/tests/daemon/quarantine_api.cpp
+++ b/tests/daemon/quarantine_api.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/*! @brief Keeps what was answered. */
-class kept_reply : public http_reply
+/*! @brief Records the response. */
+class recorded_reply : public http_reply
 {
 public:
     void send(int code, std::string_view, const header_map&,
@@ -36,37 +36,38 @@
 {
     crash_ledger ledger;
     const time_point now{100s};
-    const auto bad = request_content::of("school", "/", "bad");
+    const auto crashing = request_content::of("school", "/", "bad");
     for (const char* name : {"a", "b", "c"})
-        ledger.record_crash(bad, crash_id_of(instance_id(name), {}),
+        ledger.record_crash(crashing, crash_id_of(instance_id(name), {}),
                             crash_evidence::before_response, now);
-    const auto ask = [&](const std::string& method, const std::string& path)
+    const auto request = [&](const std::string& method, const std::string& path)
     {
         http_request from;
         from.method = method;
         from.path = path;
-        kept_reply reply;
+        recorded_reply reply;
         handle_quarantine_request(
             from, reply, ledger,
-            [&](const request_content& what)
-            { return ledger.lift_quarantine(what, now); },
+            [&](const request_content& content)
+            { return ledger.lift_quarantine(content, now); },
             now);
         return reply;
     };
 
-    SECTION("the list tells what is held, for how long and why")
+    SECTION(
+        "the list shows a quarantined request, its crashes and the time left")
     {
-        const auto told = ask("GET", "/v1/quarantine");
-        CHECK(told.status == 200);
-        CHECK(told.text.find(bad.hex()) != std::string::npos);
-        CHECK(told.text.find("\"ends\":3") != std::string::npos);
-        CHECK(told.text.find("\"left_ms\":2000") != std::string::npos);
-        CHECK(told.text.find("\"quarantined\"") != std::string::npos);
+        const auto listed = request("GET", "/v1/quarantine");
+        CHECK(listed.status == 200);
+        CHECK(listed.text.find(crashing.hex()) != std::string::npos);
+        CHECK(listed.text.find("\"ends\":3") != std::string::npos);
+        CHECK(listed.text.find("\"left_ms\":2000") != std::string::npos);
+        CHECK(listed.text.find("\"quarantined\"") != std::string::npos);
     }
-    SECTION("the list tells what is on trial")
+    SECTION("the list shows a request on trial")
     {
         const auto later = now + 2s;
-        kept_reply reply;
+        recorded_reply reply;
         http_request from;
         from.method = "GET";
         from.path = "/v1/quarantine";
@@ -74,23 +75,26 @@
             from, reply, ledger, [](const auto&) { return false; }, later);
         CHECK(reply.text.find("\"on trial\"") != std::string::npos);
     }
-    SECTION("the list tells how long one is held whose trial has failed")
+    SECTION("the list shows the longer quarantine after a failed trial")
     {
-        ledger.record_crash(bad, crash_id_of(instance_id("d"), {}),
+        ledger.record_crash(crashing, crash_id_of(instance_id("d"), {}),
                             crash_evidence::trial, now);
-        CHECK(ask("GET", "/v1/quarantine").text.find("\"left_ms\":600000") !=
-              std::string::npos);
+        CHECK(
+            request("GET", "/v1/quarantine").text.find("\"left_ms\":600000") !=
+            std::string::npos);
     }
-    SECTION("one is lifted once")
+    SECTION("a quarantine is lifted once; a second DELETE finds none")
     {
-        CHECK(ask("DELETE", "/v1/quarantine/" + bad.hex()).status == 200);
-        CHECK(ask("DELETE", "/v1/quarantine/" + bad.hex()).status == 404);
-        CHECK(ask("GET", "/v1/quarantine").text == "[]");
+        CHECK(request("DELETE", "/v1/quarantine/" + crashing.hex()).status ==
+              200);
+        CHECK(request("DELETE", "/v1/quarantine/" + crashing.hex()).status ==
+              404);
+        CHECK(request("GET", "/v1/quarantine").text == "[]");
     }
-    SECTION("what makes no sense is refused")
+    SECTION("a malformed hash, a missing item and other methods are refused")
     {
-        CHECK(ask("DELETE", "/v1/quarantine/12").status == 400);
-        CHECK(ask("DELETE", "/v1/quarantine").status == 404);
-        CHECK(ask("POST", "/v1/quarantine").status == 404);
+        CHECK(request("DELETE", "/v1/quarantine/12").status == 400);
+        CHECK(request("DELETE", "/v1/quarantine").status == 404);
+        CHECK(request("POST", "/v1/quarantine").status == 404);
     }
 }
