--- a/src/coursejunction/daemon/chunk_uploader.hpp
+++ b/src/coursejunction/daemon/chunk_uploader.hpp
@@ -55,7 +55,7 @@
     /*! @brief Forgets the peers that wait for chunks of a version. */
     void drop_waiters(const digest& manifest) { queue.give_up(manifest); }
 
-    /*! @brief Drops all uploads to a peer that is gone. */
+    /*! @brief Drops the queued uploads to a peer that is gone. */
     void remove_peer(const instance_id& peer) { queue.drop(peer); }
 
     /*! @brief Sets the fraction of the uplink's rate that uploads may use. */
--- a/src/coursejunction/daemon/node.cpp
+++ b/src/coursejunction/daemon/node.cpp
@@ -80,20 +80,21 @@
         { frame_received(id, std::move(received)); };
         events.closed = [this](connection_id id) { connection_closed(id); };
         const auto kind = settings.kind == role::entry ? "entry" : "side";
-        auto made_hub =
+        auto created_hub =
             peer_hub::create(loop, settings.address, settings.peer_port, ring,
                              {settings.instance, kind}, std::move(events));
-        if (!made_hub)
-            return failure(made_hub.error().kind, made_hub.error().message);
-        hub = std::move(made_hub.value());
-        auto made_gossip = gossip.open(loop, hub->port());
-        if (!made_gossip)
-            return failure(made_gossip.error().kind,
-                           made_gossip.error().message);
+        if (!created_hub)
+            return failure(created_hub.error().kind,
+                           created_hub.error().message);
+        hub = std::move(created_hub.value());
+        auto opened_gossip = gossip.open(loop, hub->port());
+        if (!opened_gossip)
+            return failure(opened_gossip.error().kind,
+                           opened_gossip.error().message);
         http_options options;
         if (settings.max_request_bytes > 0)
             options.max_request_bytes = settings.max_request_bytes;
-        auto made_server = http_server::create(
+        auto created_server = http_server::create(
             settings.address, settings.http_port, options,
             [this](http_request request, std::shared_ptr<http_reply> reply)
             {
@@ -101,10 +102,10 @@
                            reply = std::move(reply)]() mutable
                           { handle_http(std::move(request), reply); });
             });
-        if (!made_server)
-            return failure(made_server.error().kind,
-                           made_server.error().message);
-        server = std::move(made_server.value());
+        if (!created_server)
+            return failure(created_server.error().kind,
+                           created_server.error().message);
+        server = std::move(created_server.value());
         return true;
     }
 
@@ -462,11 +463,11 @@
 result<std::unique_ptr<node>> node::create(event_loop& loop,
                                            node_settings settings)
 {
-    auto made = std::make_unique<implementation>(loop, std::move(settings));
-    auto opened = made->open();
+    auto created = std::make_unique<implementation>(loop, std::move(settings));
+    auto opened = created->open();
     if (!opened)
         return failure(opened.error().kind, opened.error().message);
-    return std::unique_ptr<node>(new node(std::move(made)));
+    return std::unique_ptr<node>(new node(std::move(created)));
 }
 
 void node::start(node_hooks hooks)
--- a/src/coursejunction/daemon/node.hpp
+++ b/src/coursejunction/daemon/node.hpp
@@ -61,7 +61,8 @@
     void start(node_hooks hooks);
 
     /*! @brief Sends a message to an instance, connecting to it if needed.
-     * @return False when there is no connection and no listed address. */
+     * @return False when it cannot be sent, such as to an instance that is
+     * neither listed nor connected. */
     template <typename Message>
     bool send(const instance_id& to, const Message& message,
               std::string_view payload = {}, bool hashed_payload = false)
@@ -72,7 +73,7 @@
     }
 
     /*! @brief Begins a graceful shutdown: announces it to the neighbours, waits
-     * until the role is idle, then stops the loop. */
+     * for a grace period and until the role is idle, then stops the loop. */
     void leave();
 
     [[nodiscard]] bool is_leaving() const;
--- a/src/coursejunction/daemon/report_service.cpp
+++ b/src/coursejunction/daemon/report_service.cpp
@@ -82,8 +82,8 @@
                                  previously_routed.contains(id) !=
                                      routed.contains(id);
                       });
-        std::erase_if(reports, [&](const auto& one)
-                      { return !selected.contains(one.first); });
+        std::erase_if(reports, [&](const auto& report)
+                      { return !selected.contains(report.first); });
         subscribe_missing();
     }
 
@@ -160,8 +160,8 @@
             found->second.serving.clear();
             on_report(found->second);
         }
-        for (auto& [number, one] : queries)
-            one.pending.erase(peer);
+        for (auto& [number, query] : queries)
+            query.pending.erase(peer);
         finish_queries();
     }
 
@@ -221,20 +221,20 @@
     void query_status(status_callback done)
     {
         const auto number = ++last_query;
-        auto& one = queries[number];
-        one.done = std::move(done);
+        auto& started = queries[number];
+        started.done = std::move(done);
         std::set<hall_id> all;
         for (const auto& [id, member] : host.members().all())
             all.insert(member.hall);
         for (const auto& hall : all)
-            query_hall(number, one, hall);
-        merge(one, local_reports());
-        one.timeout = host.loop().after(internal::status_timeout, [this, number]
-                                        { finish_query(number); });
+            query_hall(number, started, hall);
+        merge(started, local_reports());
+        started.timeout = host.loop().after(
+            internal::status_timeout, [this, number] { finish_query(number); });
         finish_queries();
     }
 
-    void query_hall(std::uint64_t number, query& one, const hall_id& hall)
+    void query_hall(std::uint64_t number, query& started, const hall_id& hall)
     {
         if (designated_halls.contains(hall))
             return;
@@ -249,30 +249,30 @@
             request.query = number;
             if (!host.send(id, request))
                 continue;
-            one.pending[id] = hall;
+            started.pending[id] = hall;
             sent = true;
         }
         if (!sent)
-            one.view.silent_halls.push_back(hall);
+            started.view.silent_halls.push_back(hall);
     }
 
     std::vector<message::report> local_reports() const
     {
         std::vector<message::report> list;
-        for (const auto& [id, one] : reports)
-            list.push_back(one);
+        for (const auto& [id, report] : reports)
+            list.push_back(report);
         return list;
     }
 
     static void merge(query& into, std::vector<message::report> list)
     {
-        for (auto& one : list)
+        for (auto& report : list)
         {
-            const instance_id id(one.instance);
+            const instance_id id(report.instance);
             const auto found = into.view.replicas.find(id);
             if (found == into.view.replicas.end() ||
                 found->second.phase == "unreachable")
-                into.view.replicas[id] = std::move(one);
+                into.view.replicas[id] = std::move(report);
         }
     }
 
@@ -281,11 +281,11 @@
     {
         message::status_reply reply;
         reply.query = query.query;
-        for (const auto& [id, one] : reports)
+        for (const auto& [id, report] : reports)
         {
-            if (designated_halls.contains(hall_id(one.hall)))
+            if (designated_halls.contains(hall_id(report.hall)))
             {
-                reply.replicas.push_back(one);
+                reply.replicas.push_back(report);
                 reply.replicas.back().cached_prefixes.clear();
             }
         }
@@ -306,9 +306,9 @@
     void finish_queries()
     {
         std::vector<std::uint64_t> finished;
-        for (const auto& [number, one] : queries)
+        for (const auto& [number, open] : queries)
         {
-            if (one.pending.empty())
+            if (open.pending.empty())
                 finished.push_back(number);
         }
         for (const auto number : finished)
--- a/src/coursejunction/daemon/report_service.hpp
+++ b/src/coursejunction/daemon/report_service.hpp
@@ -23,7 +23,9 @@
 struct status_view
 {
     std::map<instance_id, message::report> replicas;
-    std::vector<hall_id> silent_halls; /*!< No entry of them answered. */
+    /*! @brief Halls of which a designated entry did not answer in time, or none
+     * could be asked. */
+    std::vector<hall_id> silent_halls;
 };
 
 /*! @brief Subscribes to sidecars and keeps their last reports, grants replicas
@@ -40,8 +42,8 @@
     report_service(node& owner, report_callback on_report);
     ~report_service();
 
-    /*! @brief Selects anew the sidecars to subscribe to; called when members
-     * change, and regularly. */
+    /*! @brief Updates the selection of sidecars to subscribe to; called when
+     * members change, and regularly. */
     void update_subscriptions();
 
     /*! @brief Handles a frame with a report, a permit request or a status
@@ -57,8 +59,8 @@
      * regularly. */
     void subscribe_missing();
 
-    /*! @brief Gathers the status of all halls. Calls `done` within a second,
-     * with the halls that have not answered until then as silent. */
+    /*! @brief Gathers the status of all halls and calls `done` with it, after a
+     * second at the latest. */
     void query_status(status_callback done);
 
     /*! @brief Returns the number of sidecars that have reported. */
--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -113,7 +113,8 @@
             .first->second;
     }
 
-    /*! @brief Dispatches a request, queues it, or refuses it at once. */
+    /*! @brief Dispatches a request at once, queues it, or refuses it when no
+     * upstream serves it or no slot is expected before its deadline. */
     void dispatch_or_queue(const request_pointer& request)
     {
         if (withhold_suspect(request))
@@ -201,7 +202,8 @@
             }));
     }
 
-    /*! @brief Tries held requests again; expired ones are refused. */
+    /*! @brief Sends held requests again where they may run now; those past
+     * their deadline are refused. */
     void resend_held()
     {
         for (const auto stream : std::exchange(held_requests, {}))
@@ -232,6 +234,8 @@
                         internal::trial_retry_after));
     }
 
+    /*! @brief Returns the HTTP status for a model that no upstream serves: 503
+     * when it is deployed or was reported before, else 404. */
     int unserved_status(const live_request& request) const
     {
         const auto& specs = host.view().current().deployments();
@@ -352,9 +356,9 @@
     }
 
     void forward_events(const request_pointer& request,
-                        const std::string& whole)
+                        const std::string& whole_events)
     {
-        if (whole.empty())
+        if (whole_events.empty())
             return;
         if (!request->begun)
         {
@@ -363,7 +367,7 @@
                 request->route.weights = *weights;
             responses.begin(*request);
         }
-        responses.give(request, whole);
+        responses.give(request, whole_events);
     }
 
     void fail_attempt(const request_pointer& request, const std::string& reason)
--- a/src/coursejunction/daemon/resource_api.cpp
+++ b/src/coursejunction/daemon/resource_api.cpp
@@ -365,33 +365,34 @@
         configuration_writer<configuration_store>::start(
             *store, std::move(change), write_id(random_id()),
             host.view().current(),
-            [this, store, name, reply](const write_result& got)
-            { write_finished(name, got, reply); });
+            [this, store, name, reply](const write_result& written)
+            { write_finished(name, written, reply); });
     }
 
-    void write_finished(const deployment_name& name, const write_result& got,
-                        const reply_pointer& reply)
+    void write_finished(const deployment_name& name,
+                        const write_result& written, const reply_pointer& reply)
     {
-        if (!got.end)
+        if (!written.end)
         {
             host.counters().count("configuration_writes_total", 1,
                                   {{"result", std::string(internal::error_name(
-                                                  got.end.error().kind))}});
-            json body{{"error", internal::error_name(got.end.error().kind)},
-                      {"message", got.end.error().message}};
-            if (got.end.error().kind == error_kind::unknown)
-                body["write"] = got.id.value();
+                                                  written.end.error().kind))}});
+            json body{{"error", internal::error_name(written.end.error().kind)},
+                      {"message", written.end.error().message}};
+            if (written.end.error().kind == error_kind::unknown)
+                body["write"] = written.id.value();
             return internal::send_json(
-                reply, internal::http_status_of(got.end.error().kind), body);
+                reply, internal::http_status_of(written.end.error().kind),
+                body);
         }
         host.counters().count("configuration_writes_total", 1,
                               {{"result", "accepted"}});
-        host.offer_configuration(got.end.value());
-        const auto* spec = got.end.value().find(name);
+        host.offer_configuration(written.end.value());
+        const auto* spec = written.end.value().find(name);
         internal::send_json(
             reply, 200,
-            {{"write", got.id.value()},
-             {"revision", got.end.value().number().value()},
+            {{"write", written.id.value()},
+             {"revision", written.end.value().number().value()},
              {"deployment",
               spec == nullptr ? json() : json::parse(spec->json())}});
     }
@@ -406,29 +407,29 @@
             return send_accepted(id, *known, reply);
         host.key_values().read(
             configuration_key,
-            [this, id, reply](const result<stored_value>& got)
+            [this, id, reply](const result<stored_value>& read)
             {
-                if (!got)
-                    return internal::send_error(reply, got.error());
-                const auto stored = configuration::parse(got.value().text);
-                const auto made =
+                if (!read)
+                    return internal::send_error(reply, read.error());
+                const auto stored = configuration::parse(read.value().text);
+                const auto accepted =
                     stored ? stored.value().written(id) : std::nullopt;
-                if (!made)
+                if (!accepted)
                     return internal::send_json(
                         reply, 404,
                         {{"write", id.value()}, {"accepted", false}});
                 host.offer_configuration(stored.value());
-                send_accepted(id, *made, reply);
+                send_accepted(id, *accepted, reply);
             });
     }
 
-    static void send_accepted(const write_id& id, revision made,
+    static void send_accepted(const write_id& id, revision accepted,
                               const reply_pointer& reply)
     {
         internal::send_json(reply, 200,
                             {{"write", id.value()},
                              {"accepted", true},
-                             {"revision", made.value()}});
+                             {"revision", accepted.value()}});
     }
 
     // Status.
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -221,16 +221,16 @@
             return;
         read_pending = true;
         engine.read_state(
-            [this](const result<engine_state>& got)
+            [this](const result<engine_state>& state)
             {
                 read_pending = false;
-                if (!got)
+                if (!state)
                 {
-                    local_replica.version_read_failed(got.error().message,
+                    local_replica.version_read_failed(state.error().message,
                                                       now());
                     return report_if_changed();
                 }
-                engine_state_read(got.value());
+                engine_state_read(state.value());
             });
     }
 
--- a/src/coursejunction/daemon/state_dump.cpp
+++ b/src/coursejunction/daemon/state_dump.cpp
@@ -41,7 +41,7 @@
 
 json upstream_json(const known_upstream& upstream, time_point now)
 {
-    json made{
+    json description{
         {"id", upstream.record.id.value()},
         {"life", upstream.life.value()},
         {"service", upstream.record.service.value()},
@@ -60,15 +60,16 @@
                     to_seconds(upstream.avoid_until - now) * ms_per_second))},
         {"side_silent", upstream_registry::side_silent(upstream, now)}};
     if (upstream.status)
-        made["status"] = {{"told_ms_ago", age_ms(upstream.status_at, now)},
-                          {"model", upstream.status->model},
-                          {"version", upstream.status->version},
-                          {"open", upstream.status->open},
-                          {"reachable", upstream.status->reachable},
-                          {"running", upstream.status->running},
-                          {"waiting", upstream.status->waiting},
-                          {"pace", upstream.status->pace}};
-    return made;
+        description["status"] = {
+            {"told_ms_ago", age_ms(upstream.status_at, now)},
+            {"model", upstream.status->model},
+            {"version", upstream.status->version},
+            {"open", upstream.status->open},
+            {"reachable", upstream.status->reachable},
+            {"running", upstream.status->running},
+            {"waiting", upstream.status->waiting},
+            {"pace", upstream.status->pace}};
+    return description;
 }
 
 /*! @brief Returns a duration in whole ms, rounded up. */
--- a/src/coursejunction/daemon/upstream_client.cpp
+++ b/src/coursejunction/daemon/upstream_client.cpp
@@ -14,12 +14,12 @@
 constexpr milliseconds stage_timeout{10'000};
 constexpr milliseconds load_timeout{600'000};
 
-result<engine_state> parse_state(const http_result& end)
+result<engine_state> parse_state(const http_result& response)
 {
-    const auto body = json::parse(end.body, nullptr, false);
-    if (!end.ok() || !body.is_object())
+    const auto body = json::parse(response.body, nullptr, false);
+    if (!response.ok() || !body.is_object())
         return failure(error_kind::unavailable,
-                       "the engine does not respond: " + end.fault);
+                       "the engine does not respond: " + response.fault);
     engine_state state;
     const auto serving = digest::parse(body.value("serving", ""));
     if (serving)
@@ -39,22 +39,22 @@
     return state;
 }
 
-load_response parse_load(const http_result& end)
+load_response parse_load(const http_result& response)
 {
     using kind = load_response::kind;
-    if (end.reach == http_reach::interrupted)
+    if (response.reach == http_reach::interrupted)
         return {kind::unknown,
-                "the response to the load command was lost: " + end.fault};
-    if (end.reach == http_reach::not_sent)
-        return {kind::failed, "the engine does not respond: " + end.fault};
-    if (end.ok())
+                "the response to the load command was lost: " + response.fault};
+    if (response.reach == http_reach::not_sent)
+        return {kind::failed, "the engine does not respond: " + response.fault};
+    if (response.ok())
         return {kind::loaded, ""};
-    const auto body = json::parse(end.body, nullptr, false);
+    const auto body = json::parse(response.body, nullptr, false);
     const auto reason =
         body.is_object() ? body.value("error", "") : std::string{};
     const auto text = "the engine refused the load: " + reason + " (status " +
-                      std::to_string(end.status) + ")";
-    if (end.status == 422)
+                      std::to_string(response.status) + ")";
+    if (response.status == 422)
         return {kind::chunks_missing, text};
     if (reason == "stale token")
         return {kind::stale_token, text};
@@ -74,8 +74,8 @@
     call.url = base_url + "/v1/state";
     call.timeout = internal::state_timeout;
     client.start(std::move(call),
-                 [done = std::move(done)](const http_result& end)
-                 { done(internal::parse_state(end)); });
+                 [done = std::move(done)](const http_result& response)
+                 { done(internal::parse_state(response)); });
 }
 
 void upstream_client::put(const std::string& path, std::string body,
@@ -87,8 +87,8 @@
     call.body = std::move(body);
     call.timeout = internal::stage_timeout;
     client.start(std::move(call),
-                 [done = std::move(done)](const http_result& end)
-                 { done(end.ok()); });
+                 [done = std::move(done)](const http_result& response)
+                 { done(response.ok()); });
 }
 
 void upstream_client::stage_manifest(const digest& version, std::string text,
@@ -119,8 +119,8 @@
                     .dump();
     call.timeout = internal::load_timeout;
     client.start(std::move(call),
-                 [done = std::move(done)](const http_result& end)
-                 { done(internal::parse_load(end)); });
+                 [done = std::move(done)](const http_result& response)
+                 { done(internal::parse_load(response)); });
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/daemon/upstream_client.hpp
+++ b/src/coursejunction/daemon/upstream_client.hpp
@@ -46,7 +46,7 @@
     enum class kind : std::uint8_t
     {
         loaded,
-        stale_token, /*!< A newer one is known: another sidecar controls it. */
+        stale_token,    /*!< Another sidecar has a newer token. */
         chunks_missing, /*!< The engine lacks some of the staged chunks. */
         failed,
         unknown /*!< No response: the command may have been executed. */
@@ -56,8 +56,8 @@
     std::string reason;
 };
 
-/*! @brief Client of one model engine. Its calls end with `done`, on success,
- * failure and timeout alike. */
+/*! @brief Client of one model engine. Each call ends by invoking `done`, also
+ * on failure and timeout. */
 class upstream_client
 {
 public:
