--- a/src/coursejunction/daemon/fwd.hpp
+++ b/src/coursejunction/daemon/fwd.hpp
@@ -21,26 +21,26 @@
 {
 
 template <typename Engine>
-class engine_hand_over;
-class answer_events;
-class caller_answers;
-class claim_notes;
+class engine_stager;
+class event_framer;
+class response_writer;
+class replicated_claims;
 class configuration_watch;
-class fenced_orders;
+class fenced_commands;
 class have_announcer;
 class heartbeat_gossip;
 class held_versions;
 class live_upstreams;
-class origin_calls;
+class weight_source_client;
 class paced_downlink;
 class peer_links;
-class retry_rule;
+class retry_policy;
 class run_claims;
 template <typename Key>
 class service_times;
-class side_reports;
+class report_publisher;
 class version_fetch;
-struct wanted_version;
+struct target_version;
 
 } // namespace internal
 
--- a/src/coursejunction/daemon/internal/configuration_restorer.cpp
+++ b/src/coursejunction/daemon/internal/configuration_restorer.cpp
@@ -31,7 +31,7 @@
 {
 }
 
-void configuration_restorer::stored(const configuration& now)
+void configuration_restorer::on_stored(const configuration& now)
 {
     held = now;
     if (branch && held->descends_from(*branch))
@@ -39,12 +39,12 @@
     compare();
 }
 
-void configuration_restorer::changed()
+void configuration_restorer::on_changed()
 {
     compare();
 }
 
-void configuration_restorer::diverged(configuration other)
+void configuration_restorer::on_diverged(configuration other)
 {
     if (!rank())
         return;
@@ -104,7 +104,7 @@
     log::state(
         "configuration_restored",
         {{"revision", std::to_string(got.end.value().number().value())}});
-    stored(got.end.value());
+    on_stored(got.end.value());
     found(got.end.value());
 }
 
--- a/src/coursejunction/daemon/internal/configuration_restorer.hpp
+++ b/src/coursejunction/daemon/internal/configuration_restorer.hpp
@@ -36,14 +36,14 @@
                            rank_callback place, found_callback call);
 
     /*! @brief The service answered with this configuration. */
-    void stored(const configuration& now);
+    void on_stored(const configuration& now);
 
     /*! @brief Another configuration is in force. */
-    void changed();
+    void on_changed();
 
     /*! @brief An acknowledged configuration and the one in force do not
      * descend from each other. */
-    void diverged(configuration other);
+    void on_diverged(configuration other);
 
 private:
     void compare();
--- a/src/coursejunction/daemon/internal/configuration_watch.cpp
+++ b/src/coursejunction/daemon/internal/configuration_watch.cpp
@@ -28,7 +28,7 @@
 {
 }
 
-void configuration_watch::read_first()
+void configuration_watch::read_initial()
 {
     key_values.read(configuration_key,
                     [this](const result<stored_value>& got)
@@ -37,11 +37,11 @@
                             take(got.value());
                         else if (!view.ready())
                             retry_read = loop.after(watch_retry,
-                                                    [this] { read_first(); });
+                                                    [this] { read_initial(); });
                     });
 }
 
-void configuration_watch::designate(bool chosen)
+void configuration_watch::set_designated(bool chosen)
 {
     chosen_now = chosen;
     if (chosen_now && !watching)
--- a/src/coursejunction/daemon/internal/configuration_watch.hpp
+++ b/src/coursejunction/daemon/internal/configuration_watch.hpp
@@ -29,10 +29,10 @@
                         found_callback call);
 
     /*! @brief Reads, again and again until some configuration is known. */
-    void read_first();
+    void read_initial();
 
     /*! @brief Says whether this instance is to watch. */
-    void designate(bool chosen);
+    void set_designated(bool chosen);
 
     /*! @brief Tells whether this instance is to watch. */
     [[nodiscard]] bool designated() const noexcept { return chosen_now; }
--- a/src/coursejunction/daemon/internal/crash_gossip.hpp
+++ b/src/coursejunction/daemon/internal/crash_gossip.hpp
@@ -35,40 +35,41 @@
 
     [[nodiscard]] const crash_ledger& records() const { return ledger; }
 
-    [[nodiscard]] crash_status standing(const request_content& what,
-                                        time_point now) const
+    [[nodiscard]] crash_status status(const request_content& what,
+                                      time_point now) const
     {
         return ledger.status(what, now);
     }
 
     /*! @brief Returns how many copies of a request may run at once.
      * @param tries_it Whether trials of it are this process's. */
-    [[nodiscard]] std::size_t most_running(const request_content& what,
-                                           bool tries_it, time_point now) const
+    [[nodiscard]] std::size_t max_running(const request_content& what,
+                                          bool tries_it, time_point now) const
     {
         return ledger.max_running(what, tries_it, now);
     }
 
     /*! @brief An upstream ended under some requests. */
-    void accuse(const std::vector<crash_report>& accused, time_point now)
+    void record_crashes(const std::vector<crash_report>& accused,
+                        time_point now)
     {
         for (const auto& one : accused)
         {
             if (ledger.record_crash(one.content, one.crash, one.evidence, now))
                 note(one.content);
         }
-        announce(now);
+        send_updates(now);
     }
 
     /*! @brief An upstream answered a request in whole. */
-    void answered(const request_content& what, time_point now)
+    void record_response(const request_content& what, time_point now)
     {
         if (ledger.record_response(what, now))
-            announce(now);
+            send_updates(now);
     }
 
     /*! @brief Takes a neighbour's records, and passes on what is new. */
-    void take(const std::vector<message::crash_record>& told, time_point now)
+    void merge(const std::vector<message::crash_record>& told, time_point now)
     {
         for (const auto& one : told)
         {
@@ -76,23 +77,23 @@
                 note(one.content);
         }
         if (ledger.has_pending_updates())
-            announce(now);
+            send_updates(now);
     }
 
     /*! @brief Ends a quarantine everywhere.
      * @return Whether there was one. */
-    bool lift(const request_content& what, time_point now)
+    bool lift_quarantine(const request_content& what, time_point now)
     {
         if (!ledger.lift_quarantine(what, now))
             return false;
         log::state("quarantine_lifted", {{"content", what.hex()}});
-        announce(now);
+        send_updates(now);
         return true;
     }
 
     /*! @brief Tells neighbours what changed and, in turn, what is quarantined;
      * called with each heartbeat. */
-    void announce(time_point now)
+    void send_updates(time_point now)
     {
         ledger.expire(now);
         counters.set("requests_quarantined",
--- a/src/coursejunction/daemon/internal/engine_hand_over.hpp
+++ b/src/coursejunction/daemon/internal/engine_stager.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Hands the chunks of a version over to an engine.
  */
-#ifndef COURSEJUNCTION_DAEMON_INTERNAL_ENGINE_HAND_OVER_HPP
-#define COURSEJUNCTION_DAEMON_INTERNAL_ENGINE_HAND_OVER_HPP
+#ifndef COURSEJUNCTION_DAEMON_INTERNAL_ENGINE_STAGER_HPP
+#define COURSEJUNCTION_DAEMON_INTERNAL_ENGINE_STAGER_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -18,34 +18,34 @@
 {
 
 /*! @brief Chunks handed over at once. */
-inline constexpr std::size_t hand_over_limit = 4;
+inline constexpr std::size_t max_staging_calls = 4;
 
 /*! @brief Hands over first the manifest, then each chunk, a few at once, and
  * says when the engine has all of them.
  * @tparam Engine Has `stage_manifest` and `stage_chunk`, which tell later
  * whether it worked. */
 template <typename Engine>
-class engine_hand_over
+class engine_stager
 {
 public:
     /*! @brief Called once when the engine has every chunk. */
     using whole_callback = std::function<void(const digest&)>;
 
-    engine_hand_over(Engine& to, whole_callback call)
+    engine_stager(Engine& to, whole_callback call)
         : engine(to), whole(std::move(call))
     {
     }
 
     /*! @brief Begins with a version; what it holds already is queued. */
-    void begin(const digest& of, std::shared_ptr<const staging> held)
+    void start(const digest& of, std::shared_ptr<const staging> held)
     {
         version = of;
         chunks = std::move(held);
-        again();
+        restart();
     }
 
     /*! @brief Begins anew, after the engine lost what it had. */
-    void again()
+    void restart()
     {
         reset();
         const auto all = chunks->held();
@@ -61,14 +61,14 @@
     }
 
     /*! @brief Queues a chunk that is held now. */
-    void offer(chunk_index chunk) { waiting.push_back(chunk); }
+    void enqueue(chunk_index chunk) { waiting.push_back(chunk); }
 
     /*! @brief Hands over what there is room for. */
-    void move_on()
+    void advance()
     {
         if (!manifest_done)
             return hand_over_manifest();
-        while (open < hand_over_limit && !waiting.empty())
+        while (open < max_staging_calls && !waiting.empty())
         {
             const auto chunk = waiting.front();
             waiting.pop_front();
@@ -80,7 +80,7 @@
     }
 
     /*! @brief Returns how many chunks the engine has taken. */
-    [[nodiscard]] std::size_t size() const noexcept { return done; }
+    [[nodiscard]] std::size_t staged_count() const noexcept { return done; }
 
 private:
     void reset()
@@ -105,7 +105,7 @@
                                   --open;
                                   manifest_done = ok;
                                   if (ok)
-                                      move_on();
+                                      advance();
                               });
     }
 
@@ -122,7 +122,7 @@
             told = true;
             return whole(version);
         }
-        move_on();
+        advance();
     }
 
     Engine& engine;
--- a/src/coursejunction/daemon/internal/answer_events.hpp
+++ b/src/coursejunction/daemon/internal/event_framer.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Cuts a stream of an answer into whole events.
  */
-#ifndef COURSEJUNCTION_DAEMON_INTERNAL_ANSWER_EVENTS_HPP
-#define COURSEJUNCTION_DAEMON_INTERNAL_ANSWER_EVENTS_HPP
+#ifndef COURSEJUNCTION_DAEMON_INTERNAL_EVENT_FRAMER_HPP
+#define COURSEJUNCTION_DAEMON_INTERNAL_EVENT_FRAMER_HPP
 
 #include <cstdint>
 #include <string>
@@ -13,12 +13,12 @@
 
 /*! @brief Gives out whole events only, so that a stream can be resumed
  * elsewhere exactly behind the last one; pure. */
-class answer_events
+class event_framer
 {
 public:
     /*! @brief Takes bytes of the stream.
      * @return The events that are whole now; empty when none is. */
-    [[nodiscard]] std::string take(std::string_view bytes)
+    [[nodiscard]] std::string feed(std::string_view bytes)
     {
         pending += bytes;
         const auto end = pending.rfind(event_end);
@@ -31,13 +31,13 @@
     }
 
     /*! @brief Drops the start of an event: another attempt sends it anew. */
-    void drop() { pending.clear(); }
+    void discard_partial() { pending.clear(); }
 
     /*! @brief Tells whether no event is half here. */
-    [[nodiscard]] bool whole() const noexcept { return pending.empty(); }
+    [[nodiscard]] bool at_boundary() const noexcept { return pending.empty(); }
 
     /*! @brief Returns the events with data that were given out. */
-    [[nodiscard]] std::uint32_t size() const noexcept { return events; }
+    [[nodiscard]] std::uint32_t data_events() const noexcept { return events; }
 
 private:
     static constexpr std::string_view event_end = "\n\n";
--- a/src/coursejunction/daemon/internal/fenced_orders.cpp
+++ b/src/coursejunction/daemon/internal/fenced_commands.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/internal/fenced_orders.hpp"
+#include "coursejunction/daemon/internal/fenced_commands.hpp"
 
 #include <utility>
 
@@ -17,14 +17,14 @@
 
 } // namespace
 
-fenced_orders::fenced_orders(node& owner, order_callback allowed,
-                             order_callback refused)
+fenced_commands::fenced_commands(node& owner, order_callback allowed,
+                                 order_callback refused)
     : host(owner), allow(std::move(allowed)), refuse(std::move(refused)),
       guard(owner.settings().upstream_fenced), process_id(random_id())
 {
 }
 
-void fenced_orders::request()
+void fenced_commands::authorize()
 {
     switch (guard.state())
     {
@@ -39,12 +39,12 @@
     }
 }
 
-void fenced_orders::request_later()
+void fenced_commands::request_later()
 {
-    again = host.loop().after(token_retry, [this] { request(); });
+    again = host.loop().after(token_retry, [this] { authorize(); });
 }
 
-void fenced_orders::take_token()
+void fenced_commands::take_token()
 {
     host.key_values().read(fence_key(host.settings().instance),
                            [this](const result<stored_value>& got)
@@ -57,32 +57,32 @@
 
 /*! @brief Takes the next token by compare-and-swap. The value names the
  * process, so a lost answer is settled by reading again. */
-void fenced_orders::take_after(const stored_value& stored)
+void fenced_commands::take_after(const stored_value& stored)
 {
     const auto newest = parse_token(stored.text);
     if (newest.owner == owner_text() && newest.token >= highest)
     {
         guard.token_acquired(newest.token);
-        return request();
+        return authorize();
     }
     const fencing_token next(std::max(newest.token, highest).value() + 1);
     host.key_values().swap(fence_key(host.settings().instance), stored.index,
-                           to_text({next, owner_text()}),
+                           format_token({next, owner_text()}),
                            [this, next](swap_outcome done)
                            { taken(next, done); });
 }
 
-void fenced_orders::taken(fencing_token next, swap_outcome done)
+void fenced_commands::taken(fencing_token next, swap_outcome done)
 {
     if (done != swap_outcome::swapped)
         return request_later();
     guard.token_acquired(next);
     log::state("fencing_token_taken",
                {{"token", std::to_string(next.value())}});
-    request();
+    authorize();
 }
 
-void fenced_orders::confirm_token()
+void fenced_commands::confirm_token()
 {
     host.key_values().read(
         fence_key(host.settings().instance),
@@ -91,15 +91,15 @@
             if (got)
             {
                 guard.newest_token_read(parse_token(got.value().text).token);
-                return request();
+                return authorize();
             }
             guard.service_unreachable();
-            return guard.state() == fence_state::held ? request()
+            return guard.state() == fence_state::held ? authorize()
                                                       : request_later();
         });
 }
 
-std::string fenced_orders::owner_text() const
+std::string fenced_commands::owner_text() const
 {
     return host.settings().instance.value() + "/" + process_id;
 }
--- a/src/coursejunction/daemon/internal/have_announcer.cpp
+++ b/src/coursejunction/daemon/internal/have_announcer.cpp
@@ -25,19 +25,19 @@
 
 have_announcer::have_announcer(send_callback call) : send(std::move(call)) {}
 
-void have_announcer::neighbours(std::set<instance_id> chosen)
+void have_announcer::set_neighbours(std::set<instance_id> chosen)
 {
     known = std::move(chosen);
 }
 
-void have_announcer::greet(const staging& chunks) const
+void have_announcer::send_all_held(const staging& chunks) const
 {
     for (const auto& id : known)
         send(id, chunks.held());
 }
 
-void have_announcer::listen(const instance_id& peer, bool near,
-                            const staging& chunks)
+void have_announcer::add_listener(const instance_id& peer, bool near,
+                                  const staging& chunks)
 {
     if (listeners.contains(peer) || listeners.size() >= max_listeners)
         return;
@@ -45,7 +45,7 @@
     send(peer, chunks.held());
 }
 
-void have_announcer::tell(const staging& chunks, time_point now)
+void have_announcer::announce(const staging& chunks, time_point now)
 {
     if (now - told_far >= have_interval)
         return tell_all(chunks, now);
--- a/src/coursejunction/daemon/internal/have_announcer.hpp
+++ b/src/coursejunction/daemon/internal/have_announcer.hpp
@@ -28,26 +28,27 @@
     explicit have_announcer(send_callback call);
 
     /*! @brief Sets whom this instance makes itself known to. */
-    void neighbours(std::set<instance_id> chosen);
+    void set_neighbours(std::set<instance_id> chosen);
 
     /*! @brief Makes this instance known to its neighbours, with everything
      * it holds; they answer in kind. */
-    void greet(const staging& chunks) const;
+    void send_all_held(const staging& chunks) const;
 
     /*! @brief Counts a peer as one that wants to hear what is held here; a
      * new one is told everything.
      * @param near Whether it is in the own hall. */
-    void listen(const instance_id& peer, bool near, const staging& chunks);
+    void add_listener(const instance_id& peer, bool near,
+                      const staging& chunks);
 
     /*! @brief Notes that a peer asked for a chunk. */
-    void asked(time_point now) { asked_at = now; }
+    void record_request(time_point now) { asked_at = now; }
 
     /*! @brief Notes a chunk that nobody has been told of. */
-    void added(chunk_index chunk) { fresh.push_back(chunk); }
+    void add_chunk(chunk_index chunk) { fresh.push_back(chunk); }
 
     /*! @brief Tells listeners of the own hall what is new, in small batches,
      * and those of other halls more slowly: they only need signs of life. */
-    void tell(const staging& chunks, time_point now);
+    void announce(const staging& chunks, time_point now);
 
     /*! @brief Forgets a listener whose connection is gone. */
     void peer_lost(const instance_id& peer) { listeners.erase(peer); }
--- a/src/coursejunction/daemon/internal/heartbeat_gossip.cpp
+++ b/src/coursejunction/daemon/internal/heartbeat_gossip.cpp
@@ -37,7 +37,7 @@
     return true;
 }
 
-void heartbeat_gossip::announce()
+void heartbeat_gossip::send_heartbeats()
 {
     for (const auto& id : members.neighbours(
              settings.instance, settings.gossip_neighbours, event_loop::now()))
@@ -74,7 +74,7 @@
         heard(beat.value());
 }
 
-void heartbeat_gossip::tell(const message::crash_news& news)
+void heartbeat_gossip::send_crash_records(const message::crash_news& news)
 {
     const auto sealed =
         seal_datagram(ring, frame_type::crash_news, encode(news));
--- a/src/coursejunction/daemon/internal/heartbeat_gossip.hpp
+++ b/src/coursejunction/daemon/internal/heartbeat_gossip.hpp
@@ -50,19 +50,19 @@
     [[nodiscard]] result<bool> open(event_loop& loop, std::uint16_t port);
 
     /*! @brief Sends a heartbeat to each neighbour. */
-    void announce();
+    void send_heartbeats();
 
     /*! @brief Sets who hears of requests that crash upstreams. */
     void on_crashes(crashes_callback call) { crashes = std::move(call); }
 
     /*! @brief Tells each neighbour of requests that crash upstreams. */
-    void tell(const message::crash_news& news);
+    void send_crash_records(const message::crash_news& news);
 
     /*! @brief Says from now on that this instance is leaving. */
-    void leave() { leaving = true; }
+    void set_leaving() { leaving = true; }
 
     /*! @brief Returns bytes received and sent. */
-    [[nodiscard]] std::uint64_t bytes() const { return socket->bytes(); }
+    [[nodiscard]] std::uint64_t total_bytes() const { return socket->bytes(); }
 
 private:
     void beat_to(const instance_id& to);
--- a/src/coursejunction/daemon/internal/held_versions.cpp
+++ b/src/coursejunction/daemon/internal/held_versions.cpp
@@ -3,7 +3,7 @@
 namespace coursejunction::internal
 {
 
-void held_versions::hold(const digest& version, const value_type& chunks)
+void held_versions::add(const digest& version, const value_type& chunks)
 {
     for (const auto& [name, other] : versions)
     {
@@ -13,7 +13,7 @@
     versions[version] = chunks;
 }
 
-void held_versions::release_but(const digest& wanted)
+void held_versions::release_unused(const digest& wanted)
 {
     std::erase_if(versions, [&](const auto& one)
                   { return one.first != served && one.first != wanted; });
--- a/src/coursejunction/daemon/internal/held_versions.hpp
+++ b/src/coursejunction/daemon/internal/held_versions.hpp
@@ -22,14 +22,14 @@
     using value_type = std::shared_ptr<staging>;
 
     /*! @brief Says which version the engine serves. */
-    void serving(const digest& version) { served = version; }
+    void set_served(const digest& version) { served = version; }
 
     /*! @brief Holds a version; chunks that others have in common with it are
      * taken over. */
-    void hold(const digest& version, const value_type& chunks);
+    void add(const digest& version, const value_type& chunks);
 
     /*! @brief Drops versions that are neither wanted nor served. */
-    void release_but(const digest& wanted);
+    void release_unused(const digest& wanted);
 
     /*! @brief Returns a version, or null. */
     [[nodiscard]] value_type find(const digest& version) const;
--- a/src/coursejunction/daemon/internal/live_request.cpp
+++ b/src/coursejunction/daemon/internal/live_request.cpp
@@ -7,7 +7,7 @@
 namespace coursejunction::internal
 {
 
-message::dispatch dispatch_of(const live_request& one, milliseconds left)
+message::dispatch make_dispatch(const live_request& one, milliseconds left)
 {
     message::dispatch ask;
     ask.stream = one.stream;
@@ -21,7 +21,7 @@
         static_cast<std::uint32_t>(std::max<std::int64_t>(1, left.count()));
     ask.not_repeatable = one.not_repeatable;
     ask.seed = stable_hash(one.id.value());
-    ask.resume_from = one.events.size();
+    ask.resume_from = one.events.data_events();
     ask.weights = one.route.weights;
     return ask;
 }
--- a/src/coursejunction/daemon/internal/live_request.hpp
+++ b/src/coursejunction/daemon/internal/live_request.hpp
@@ -11,7 +11,7 @@
 #include "coursejunction/core/request_content.hpp"
 #include "coursejunction/core/types.hpp"
 #include "coursejunction/daemon/entry_request.hpp"
-#include "coursejunction/daemon/internal/answer_events.hpp"
+#include "coursejunction/daemon/internal/event_framer.hpp"
 #include "coursejunction/net/http_server.hpp"
 #include "coursejunction/wire/codec.hpp"
 
@@ -23,26 +23,26 @@
 {
     std::uint64_t stream{0};
     std::uint32_t attempt{0};
-    bool begun{false};
-    bool running{false};
-    bool maybe_ran{false}; /*!< An attempt may have run. */
-    std::uint32_t parts{0};
-    answer_events events; /*!< Those of them that the caller was given. */
-    std::string gathered;
-    std::string held; /*!< Whole events for the next flush. */
-    time_point given_at{};
+    bool stream_begun{false};
+    bool attempt_running{false};
+    bool may_have_run{false}; /*!< An attempt may have run. */
+    std::uint32_t received_parts{0};
+    event_framer events; /*!< Those of them that the caller was given. */
+    std::string buffered_body;
+    std::string unsent_events; /*!< Whole events for the next flush. */
+    time_point last_write_at{};
     instance_id upstream;
     request_content content;
-    time_point arrived{};
-    time_point started{};
+    time_point arrived_at{};
+    time_point attempt_started_at{};
     time_point deadline{};
     std::shared_ptr<http_reply> reply;
 };
 
-using live_pointer = std::shared_ptr<live_request>;
+using live_request_pointer = std::shared_ptr<live_request>;
 
 /*! @brief How an attempt, or the whole request, ended without answer. */
-struct attempt_end
+struct attempt_failure
 {
     outcome result{outcome::unknown};
     refusal refused{refusal::none};
@@ -53,8 +53,8 @@
 
 /*! @brief Makes the order that an attempt at an upstream begins with.
  * @param left Time to the deadline; what has passed counts as the least. */
-[[nodiscard]] message::dispatch dispatch_of(const live_request& one,
-                                            milliseconds left);
+[[nodiscard]] message::dispatch make_dispatch(const live_request& one,
+                                              milliseconds left);
 
 } // namespace coursejunction::internal
 
--- a/src/coursejunction/daemon/internal/live_upstreams.cpp
+++ b/src/coursejunction/daemon/internal/live_upstreams.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "coursejunction/daemon/internal/retry_rule.hpp"
+#include "coursejunction/daemon/internal/retry_policy.hpp"
 
 namespace coursejunction::internal
 {
@@ -28,7 +28,7 @@
     return scored_policy();
 }
 
-void live_upstreams::reported(const message::report& one, time_point now)
+void live_upstreams::apply_report(const message::report& one, time_point now)
 {
     auto& state = table[instance_id(one.instance)];
     state.hall = hall_id(one.hall);
@@ -53,14 +53,15 @@
         state->open = false;
 }
 
-void live_upstreams::left(const instance_id& from)
+void live_upstreams::end_request(const instance_id& from)
 {
     auto* state = table.find(from);
     if (state != nullptr && state->own_requests > 0)
         --state->own_requests;
 }
 
-void live_upstreams::failed(const instance_id& at, refusal why, time_point now)
+void live_upstreams::record_failure(const instance_id& at, refusal why,
+                                    time_point now)
 {
     if (why == refusal::busy)
         note_full(at);
@@ -90,14 +91,14 @@
         policy);
 }
 
-bool live_upstreams::knows(const std::string& model) const
+bool live_upstreams::has_reported_model(const std::string& model) const
 {
     return std::any_of(table.all().begin(), table.all().end(),
                        [&](const auto& state)
                        { return state.second.model == model; });
 }
 
-const std::string* live_upstreams::weights(const instance_id& of)
+const std::string* live_upstreams::served_version(const instance_id& of)
 {
     const auto* state = table.find(of);
     return state == nullptr ? nullptr : &state->weights;
--- a/src/coursejunction/daemon/internal/live_upstreams.hpp
+++ b/src/coursejunction/daemon/internal/live_upstreams.hpp
@@ -26,25 +26,25 @@
     explicit live_upstreams(const node_settings& set);
 
     /*! @brief Takes a side's report. */
-    void reported(const message::report& one, time_point now);
+    void apply_report(const message::report& one, time_point now);
 
     /*! @brief Notes that a side's connection is gone. */
     void peer_lost(const instance_id& peer);
 
     /*! @brief Counts a request that goes to an upstream. */
-    void entered(const instance_id& to) { ++table[to].own_requests; }
+    void begin_request(const instance_id& to) { ++table[to].own_requests; }
 
     /*! @brief Counts a request that has left an upstream. */
-    void left(const instance_id& from);
+    void end_request(const instance_id& from);
 
     /*! @brief Notes that an attempt was answered. */
-    void succeeded(const instance_id& at, std::chrono::microseconds took)
+    void record_success(const instance_id& at, std::chrono::microseconds took)
     {
         table.record_success(at, took);
     }
 
     /*! @brief Notes that an attempt gave no answer. */
-    void failed(const instance_id& at, refusal why, time_point now);
+    void record_failure(const instance_id& at, refusal why, time_point now);
 
     /*! @brief Chooses an upstream that has room.
      * @return The upstream, or nothing. */
@@ -52,17 +52,18 @@
                                                     time_point now);
 
     /*! @brief Tells whether anybody serves the model, with room or not. */
-    [[nodiscard]] bool served(const route_request& route, time_point now) const
+    [[nodiscard]] bool is_served(const route_request& route,
+                                 time_point now) const
     {
         return table.is_served(route, now);
     }
 
     /*! @brief Tells whether a side has ever reported the model. */
-    [[nodiscard]] bool knows(const std::string& model) const;
+    [[nodiscard]] bool has_reported_model(const std::string& model) const;
 
     /*! @brief Returns the weights that an upstream serves; null when it is
      * unknown. */
-    [[nodiscard]] const std::string* weights(const instance_id& of);
+    [[nodiscard]] const std::string* served_version(const instance_id& of);
 
     /*! @brief Returns the state as JSON. */
     [[nodiscard]] nlohmann::json dump() const;
--- a/src/coursejunction/daemon/internal/node_dump.cpp
+++ b/src/coursejunction/daemon/internal/node_state.cpp
@@ -1,11 +1,11 @@
-#include "coursejunction/daemon/internal/node_dump.hpp"
+#include "coursejunction/daemon/internal/node_state.hpp"
 
 #include <nlohmann/json.hpp>
 
 namespace coursejunction::internal
 {
 
-nlohmann::json members_dump(const member_table& members, time_point now)
+nlohmann::json members_json(const member_table& members, time_point now)
 {
     auto shown = nlohmann::json::array();
     for (const auto& [id, one] : members.all())
@@ -17,7 +17,7 @@
     return shown;
 }
 
-nlohmann::json traffic_dump(const hub_counters& counts,
+nlohmann::json traffic_json(const hub_counters& counts,
                             std::uint64_t gossip_bytes,
                             std::uint64_t key_value_calls)
 {
--- a/src/coursejunction/daemon/internal/node_dump.hpp
+++ b/src/coursejunction/daemon/internal/node_state.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Parts of the state that a node shows, as JSON; pure.
  */
-#ifndef COURSEJUNCTION_DAEMON_INTERNAL_NODE_DUMP_HPP
-#define COURSEJUNCTION_DAEMON_INTERNAL_NODE_DUMP_HPP
+#ifndef COURSEJUNCTION_DAEMON_INTERNAL_NODE_STATE_HPP
+#define COURSEJUNCTION_DAEMON_INTERNAL_NODE_STATE_HPP
 
 #include <cstdint>
 
@@ -16,11 +16,11 @@
 {
 
 /*! @brief Shows the listed members and whether work may be sent to them. */
-[[nodiscard]] nlohmann::json members_dump(const member_table& members,
+[[nodiscard]] nlohmann::json members_json(const member_table& members,
                                           time_point now);
 
 /*! @brief Shows what was sent and received. */
-[[nodiscard]] nlohmann::json traffic_dump(const hub_counters& counts,
+[[nodiscard]] nlohmann::json traffic_json(const hub_counters& counts,
                                           std::uint64_t gossip_bytes,
                                           std::uint64_t key_value_calls);
 
--- a/src/coursejunction/daemon/internal/paced_downlink.cpp
+++ b/src/coursejunction/daemon/internal/paced_downlink.cpp
@@ -19,8 +19,8 @@
 {
 }
 
-void paced_downlink::carry(chunk_index chunk, std::string bytes,
-                           const instance_id& from)
+void paced_downlink::enqueue(chunk_index chunk, std::string bytes,
+                             const instance_id& from)
 {
     const auto at =
         link.reserve(static_cast<double>(bytes.size()), event_loop::now());
--- a/src/coursejunction/daemon/internal/paced_downlink.hpp
+++ b/src/coursejunction/daemon/internal/paced_downlink.hpp
@@ -29,10 +29,10 @@
     paced_downlink(event_loop& owner, double rate, arrived_callback call);
 
     /*! @brief Lets a chunk arrive when the downlink has carried it. */
-    void carry(chunk_index chunk, std::string bytes, const instance_id& from);
+    void enqueue(chunk_index chunk, std::string bytes, const instance_id& from);
 
     /*! @brief Drops what has not arrived; the time it took stays taken. */
-    void drop() { coming.clear(); }
+    void clear() { coming.clear(); }
 
 private:
     struct arrival
--- a/src/coursejunction/daemon/internal/peer_links.hpp
+++ b/src/coursejunction/daemon/internal/peer_links.hpp
@@ -23,28 +23,28 @@
 {
 public:
     /*! @brief Notes a connection opened to an instance's listed address. */
-    void dial(const instance_id& to, connection_id id,
-              const std::string& address);
+    void add_outgoing(const instance_id& to, connection_id id,
+                      const std::string& address);
 
     /*! @brief Notes a connection that an instance opened. */
-    void accept(const instance_id& from, connection_id id);
+    void add_incoming(const instance_id& from, connection_id id);
 
     /*! @brief Forgets a connection. */
-    void drop(connection_id id);
+    void remove(connection_id id);
 
     /*! @brief Returns the connection opened to an instance; empty for none. */
-    [[nodiscard]] connection_id dialled(const instance_id& to) const;
+    [[nodiscard]] connection_id outgoing(const instance_id& to) const;
 
     /*! @brief Returns the connection that an instance opened; empty for
      * none. */
-    [[nodiscard]] connection_id accepted(const instance_id& from) const;
+    [[nodiscard]] connection_id incoming(const instance_id& from) const;
 
     /*! @brief Returns who is at the other end, as far as is believed. */
-    [[nodiscard]] std::optional<instance_id> instance(connection_id at) const;
+    [[nodiscard]] std::optional<instance_id> peer_of(connection_id at) const;
 
     /*! @brief Returns dialled instances that are now listed elsewhere. */
     [[nodiscard]] std::vector<instance_id>
-    moved(const member_table& members) const;
+    relocated(const member_table& members) const;
 
 private:
     struct dialled_link
--- a/src/coursejunction/daemon/internal/claim_notes.cpp
+++ b/src/coursejunction/daemon/internal/replicated_claims.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/internal/claim_notes.hpp"
+#include "coursejunction/daemon/internal/replicated_claims.hpp"
 
 #include <set>
 #include <utility>
@@ -23,24 +23,24 @@
 
 } // namespace
 
-claim_notes::claim_notes(node& owner)
+replicated_claims::replicated_claims(node& owner)
     : host(owner), book(remembered_claims), numbers(stable_hash(random_id()))
 {
 }
 
-void claim_notes::note(const request_id& request, const std::string& claimant,
-                       done_callback done)
+void replicated_claims::record(const request_id& request,
+                               const std::string& claimant, done_callback done)
 {
     ask(request, claimant, std::move(done));
 }
 
-void claim_notes::look(const request_id& request, done_callback done)
+void replicated_claims::query(const request_id& request, done_callback done)
 {
     ask(request, {}, std::move(done));
 }
 
-void claim_notes::ask(const request_id& request, const std::string& claimant,
-                      done_callback done)
+void replicated_claims::ask(const request_id& request,
+                            const std::string& claimant, done_callback done)
 {
     const message::claim_note note{++numbers, digest::of(request.value()),
                                    claimant};
@@ -71,7 +71,8 @@
 
 /*! @brief Keepers are drawn among all listed entries, so that processes that
  * differ in whom they hear from still ask the same. */
-std::vector<instance_id> claim_notes::keepers_of(const digest& request) const
+std::vector<instance_id>
+replicated_claims::keepers_of(const digest& request) const
 {
     std::vector<instance_id> entries;
     for (const auto& [id, one] : host.members().all())
@@ -82,14 +83,14 @@
     return rendezvous_rank(request.hex(), entries, keepers_per_claim);
 }
 
-bool claim_notes::taken(const message::claim_note& ask)
+bool replicated_claims::taken(const message::claim_note& ask)
 {
     return ask.claimant.empty()
                ? book.contains(ask.request, node::now())
                : !book.try_claim(ask.request, ask.claimant, node::now());
 }
 
-bool claim_notes::received(const instance_id& from, const frame& one)
+bool replicated_claims::handle_frame(const instance_id& from, const frame& one)
 {
     if (one.type == frame_type::claim_note)
     {
@@ -113,7 +114,7 @@
     return false;
 }
 
-void claim_notes::peer_lost(const instance_id& peer)
+void replicated_claims::peer_lost(const instance_id& peer)
 {
     std::vector<std::uint64_t> open;
     for (auto& [number, one] : questions)
@@ -126,7 +127,7 @@
 }
 
 /*! @brief Gives the word when it is settled. */
-void claim_notes::settle(std::uint64_t number)
+void replicated_claims::settle(std::uint64_t number)
 {
     const auto found = questions.find(number);
     const auto word =
--- a/src/coursejunction/daemon/internal/claim_notes.hpp
+++ b/src/coursejunction/daemon/internal/replicated_claims.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief The second memory of claims, beside the key-value service.
  */
-#ifndef COURSEJUNCTION_DAEMON_INTERNAL_CLAIM_NOTES_HPP
-#define COURSEJUNCTION_DAEMON_INTERNAL_CLAIM_NOTES_HPP
+#ifndef COURSEJUNCTION_DAEMON_INTERNAL_REPLICATED_CLAIMS_HPP
+#define COURSEJUNCTION_DAEMON_INTERNAL_REPLICATED_CLAIMS_HPP
 
 #include <cstdint>
 #include <functional>
@@ -28,24 +28,24 @@
 /*! @brief Keeps claims at three entries each, drawn by the request's id, and
  * asks them. The key-value service may come back from a copy that lacks a
  * claim; its keepers still know of it, and so outlast the side that ran it. */
-class claim_notes
+class replicated_claims
 {
 public:
     using done_callback = std::function<void(claim_verdict)>;
 
-    explicit claim_notes(node& owner);
+    explicit replicated_claims(node& owner);
 
     /*! @brief Notes a claim with its keepers; again is the same.
      * @param claimant The session that has it in the key-value service. */
-    void note(const request_id& request, const std::string& claimant,
-              done_callback done);
+    void record(const request_id& request, const std::string& claimant,
+                done_callback done);
 
     /*! @brief Asks whether anybody has claimed a request. */
-    void look(const request_id& request, done_callback done);
+    void query(const request_id& request, done_callback done);
 
     /*! @brief Takes a frame of claims.
      * @return Whether it was one. */
-    bool received(const instance_id& from, const frame& one);
+    bool handle_frame(const instance_id& from, const frame& one);
 
     void peer_lost(const instance_id& peer);
 
--- a/src/coursejunction/daemon/internal/side_reports.cpp
+++ b/src/coursejunction/daemon/internal/report_publisher.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/internal/side_reports.hpp"
+#include "coursejunction/daemon/internal/report_publisher.hpp"
 
 #include "coursejunction/daemon/node.hpp"
 
@@ -25,14 +25,14 @@
 
 } // namespace
 
-void side_reports::subscribe(const instance_id& from, bool routing,
-                             const message::report& state)
+void report_publisher::subscribe(const instance_id& from, bool routing,
+                                 const message::report& state)
 {
     subscribers[from] = {routing, node::now()};
     host.send(from, state);
 }
 
-void side_reports::tell(const message::report& state)
+void report_publisher::send_report(const message::report& state)
 {
     told_cached = state.cached_prefixes;
     told_running = state.running;
@@ -44,10 +44,10 @@
     }
 }
 
-void side_reports::tell_load(const message::report& state)
+void report_publisher::send_load(const message::report& state)
 {
     if (state.cached_prefixes != told_cached || state.reason != told_reason)
-        return tell(state);
+        return send_report(state);
     const auto load = load_of(state);
     const bool moved = load.running != told_running;
     const auto slowly = host.settings().report_interval * slow_reports;
--- a/src/coursejunction/daemon/internal/side_reports.hpp
+++ b/src/coursejunction/daemon/internal/report_publisher.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Reports of a side to those who subscribed to them.
  */
-#ifndef COURSEJUNCTION_DAEMON_INTERNAL_SIDE_REPORTS_HPP
-#define COURSEJUNCTION_DAEMON_INTERNAL_SIDE_REPORTS_HPP
+#ifndef COURSEJUNCTION_DAEMON_INTERNAL_REPORT_PUBLISHER_HPP
+#define COURSEJUNCTION_DAEMON_INTERNAL_REPORT_PUBLISHER_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -23,10 +23,10 @@
 
 /*! @brief Tells subscribers the whole state when it matters, and else only
  * the load, or that this side is alive. */
-class side_reports
+class report_publisher
 {
 public:
-    explicit side_reports(node& owner) : host(owner) {}
+    explicit report_publisher(node& owner) : host(owner) {}
 
     /*! @brief Takes a subscriber and tells it the whole state.
      * @param routing Whether it routes requests here. */
@@ -37,11 +37,11 @@
     void peer_lost(const instance_id& peer) { subscribers.erase(peer); }
 
     /*! @brief Tells everybody the whole state. */
-    void tell(const message::report& state);
+    void send_report(const message::report& state);
 
     /*! @brief Tells what has changed since: the load to those that route
      * here, and to everybody slowly that this side is alive. */
-    void tell_load(const message::report& state);
+    void send_load(const message::report& state);
 
     /*! @brief Returns the number of subscribers. */
     [[nodiscard]] std::size_t size() const { return subscribers.size(); }
--- a/src/coursejunction/daemon/internal/caller_answers.cpp
+++ b/src/coursejunction/daemon/internal/response_writer.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/internal/caller_answers.hpp"
+#include "coursejunction/daemon/internal/response_writer.hpp"
 
 #include <cstdint>
 
@@ -21,11 +21,11 @@
 /*! @brief Gives the events of a request that were held back. */
 void flush_held(live_request& one)
 {
-    if (one.held.empty())
+    if (one.unsent_events.empty())
         return;
-    one.reply->write(one.held);
-    one.held.clear();
-    one.given_at = node::now();
+    one.reply->write(one.unsent_events);
+    one.unsent_events.clear();
+    one.last_write_at = node::now();
 }
 
 void write_outcome(live_request& one, const std::string& name)
@@ -44,47 +44,48 @@
 
 } // namespace
 
-caller_answers::caller_answers(node& owner, claim_notes& kept)
+response_writer::response_writer(node& owner, replicated_claims& kept)
     : host(owner), notes(kept),
       flush_timer(owner.loop().every(flush_interval, [this] { flush(); }))
 {
 }
 
-void caller_answers::begin(live_request& one)
+void response_writer::begin_stream(live_request& one)
 {
-    one.begun = true;
+    one.stream_begun = true;
     one.reply->begin(200, "text/event-stream",
                      {{"Request-Id", one.id.value()}});
     host.counters().observe("time_to_first_token_seconds",
-                            to_seconds(node::now() - one.arrived));
+                            to_seconds(node::now() - one.arrived_at));
 }
 
-void caller_answers::give(const live_pointer& one, const std::string& events)
+void response_writer::write_events(const live_request_pointer& one,
+                                   const std::string& events)
 {
-    const bool soon = node::now() - one->given_at < flush_interval;
-    if (!soon && one->held.empty())
+    const bool soon = node::now() - one->last_write_at < flush_interval;
+    if (!soon && one->unsent_events.empty())
     {
-        one->given_at = node::now();
+        one->last_write_at = node::now();
         return one->reply->write(events);
     }
-    if (one->held.empty())
+    if (one->unsent_events.empty())
         to_flush.push_back(one);
-    one->held += events;
+    one->unsent_events += events;
 }
 
 /*! @brief Gives all events that were held back. */
-void caller_answers::flush()
+void response_writer::flush()
 {
     for (const auto& one : to_flush)
         flush_held(*one);
     to_flush.clear();
 }
 
-void caller_answers::answered(live_request& one,
-                              const message::answer_end& head)
+void response_writer::finish_answered(live_request& one,
+                                      const message::answer_end& head)
 {
     host.counters().count("answers_total", 1, {{"outcome", "answered"}});
-    if (one.begun)
+    if (one.stream_begun)
     {
         write_outcome(one, "answered");
         return one.reply->finish();
@@ -92,12 +93,13 @@
     header_map headers{{"Outcome", "answered"}, {"Request-Id", one.id.value()}};
     if (!head.weights.empty())
         headers["Weights"] = head.weights;
-    one.reply->send(head.status, head.content_type, headers, one.gathered);
+    one.reply->send(head.status, head.content_type, headers, one.buffered_body);
 }
 
-void caller_answers::conclude(const live_pointer& one, attempt_end end)
+void response_writer::finish_failed(const live_request_pointer& one,
+                                    attempt_failure end)
 {
-    if (one->maybe_ran || one->begun)
+    if (one->may_have_run || one->stream_begun)
         end.result = outcome::unknown;
     if (end.result != outcome::not_run || !one->not_repeatable)
         return answer(*one, end);
@@ -113,24 +115,25 @@
 }
 
 /*! @brief The key-value service has no claim: it may have lost one. */
-void caller_answers::unclaimed(const live_pointer& one, attempt_end end)
+void response_writer::unclaimed(const live_request_pointer& one,
+                                attempt_failure end)
 {
-    notes.look(one->id,
-               [this, one, end](claim_verdict word) mutable
-               {
-                   if (word != claim_verdict::free)
-                       end.result = outcome::unknown;
-                   answer(*one, end);
-               });
+    notes.query(one->id,
+                [this, one, end](claim_verdict word) mutable
+                {
+                    if (word != claim_verdict::free)
+                        end.result = outcome::unknown;
+                    answer(*one, end);
+                });
 }
 
 /*! @brief Sends a final answer that is no answer of an upstream; a stream
  * that has begun is cut so that nobody takes it for whole. */
-void caller_answers::answer(live_request& one, const attempt_end& end)
+void response_writer::answer(live_request& one, const attempt_failure& end)
 {
     const auto name = std::string(to_string(end.result));
     host.counters().count("answers_total", 1, {{"outcome", name}});
-    if (one.begun)
+    if (one.stream_begun)
     {
         write_outcome(one, name);
         return one.reply->cut();
@@ -143,8 +146,8 @@
                     headers, body.dump());
 }
 
-void caller_answers::refuse_input(const std::shared_ptr<http_reply>& reply,
-                                  const std::string& fault)
+void response_writer::reject_input(const std::shared_ptr<http_reply>& reply,
+                                   const std::string& fault)
 {
     const json body{{"outcome", "not_run"}, {"error", fault}};
     reply->send(400, "application/json", {{"Outcome", "not_run"}}, body.dump());
--- a/src/coursejunction/daemon/internal/caller_answers.hpp
+++ b/src/coursejunction/daemon/internal/response_writer.hpp
@@ -1,15 +1,15 @@
 /*! @file
  * @brief What callers are answered.
  */
-#ifndef COURSEJUNCTION_DAEMON_INTERNAL_CALLER_ANSWERS_HPP
-#define COURSEJUNCTION_DAEMON_INTERNAL_CALLER_ANSWERS_HPP
+#ifndef COURSEJUNCTION_DAEMON_INTERNAL_RESPONSE_WRITER_HPP
+#define COURSEJUNCTION_DAEMON_INTERNAL_RESPONSE_WRITER_HPP
 
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "coursejunction/daemon/internal/claim_notes.hpp"
 #include "coursejunction/daemon/internal/live_request.hpp"
+#include "coursejunction/daemon/internal/replicated_claims.hpp"
 #include "coursejunction/net/event_loop.hpp"
 #include "coursejunction/net/http_server.hpp"
 #include "coursejunction/wire/codec.hpp"
@@ -24,40 +24,41 @@
 
 /*! @brief Gives callers their answers, whole or event by event, and the final
  * word on requests that got none. */
-class caller_answers
+class response_writer
 {
 public:
     /*! @param kept Claims that the key-value service may have lost; it must
      * outlive the answers. */
-    caller_answers(node& owner, claim_notes& kept);
+    response_writer(node& owner, replicated_claims& kept);
 
     /*! @brief Begins a stream of events. */
-    void begin(live_request& one);
+    void begin_stream(live_request& one);
 
     /*! @brief Gives events to the caller: at once, unless the last ones were
      * given so shortly before that the next flush does for both. */
-    void give(const live_pointer& one, const std::string& events);
+    void write_events(const live_request_pointer& one,
+                      const std::string& events);
 
     /*! @brief Ends a request that an upstream has answered. */
-    void answered(live_request& one, const message::answer_end& head);
+    void finish_answered(live_request& one, const message::answer_end& head);
 
     /*! @brief Gives the final answer at once. "Not run" is said only when no
      * attempt may have run; for a request that may run only once, when nobody
      * else has claimed its id either. */
-    void conclude(const live_pointer& one, attempt_end end);
+    void finish_failed(const live_request_pointer& one, attempt_failure end);
 
     /*! @brief Refuses what is no request. */
-    static void refuse_input(const std::shared_ptr<http_reply>& reply,
+    static void reject_input(const std::shared_ptr<http_reply>& reply,
                              const std::string& fault);
 
 private:
-    void unclaimed(const live_pointer& one, attempt_end end);
-    void answer(live_request& one, const attempt_end& end);
+    void unclaimed(const live_request_pointer& one, attempt_failure end);
+    void answer(live_request& one, const attempt_failure& end);
     void flush();
 
     node& host;
-    claim_notes& notes;
-    std::vector<live_pointer> to_flush;
+    replicated_claims& notes;
+    std::vector<live_request_pointer> to_flush;
     timer flush_timer;
 };
 
--- a/src/coursejunction/daemon/internal/retry_rule.cpp
+++ b/src/coursejunction/daemon/internal/retry_policy.cpp
@@ -1,13 +1,13 @@
-#include "coursejunction/daemon/internal/retry_rule.hpp"
+#include "coursejunction/daemon/internal/retry_policy.hpp"
 
 namespace coursejunction::internal
 {
 
-bool retry_rule::allows(const live_request& one, const attempt_end& end,
-                        milliseconds left)
+bool retry_policy::allows(const live_request& one, const attempt_failure& end,
+                          milliseconds left)
 {
     // A begun stream goes on only with the same weights and sampling.
-    if (one.begun && (one.route.weights.empty() || one.not_repeatable))
+    if (one.stream_begun && (one.route.weights.empty() || one.not_repeatable))
         return false;
     if (one.attempt >= max_attempts || left.count() <= 0)
         return false;
--- a/src/coursejunction/daemon/internal/run_claims.cpp
+++ b/src/coursejunction/daemon/internal/run_claims.cpp
@@ -49,7 +49,7 @@
         [this, one](result<std::string> opened)
         {
             if (!opened)
-                return one->done(claim_end::unknown);
+                return one->done(claim_result::unknown);
             session.open(opened.value(), node::now());
             acquire(one);
         });
@@ -63,7 +63,7 @@
     case swap_outcome::swapped:
         return note(one, used);
     case swap_outcome::lost_race:
-        return one->done(claim_end::lost);
+        return one->done(claim_result::lost);
     case swap_outcome::no_session:
         session.invalidate(used);
         return acquire_later(one);
@@ -78,7 +78,7 @@
 void run_claims::acquire_later(const attempt_pointer& one)
 {
     if (one->tries >= claim_attempts)
-        return one->done(claim_end::unknown);
+        return one->done(claim_result::unknown);
     one->retry = host.loop().after(claim_retry, [this, one] { acquire(one); });
 }
 
@@ -86,27 +86,27 @@
  * say. Their notes stand before the request starts. */
 void run_claims::note(const attempt_pointer& one, const std::string& used)
 {
-    notes.note(one->request, used,
-               [this, one](claim_verdict word)
-               {
-                   switch (word)
-                   {
-                   case claim_verdict::free:
-                       return one->done(claim_end::won);
-                   case claim_verdict::taken:
-                       host.counters().count("claims_lost_by_service_total");
-                       log::warning("claim_lost_by_service",
-                                    {{"request", one->request.value()}});
-                       return one->done(claim_end::lost);
-                   case claim_verdict::no_quorum:
-                       return one->done(claim_end::unknown);
-                   }
-               });
+    notes.record(one->request, used,
+                 [this, one](claim_verdict word)
+                 {
+                     switch (word)
+                     {
+                     case claim_verdict::free:
+                         return one->done(claim_result::won);
+                     case claim_verdict::taken:
+                         host.counters().count("claims_lost_by_service_total");
+                         log::warning("claim_lost_by_service",
+                                      {{"request", one->request.value()}});
+                         return one->done(claim_result::lost);
+                     case claim_verdict::no_quorum:
+                         return one->done(claim_result::unknown);
+                     }
+                 });
 }
 
-bool run_claims::received(const instance_id& from, const frame& one)
+bool run_claims::handle_frame(const instance_id& from, const frame& one)
 {
-    return notes.received(from, one);
+    return notes.handle_frame(from, one);
 }
 
 void run_claims::peer_lost(const instance_id& peer)
--- a/src/coursejunction/daemon/internal/run_claims.hpp
+++ b/src/coursejunction/daemon/internal/run_claims.hpp
@@ -11,14 +11,14 @@
 #include <string>
 
 #include "coursejunction/control/key_value_client.hpp"
-#include "coursejunction/daemon/internal/claim_notes.hpp"
+#include "coursejunction/daemon/internal/replicated_claims.hpp"
 #include "coursejunction/run/claim_session.hpp"
 
 namespace coursejunction::internal
 {
 
 /*! @brief What became of a claim. */
-enum class claim_end : std::uint8_t
+enum class claim_result : std::uint8_t
 {
     won,    /*!< The request may start here, nowhere else. */
     lost,   /*!< Another side has it. */
@@ -30,7 +30,7 @@
 class run_claims
 {
 public:
-    using done_callback = std::function<void(claim_end)>;
+    using done_callback = std::function<void(claim_result)>;
 
     /*! @param remembered Requests that the side remembers. */
     run_claims(node& owner, std::size_t remembered);
@@ -39,7 +39,7 @@
 
     /*! @brief Takes a frame of claims.
      * @return Whether it was one. */
-    bool received(const instance_id& from, const frame& one);
+    bool handle_frame(const instance_id& from, const frame& one);
 
     void peer_lost(const instance_id& peer);
 
@@ -62,7 +62,7 @@
     void note(const attempt_pointer& one, const std::string& used);
 
     node& host;
-    claim_notes notes;
+    replicated_claims notes;
     claim_session session;
 };
 
--- a/src/coursejunction/daemon/internal/service_times.hpp
+++ b/src/coursejunction/daemon/internal/service_times.hpp
@@ -21,7 +21,7 @@
 {
 public:
     /*! @brief Takes the time that a request took. */
-    void learn(const Key& key, double seconds)
+    void add_sample(const Key& key, double seconds)
     {
         constexpr double smoothing = 0.1;
         auto& known = estimates[key];
--- a/src/coursejunction/daemon/internal/token_record.hpp
+++ b/src/coursejunction/daemon/internal/token_record.hpp
@@ -20,7 +20,7 @@
 };
 
 /*! @brief Writes a record. */
-[[nodiscard]] inline std::string to_text(const token_record& from)
+[[nodiscard]] inline std::string format_token(const token_record& from)
 {
     return std::to_string(from.token.value()) + " " + from.owner;
 }
--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -29,8 +29,7 @@
           owner.loop(), owner.settings().download_rate,
           [this](chunk_index chunk, std::string bytes, const instance_id& from)
           { arrive(chunk, std::move(bytes), from); }),
-      origin(owner.http(), owner.settings()),
-      hand_over(engine, std::move(staged)),
+      origin(owner.http(), owner.settings()), stager(engine, std::move(staged)),
       announcer([this](const instance_id& to, std::vector<chunk_index> chunks)
                 { send_have(to, std::move(chunks)); })
 {
@@ -41,51 +40,51 @@
     return host.settings();
 }
 
-void version_fetch::want(const digest& version, weighting weigh)
+void version_fetch::set_target(const digest& version, weighting weigh)
 {
-    if (wanted && wanted->version == version)
+    if (target && target->version == version)
     {
-        wanted->weigh = weigh;
+        target->weigh = weigh;
         return;
     }
-    stop();
-    origin.restart();
-    wanted.emplace();
-    wanted->version = version;
-    wanted->weigh = weigh;
-    wanted->began = now();
+    clear_target();
+    origin.reset();
+    target.emplace();
+    target->version = version;
+    target->weigh = weigh;
+    target->began = now();
     if (auto known = held.find(version))
         begin(std::move(known));
 }
 
-void version_fetch::stop()
+void version_fetch::clear_target()
 {
-    if (!wanted)
+    if (!target)
         return;
-    origin.stop();
-    uploads.give_up(wanted->version);
-    wanted.reset();
-    downlink.drop();
-    hand_over.stop();
+    origin.cancel_all();
+    uploads.give_up(target->version);
+    target.reset();
+    downlink.clear();
+    stager.stop();
     announcer.stop();
 }
 
-void version_fetch::release()
+void version_fetch::release_unused()
 {
-    if (wanted && wanted->chunks)
-        held.release_but(wanted->version);
+    if (target && target->chunks)
+        held.release_unused(target->version);
 }
 
-void version_fetch::hand_over_again()
+void version_fetch::restage()
 {
-    if (!wanted || !wanted->chunks)
+    if (!target || !target->chunks)
         return;
-    origin.stop();
-    downlink.drop();
-    hand_over.again();
+    origin.cancel_all();
+    downlink.clear();
+    stager.restart();
 }
 
-void version_fetch::participants(std::vector<participant> all)
+void version_fetch::set_participants(std::vector<participant> all)
 {
     if (all == everybody)
         return;
@@ -95,17 +94,17 @@
 
 void version_fetch::begin(std::shared_ptr<staging> chunks)
 {
-    auto& fetching = *wanted;
+    auto& fetching = *target;
     fetching.chunks = std::move(chunks);
     fetching.planner.emplace(
         make_planner(fetching.chunks->of(), settings(), fetching.weigh, now()));
-    held.hold(fetching.version, fetching.chunks);
-    release();
+    held.add(fetching.version, fetching.chunks);
+    release_unused();
     assign();
     for (const auto at : fetching.chunks->held())
         with_planner([&](auto& planner) { planner.held(at, now()); });
-    hand_over.begin(fetching.version, fetching.chunks);
-    announcer.greet(*fetching.chunks);
+    stager.start(fetching.version, fetching.chunks);
+    announcer.send_all_held(*fetching.chunks);
     log::state("transfer_started",
                {{"version", fetching.version.hex()},
                 {"chunks", std::to_string(fetching.chunks->of().size())},
@@ -116,7 +115,7 @@
 {
     with_planner([&](auto& planner)
                  { planner.participants(everybody, now()); });
-    if (!wanted || !wanted->planner)
+    if (!target || !target->planner)
         return;
     choose_neighbours();
 }
@@ -124,7 +123,7 @@
 void version_fetch::choose_neighbours()
 {
     const auto chosen =
-        chosen_neighbours(wanted->version, everybody, settings().instance,
+        chosen_neighbours(target->version, everybody, settings().instance,
                           settings().hall, settings().transfer_neighbours);
     std::set<instance_id> all(chosen.begin(), chosen.end());
     with_planner(
@@ -133,14 +132,14 @@
             for (const auto& id : planner.watched())
                 all.insert(id);
         });
-    announcer.neighbours(std::move(all));
+    announcer.set_neighbours(std::move(all));
 }
 
 void version_fetch::send_have(const instance_id& to,
                               std::vector<chunk_index> chunks)
 {
     message::have have;
-    have.manifest = wanted->version;
+    have.manifest = target->version;
     have.chunks = std::move(chunks);
     have.queue = static_cast<std::uint32_t>(uploads.size());
     host.send(to, have);
@@ -148,7 +147,7 @@
 
 void version_fetch::ask_manifest()
 {
-    auto& fetching = *wanted;
+    auto& fetching = *target;
     if (now() < fetching.manifest_after || everybody.empty())
         return;
     fetching.manifest_after = now() + manifest_interval;
@@ -165,37 +164,37 @@
 
 void version_fetch::ask_origin_manifest()
 {
-    origin.ask_manifest(wanted->version,
-                        [this](weight_source, const http_result& end)
-                        {
-                            counts.origin_bytes += end.body.size();
-                            if (end.ok())
-                                return take_manifest(end.body);
-                            wanted->reason =
-                                "origin does not give the manifest: " +
-                                fault_text(end);
-                        });
+    origin.fetch_manifest(target->version,
+                          [this](weight_source, const http_result& end)
+                          {
+                              counts.origin_bytes += end.body.size();
+                              if (end.ok())
+                                  return take_manifest(end.body);
+                              target->reason =
+                                  "origin does not give the manifest: " +
+                                  fault_text(end);
+                          });
 }
 
 void version_fetch::take_manifest(const std::string& text)
 {
-    if (!wanted || wanted->chunks)
+    if (!target || target->chunks)
         return;
-    auto parsed = manifest::parse(text, wanted->version);
+    auto parsed = manifest::parse(text, target->version);
     if (!parsed)
     {
         ++counts.corrupt;
-        wanted->reason = parsed.error().message;
+        target->reason = parsed.error().message;
         return;
     }
     const auto total = parsed.value().total_bytes();
     if (static_cast<double>(total) > settings().staged_limit)
     {
-        wanted->reason = "the version has " + std::to_string(total) +
+        target->reason = "the version has " + std::to_string(total) +
                          " bytes, more than staged_limit";
         return;
     }
-    wanted->reason.clear();
+    target->reason.clear();
     begin(std::make_shared<staging>(std::move(parsed.value())));
 }
 
@@ -215,7 +214,7 @@
 void version_fetch::ask_peer(const transfer_request& one)
 {
     message::chunk_request request;
-    request.manifest = wanted->version;
+    request.manifest = target->version;
     request.chunk = one.chunk;
     request.wait = one.how == transfer_request::kind::waiting;
     if (!host.send(one.peer, request))
@@ -225,29 +224,29 @@
 
 void version_fetch::ask_origin(chunk_index chunk)
 {
-    origin.ask_chunk(wanted->chunks->of(), chunk,
-                     [this, chunk](weight_source from, http_result end)
-                     {
-                         (from == weight_source::store
-                              ? counts.weight_store_bytes
-                              : counts.origin_bytes) += end.body.size();
-                         if (!end.ok())
-                             return origin_failed(chunk, end);
-                         arrive(chunk, std::move(end.body), instance_id());
-                     });
+    origin.fetch_chunk(target->chunks->of(), chunk,
+                       [this, chunk](weight_source from, http_result end)
+                       {
+                           (from == weight_source::store
+                                ? counts.weight_store_bytes
+                                : counts.origin_bytes) += end.body.size();
+                           if (!end.ok())
+                               return origin_failed(chunk, end);
+                           arrive(chunk, std::move(end.body), instance_id());
+                       });
 }
 
 void version_fetch::origin_failed(chunk_index chunk, const http_result& end)
 {
-    wanted->reason = "origin does not give a chunk: " + fault_text(end);
+    target->reason = "origin does not give a chunk: " + fault_text(end);
     with_planner([&](auto& planner) { planner.origin_failed(chunk, now()); });
 }
 
-void version_fetch::heard_have(const instance_id& from,
-                               const result<message::have>& have)
+void version_fetch::handle_have(const instance_id& from,
+                                const result<message::have>& have)
 {
-    if (!have || !wanted || !wanted->chunks ||
-        have.value().manifest != wanted->version)
+    if (!have || !target || !target->chunks ||
+        have.value().manifest != target->version)
         return;
     with_planner(
         [&](auto& planner) {
@@ -260,22 +259,23 @@
 {
     const auto* known = host.members().find(peer);
     const bool near = known != nullptr && known->hall == settings().hall;
-    announcer.listen(peer, near, *wanted->chunks);
+    announcer.add_listener(peer, near, *target->chunks);
 }
 
-void version_fetch::asked(const instance_id& from, const digest& version)
+void version_fetch::record_chunk_request(const instance_id& from,
+                                         const digest& version)
 {
-    announcer.asked(now());
-    if (begun() && wants(version))
+    announcer.record_request(now());
+    if (has_manifest() && is_target(version))
         listen(from);
 }
 
-void version_fetch::replied(const instance_id& from,
-                            const result<message::chunk_reply>& reply,
-                            std::string bytes)
+void version_fetch::handle_chunk_reply(
+    const instance_id& from, const result<message::chunk_reply>& reply,
+    std::string bytes)
 {
-    if (!reply || !wanted || !wanted->chunks ||
-        reply.value().manifest != wanted->version)
+    if (!reply || !target || !target->chunks ||
+        reply.value().manifest != target->version)
         return;
     const auto& got = reply.value();
     if (got.status != message::chunk_status::given)
@@ -293,7 +293,7 @@
     count_peer_bytes(from, bytes.size());
     with_planner([&](auto& planner)
                  { planner.holds(from, {}, got.queue, now()); });
-    downlink.carry(got.chunk, std::move(bytes), from);
+    downlink.enqueue(got.chunk, std::move(bytes), from);
 }
 
 void version_fetch::count_peer_bytes(const instance_id& from, std::size_t bytes)
@@ -309,7 +309,7 @@
 void version_fetch::arrive(chunk_index chunk, std::string bytes,
                            const instance_id& from)
 {
-    auto& fetching = *wanted;
+    auto& fetching = *target;
     const auto end = fetching.chunks->add(chunk, std::move(bytes));
     if (end == staging::addition::corrupt)
     {
@@ -324,10 +324,10 @@
         return;
     }
     with_planner([&](auto& planner) { planner.held(chunk, now()); });
-    announcer.added(chunk);
-    hand_over.offer(chunk);
+    announcer.add_chunk(chunk);
+    stager.enqueue(chunk);
     uploads.release(fetching.version, chunk);
-    hand_over.move_on();
+    stager.advance();
     ask_chunks();
     if (fetching.chunks->complete())
         finished();
@@ -335,17 +335,17 @@
 
 void version_fetch::finished()
 {
-    wanted->reason.clear();
+    target->reason.clear();
     log::state(
         "transfer_complete",
-        {{"version", wanted->version.hex()},
-         {"seconds", std::to_string(to_seconds(now() - wanted->began))}});
+        {{"version", target->version.hex()},
+         {"seconds", std::to_string(to_seconds(now() - target->began))}});
 }
 
-void version_fetch::replied_manifest(
+void version_fetch::handle_manifest_reply(
     const result<message::manifest_reply>& reply, const std::string& text)
 {
-    if (reply && wanted && reply.value().manifest == wanted->version &&
+    if (reply && target && reply.value().manifest == target->version &&
         !text.empty())
         take_manifest(text);
 }
@@ -358,42 +358,42 @@
 
 void version_fetch::tick()
 {
-    if (!wanted)
+    if (!target)
         return;
-    if (!wanted->chunks)
+    if (!target->chunks)
         return ask_manifest();
-    hand_over.move_on();
+    stager.advance();
     ask_chunks();
-    announcer.tell(*wanted->chunks, now());
+    announcer.announce(*target->chunks, now());
 }
 
-bool version_fetch::wants(const digest& version) const
+bool version_fetch::is_target(const digest& version) const
 {
-    return wanted && wanted->version == version;
+    return target && target->version == version;
 }
 
 transfer_progress version_fetch::progress() const
 {
-    if (!wanted)
+    if (!target)
         return {};
     transfer_progress made;
-    made.reason = wanted->reason;
-    if (wanted->chunks)
+    made.reason = target->reason;
+    if (target->chunks)
     {
-        made.done = wanted->chunks->bytes();
-        made.total = wanted->chunks->of().total_bytes();
+        made.done = target->chunks->bytes();
+        made.total = target->chunks->of().total_bytes();
     }
     return made;
 }
 
 nlohmann::json version_fetch::dump() const
 {
-    if (!wanted)
+    if (!target)
         return {};
-    nlohmann::json made = {{"version", wanted->version.hex()},
-                           {"reason", wanted->reason},
-                           {"handed_over", hand_over.size()}};
-    if (!wanted->planner)
+    nlohmann::json made = {{"version", target->version.hex()},
+                           {"reason", target->reason},
+                           {"handed_over", stager.staged_count()}};
+    if (!target->planner)
         return made;
     std::visit(
         [&](const auto& planner)
@@ -401,7 +401,7 @@
             made["level"] = planner.level();
             made["pending"] = planner.pending();
         },
-        *wanted->planner);
+        *target->planner);
     return made;
 }
 
--- a/src/coursejunction/daemon/internal/version_fetch.hpp
+++ b/src/coursejunction/daemon/internal/version_fetch.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Fetches the wanted version.
+ * @brief Fetches the target version.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_VERSION_FETCH_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_VERSION_FETCH_HPP
@@ -17,11 +17,11 @@
 #include "coursejunction/core/types.hpp"
 #include "coursejunction/daemon/chunk_uploader.hpp"
 #include "coursejunction/daemon/internal/any_planner.hpp"
-#include "coursejunction/daemon/internal/engine_hand_over.hpp"
+#include "coursejunction/daemon/internal/engine_stager.hpp"
 #include "coursejunction/daemon/internal/have_announcer.hpp"
 #include "coursejunction/daemon/internal/held_versions.hpp"
-#include "coursejunction/daemon/internal/origin_calls.hpp"
 #include "coursejunction/daemon/internal/paced_downlink.hpp"
+#include "coursejunction/daemon/internal/weight_source_client.hpp"
 #include "coursejunction/daemon/node.hpp"
 #include "coursejunction/daemon/transfer_service.hpp"
 #include "coursejunction/daemon/upstream_client.hpp"
@@ -29,8 +29,8 @@
 namespace coursejunction::internal
 {
 
-/*! @brief How far the wanted version is. */
-struct wanted_version
+/*! @brief How far the target version is. */
+struct target_version
 {
     digest version;
     weighting weigh{weighting::time};
@@ -42,7 +42,7 @@
     time_point began{};
 };
 
-/*! @brief Gets the wanted version from peers and the origin, verifies it and
+/*! @brief Gets the target version from peers and the origin, verifies it and
  * hands it over to the engine. */
 class version_fetch
 {
@@ -54,62 +54,67 @@
     version_fetch(node& owner, upstream_client& engine, staged_callback staged,
                   held_versions& versions, chunk_uploader& sender);
 
-    /*! @brief Sets the wanted version; another one under way is stopped. */
-    void want(const digest& version, weighting weigh);
+    /*! @brief Sets the target version; another one under way is stopped. */
+    void set_target(const digest& version, weighting weigh);
 
     /*! @brief Stops wanting anything. */
-    void stop();
+    void clear_target();
 
-    /*! @brief Drops versions that are neither wanted nor served, once the
-     * wanted one has taken over what they have in common. */
-    void release();
+    /*! @brief Drops versions that are neither target nor served, once the
+     * target one has taken over what they have in common. */
+    void release_unused();
 
     /*! @brief Hands the version over again, after the engine lost it. */
-    void hand_over_again();
+    void restage();
 
     /*! @brief Sets who takes part. */
-    void participants(std::vector<participant> all);
+    void set_participants(std::vector<participant> all);
 
-    /*! @brief Moves on, when something is wanted. */
+    /*! @brief Moves on, when something is target. */
     void tick();
 
     /*! @brief Takes what a peer says that it holds. */
-    void heard_have(const instance_id& from, const result<message::have>& have);
+    void handle_have(const instance_id& from,
+                     const result<message::have>& have);
 
     /*! @brief Takes a peer's answer to a request for a chunk. */
-    void replied(const instance_id& from,
-                 const result<message::chunk_reply>& reply, std::string bytes);
+    void handle_chunk_reply(const instance_id& from,
+                            const result<message::chunk_reply>& reply,
+                            std::string bytes);
 
     /*! @brief Takes a peer's answer to a request for the manifest. */
-    void replied_manifest(const result<message::manifest_reply>& reply,
-                          const std::string& text);
+    void handle_manifest_reply(const result<message::manifest_reply>& reply,
+                               const std::string& text);
 
     /*! @brief Notes that a peer asked for a chunk of a version held here. */
-    void asked(const instance_id& from, const digest& version);
+    void record_chunk_request(const instance_id& from, const digest& version);
 
     /*! @brief Notes that a peer's connection is gone. */
     void peer_lost(const instance_id& peer);
 
-    /*! @brief Tells whether a version is the wanted one. */
-    [[nodiscard]] bool wants(const digest& version) const;
+    /*! @brief Tells whether a version is the target one. */
+    [[nodiscard]] bool is_target(const digest& version) const;
 
-    /*! @brief Tells whether any version is wanted. */
-    [[nodiscard]] bool active() const { return wanted.has_value(); }
+    /*! @brief Tells whether any version is target. */
+    [[nodiscard]] bool has_target() const { return target.has_value(); }
 
-    /*! @brief Tells whether the manifest of the wanted version is here. */
-    [[nodiscard]] bool begun() const { return wanted && wanted->chunks; }
+    /*! @brief Tells whether the manifest of the target version is here. */
+    [[nodiscard]] bool has_manifest() const { return target && target->chunks; }
 
-    /*! @brief Tells whether all of the wanted version is here. */
+    /*! @brief Tells whether all of the target version is here. */
     [[nodiscard]] bool complete() const
     {
-        return begun() && wanted->chunks->complete();
+        return has_manifest() && target->chunks->complete();
     }
 
     [[nodiscard]] transfer_progress progress() const;
     [[nodiscard]] const transfer_counters& counters() const { return counts; }
-    [[nodiscard]] const have_announcer& announced() const { return announcer; }
+    [[nodiscard]] const have_announcer& have_listeners() const
+    {
+        return announcer;
+    }
 
-    /*! @brief Returns the state of the wanted version as JSON. */
+    /*! @brief Returns the state of the target version as JSON. */
     [[nodiscard]] nlohmann::json dump() const;
 
 private:
@@ -119,8 +124,8 @@
     template <typename Call>
     void with_planner(Call call)
     {
-        if (wanted && wanted->planner)
-            std::visit(call, *wanted->planner);
+        if (target && target->planner)
+            std::visit(call, *target->planner);
     }
 
     void begin(std::shared_ptr<staging> chunks);
@@ -144,10 +149,10 @@
     chunk_uploader& uploads;
     transfer_counters counts;
     paced_downlink downlink;
-    origin_calls origin;
-    engine_hand_over<upstream_client> hand_over;
+    weight_source_client origin;
+    engine_stager<upstream_client> stager;
     have_announcer announcer;
-    std::optional<wanted_version> wanted;
+    std::optional<target_version> target;
     std::vector<participant> everybody;
 };
 
--- a/src/coursejunction/daemon/internal/origin_calls.cpp
+++ b/src/coursejunction/daemon/internal/weight_source_client.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/internal/origin_calls.hpp"
+#include "coursejunction/daemon/internal/weight_source_client.hpp"
 
 #include <utility>
 
@@ -20,19 +20,20 @@
 
 } // namespace
 
-origin_calls::origin_calls(http_client& carrier, const node_settings& set)
+weight_source_client::weight_source_client(http_client& carrier,
+                                           const node_settings& set)
     : client(carrier), settings(set)
 {
 }
 
-void origin_calls::restart()
+void weight_source_client::reset()
 {
-    stop();
+    cancel_all();
     sources = origin_fallback(!settings.weight_store_url.empty());
     manifest_asked = false;
 }
 
-void origin_calls::stop()
+void weight_source_client::cancel_all()
 {
     ++serial;
     for (const auto& [chunk, call] : open)
@@ -40,7 +41,8 @@
     open.clear();
 }
 
-void origin_calls::ask_manifest(const digest& version, done_callback done)
+void weight_source_client::fetch_manifest(const digest& version,
+                                          done_callback done)
 {
     if (manifest_asked)
         return;
@@ -61,8 +63,8 @@
         });
 }
 
-void origin_calls::ask_chunk(const manifest& of, chunk_index chunk,
-                             done_callback done)
+void weight_source_client::fetch_chunk(const manifest& of, chunk_index chunk,
+                                       done_callback done)
 {
     const auto old = open.find(chunk);
     if (old != open.end())
@@ -84,13 +86,13 @@
                                });
 }
 
-const std::string& origin_calls::url_of(weight_source from) const
+const std::string& weight_source_client::url_of(weight_source from) const
 {
     return from == weight_source::store ? settings.weight_store_url
                                         : settings.origin_url;
 }
 
-void origin_calls::note(weight_source from, const http_result& end)
+void weight_source_client::note(weight_source from, const http_result& end)
 {
     if (!end.ok())
         sources.failed(from);
--- a/src/coursejunction/daemon/internal/origin_calls.hpp
+++ b/src/coursejunction/daemon/internal/weight_source_client.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Calls to the origin of weights, or the weight store that stands in.
  */
-#ifndef COURSEJUNCTION_DAEMON_INTERNAL_ORIGIN_CALLS_HPP
-#define COURSEJUNCTION_DAEMON_INTERNAL_ORIGIN_CALLS_HPP
+#ifndef COURSEJUNCTION_DAEMON_INTERNAL_WEIGHT_SOURCE_CLIENT_HPP
+#define COURSEJUNCTION_DAEMON_INTERNAL_WEIGHT_SOURCE_CLIENT_HPP
 
 #include <cstdint>
 #include <functional>
@@ -20,25 +20,25 @@
 
 /*! @brief Asks for the manifest and the chunks of one version. A source that
  * fails makes the next call go to the other one. */
-class origin_calls
+class weight_source_client
 {
 public:
     /*! @brief Takes the end of a call and which source it went to. */
     using done_callback = std::function<void(weight_source, http_result)>;
 
-    origin_calls(http_client& carrier, const node_settings& set);
+    weight_source_client(http_client& carrier, const node_settings& set);
 
     /*! @brief Begins with another version, at the origin itself. */
-    void restart();
+    void reset();
 
     /*! @brief Ends the calls for chunks; no callback comes any more. */
-    void stop();
+    void cancel_all();
 
     /*! @brief Asks for the manifest, unless a call for it is open. */
-    void ask_manifest(const digest& version, done_callback done);
+    void fetch_manifest(const digest& version, done_callback done);
 
     /*! @brief Asks for a chunk, in place of an open call for the same. */
-    void ask_chunk(const manifest& of, chunk_index chunk, done_callback done);
+    void fetch_chunk(const manifest& of, chunk_index chunk, done_callback done);
 
 private:
     [[nodiscard]] const std::string& url_of(weight_source from) const;
--- a/src/coursejunction/daemon/node.cpp
+++ b/src/coursejunction/daemon/node.cpp
@@ -12,7 +12,7 @@
 #include "coursejunction/daemon/internal/configuration_watch.hpp"
 #include "coursejunction/daemon/internal/heartbeat_gossip.hpp"
 #include "coursejunction/daemon/internal/instance_list.hpp"
-#include "coursejunction/daemon/internal/node_dump.hpp"
+#include "coursejunction/daemon/internal/node_state.hpp"
 #include "coursejunction/daemon/internal/peer_links.hpp"
 
 namespace coursejunction
@@ -61,10 +61,10 @@
                  [this](const instance_id& from, std::uint64_t revision)
                  { pull(from, revision); }),
           crashes(counters, [this](const auto& records)
-                  { gossip.tell(message::crash_news{records}); })
+                  { gossip.send_crash_records(message::crash_news{records}); })
     {
         gossip.on_crashes([this](const auto& records)
-                          { crashes.take(records, event_loop::now()); });
+                          { crashes.merge(records, event_loop::now()); });
         ring.keys = settings.keys;
         ring.active = settings.active_key;
     }
@@ -117,7 +117,7 @@
         loop.on_signal(SIGTERM, [this] { leave(); });
         loop.on_signal(SIGINT, [this] { leave(); });
         if (settings.kind == role::entry)
-            watch.read_first();
+            watch.read_initial();
         std::cout << internal::json{{"ready", true},
                                     {"instance", settings.instance.value()},
                                     {"peer_port", hub->port()},
@@ -173,28 +173,28 @@
      * one id, and the list says which of them counts. */
     connection_id connection_to(const instance_id& to)
     {
-        const auto known = links.dialled(to);
+        const auto known = links.outgoing(to);
         if (!known.empty())
             return known;
         const auto* listed_member = members.find(to);
         if (to == settings.instance)
             return {};
         if (listed_member == nullptr)
-            return links.accepted(to);
+            return links.incoming(to);
         const auto id = hub->open(listed_member->peer_address);
-        links.dial(to, id, listed_member->peer_address);
+        links.add_outgoing(to, id, listed_member->peer_address);
         return id;
     }
 
     void opened(connection_id id, const peer_identity& who)
     {
-        const auto expected = links.instance(id);
+        const auto expected = links.peer_of(id);
         if (!expected)
-            return links.accept(who.instance, id);
+            return links.add_incoming(who.instance, id);
         if (*expected == who.instance)
             return members.answered(who.instance);
         // Another instance has taken over the address.
-        links.drop(id);
+        links.remove(id);
         hub->close(id);
         members.failed(*expected, now());
         hooks.peer_lost(*expected);
@@ -203,10 +203,10 @@
     /*! @brief Leaves connections to addresses that are no longer listed. */
     void drop_moved()
     {
-        for (const auto& instance : links.moved(members))
+        for (const auto& instance : links.relocated(members))
         {
-            const auto id = links.dialled(instance);
-            links.drop(id);
+            const auto id = links.outgoing(instance);
+            links.remove(id);
             hub->close(id);
             hooks.peer_lost(instance);
         }
@@ -214,11 +214,11 @@
 
     void closed(connection_id id)
     {
-        const auto instance = links.instance(id);
+        const auto instance = links.peer_of(id);
         if (!instance)
             return;
-        const bool was_dialled = links.dialled(*instance) == id;
-        links.drop(id);
+        const bool was_dialled = links.outgoing(*instance) == id;
+        links.remove(id);
         if (was_dialled)
             members.failed(*instance, now());
         hooks.peer_lost(*instance);
@@ -226,7 +226,7 @@
 
     void received(connection_id id, frame one)
     {
-        const auto from = links.instance(id);
+        const auto from = links.peer_of(id);
         if (!from)
             return;
         switch (one.type)
@@ -245,14 +245,14 @@
     /*! @brief The key-value service holds this configuration. */
     void found(configuration next)
     {
-        restorer.stored(next);
+        restorer.on_stored(next);
         offer(std::move(next));
     }
 
     void offer(configuration next)
     {
         if (view.diverges_from(next))
-            return restorer.diverged(std::move(next));
+            return restorer.on_diverged(std::move(next));
         const bool was_ready = view.ready();
         const bool newer = view.offer(std::move(next));
         if (newer)
@@ -262,7 +262,7 @@
             log::state("configuration_in_force",
                        {{"revision",
                          std::to_string(view.current().number().value())}});
-            restorer.changed();
+            restorer.on_changed();
             announce();
         }
         if (newer || !was_ready)
@@ -272,7 +272,7 @@
     void watch_if_designated()
     {
         if (settings.kind == role::entry)
-            watch.designate(designated(settings.instance, settings.hall));
+            watch.set_designated(designated(settings.instance, settings.hall));
     }
 
     bool designated(const instance_id& id, const hall_id& hall) const
@@ -322,8 +322,8 @@
 
     void announce()
     {
-        gossip.announce();
-        crashes.announce(event_loop::now());
+        gossip.send_heartbeats();
+        crashes.send_updates(event_loop::now());
         watch_if_designated();
     }
 
@@ -351,7 +351,7 @@
             return;
         leaving = true;
         leaving_since = now();
-        gossip.leave();
+        gossip.set_leaving();
         log::state("leaving");
         announce();
         hooks.leaving();
@@ -390,7 +390,7 @@
         counters.set("peer_bytes_out", static_cast<double>(counts.bytes_out));
         counters.set("peer_connections", static_cast<double>(hub->size()));
         counters.set("frames_refused", static_cast<double>(counts.refused));
-        counters.set("gossip_bytes", static_cast<double>(gossip.bytes()));
+        counters.set("gossip_bytes", static_cast<double>(gossip.total_bytes()));
         counters.set("key_value_calls",
                      static_cast<double>(key_values.calls()));
         counters.set("configuration_older_refused",
@@ -411,10 +411,11 @@
             {"revision", view.current().number().value()},
             {"ready", view.ready()},
             {"configuration", internal::json::parse(view.text())},
-            {"members", internal::members_dump(members, now())},
+            {"members", internal::members_json(members, now())},
             {"connections", hub->size()},
-            {"traffic", internal::traffic_dump(hub->counters(), gossip.bytes(),
-                                               key_values.calls())},
+            {"traffic",
+             internal::traffic_json(hub->counters(), gossip.total_bytes(),
+                                    key_values.calls())},
             {"state", internal::json::parse(hooks.dump())}}
             .dump();
     }
--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -11,11 +11,11 @@
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/core/rendezvous.hpp"
 #include "coursejunction/daemon/entry_request.hpp"
-#include "coursejunction/daemon/internal/caller_answers.hpp"
-#include "coursejunction/daemon/internal/claim_notes.hpp"
 #include "coursejunction/daemon/internal/live_request.hpp"
 #include "coursejunction/daemon/internal/live_upstreams.hpp"
-#include "coursejunction/daemon/internal/retry_rule.hpp"
+#include "coursejunction/daemon/internal/replicated_claims.hpp"
+#include "coursejunction/daemon/internal/response_writer.hpp"
+#include "coursejunction/daemon/internal/retry_policy.hpp"
 #include "coursejunction/daemon/internal/service_times.hpp"
 #include "coursejunction/daemon/node.hpp"
 #include "coursejunction/route/fair_queue.hpp"
@@ -50,8 +50,8 @@
 {
     using queue_key = std::pair<std::string, std::string>;
     using live_request = internal::live_request;
-    using attempt_end = internal::attempt_end;
-    using pointer = internal::live_pointer;
+    using attempt_failure = internal::attempt_failure;
+    using pointer = internal::live_request_pointer;
 
     explicit implementation(node& owner)
         : host(owner), upstreams(owner.settings()), claims(owner),
@@ -68,15 +68,15 @@
         auto parsed =
             parse_entry_request(from, host.settings().default_deadline);
         if (!parsed)
-            return internal::caller_answers::refuse_input(
+            return internal::response_writer::reject_input(
                 reply, parsed.error().message);
         auto one = std::make_shared<live_request>();
         static_cast<entry_request&>(*one) = std::move(parsed.value());
         one->reply = reply;
         one->content = request_content::of(one->organisation.value(), one->path,
                                            one->body);
-        one->arrived = now();
-        one->deadline = one->arrived + one->allowed;
+        one->arrived_at = now();
+        one->deadline = one->arrived_at + one->allowed;
         if (host.is_leaving() && host.leaving_for() > leave_accept)
             return give_up(one, 503, "this entry is leaving",
                            milliseconds(100));
@@ -85,7 +85,7 @@
                            milliseconds(500));
         one->stream = ++streams;
         host.counters().count("requests_total");
-        retries.request();
+        retries.record_request();
         live.emplace(one->stream, one);
         reply->on_abandoned(
             [this, stream = one->stream]
@@ -116,7 +116,7 @@
         if (kept_from_upstreams(one))
             return;
         // A queue is made only for what is served: names come from outside.
-        if (!upstreams.served(one->route, now()))
+        if (!upstreams.is_served(one->route, now()))
             return give_up(one, unserved_status(*one),
                            "no upstream serves " + one->route.model,
                            internal::no_upstream_retry);
@@ -145,18 +145,19 @@
      * @return Whether it was answered or waits for a copy that runs. */
     bool kept_from_upstreams(const pointer& one)
     {
-        const auto standing = host.crashes().standing(one->content, now());
+        const auto standing = host.crashes().status(one->content, now());
         if (standing == crash_status::clear)
             return false;
         const bool trial = standing == crash_status::on_trial;
-        const auto most = host.crashes().most_running(
+        const auto most = host.crashes().max_running(
             one->content, trial && owns_trials(one->content), now());
         // A trial is one attempt: that it failed may be all it was to show.
-        if (most == 0 || (trial && one->maybe_ran))
+        if (most == 0 || (trial && one->may_have_run))
             turn_away(one);
         else if (copies_running(*one) < most)
             return false;
-        else if (now() - one->arrived < internal::doubt_wait || one->maybe_ran)
+        else if (now() - one->arrived_at < internal::doubt_wait ||
+                 one->may_have_run)
             held.push_back(one->stream);
         else
             give_up(one, 503, "another copy of the request runs",
@@ -181,13 +182,14 @@
 
     [[nodiscard]] std::size_t copies_running(const live_request& one) const
     {
-        return static_cast<std::size_t>(std::count_if(
-            live.begin(), live.end(),
-            [&](const auto& other)
-            {
-                return other.first != one.stream && other.second->running &&
-                       other.second->content == one.content;
-            }));
+        return static_cast<std::size_t>(
+            std::count_if(live.begin(), live.end(),
+                          [&](const auto& other)
+                          {
+                              return other.first != one.stream &&
+                                     other.second->attempt_running &&
+                                     other.second->content == one.content;
+                          }));
     }
 
     /*! @brief Looks again at requests that wait for a copy of theirs. */
@@ -226,7 +228,8 @@
             std::any_of(specs.begin(), specs.end(),
                         [&](const auto& spec)
                         { return spec.second.model == one.route.model; });
-        return known || upstreams.knows(one.route.model) ? 503 : 404;
+        return known || upstreams.has_reported_model(one.route.model) ? 503
+                                                                      : 404;
     }
 
     void pump()
@@ -273,14 +276,14 @@
     void dispatch(const pointer& one, const instance_id& to)
     {
         one->upstream = to;
-        one->running = true;
-        one->started = now();
+        one->attempt_running = true;
+        one->attempt_started_at = now();
         ++one->attempt;
-        one->parts = 0;
-        one->gathered.clear();
-        one->events.drop();
-        upstreams.entered(to);
-        if (!host.send(to, dispatch_of(*one, left(*one)), one->body))
+        one->received_parts = 0;
+        one->buffered_body.clear();
+        one->events.discard_partial();
+        upstreams.begin_request(to);
+        if (!host.send(to, make_dispatch(*one, left(*one)), one->body))
             attempt_ended(one, {outcome::not_run, refusal::unreachable, 503,
                                 "side is not known", milliseconds(100)});
     }
@@ -292,10 +295,10 @@
 
     void leave_upstream(const pointer& one)
     {
-        if (!one->running)
+        if (!one->attempt_running)
             return;
-        one->running = false;
-        upstreams.left(one->upstream);
+        one->attempt_running = false;
+        upstreams.end_request(one->upstream);
     }
 
     pointer attempt_of(const instance_id& from, std::uint64_t stream,
@@ -303,7 +306,7 @@
     {
         const auto found = live.find(stream);
         if (found == live.end() || found->second->attempt != attempt ||
-            found->second->upstream != from || !found->second->running)
+            found->second->upstream != from || !found->second->attempt_running)
         {
             // Late: of an attempt that was given up.
             host.counters().count("late_frames_total");
@@ -318,30 +321,31 @@
         const auto one = attempt_of(from, head.stream, head.attempt);
         if (!one)
             return;
-        if (head.index != one->parts ||
-            one->gathered.size() + bytes.size() > internal::max_whole_answer)
+        if (head.index != one->received_parts ||
+            one->buffered_body.size() + bytes.size() >
+                internal::max_whole_answer)
             return broken(one, "parts of the answer are missing or too many");
-        ++one->parts;
+        ++one->received_parts;
         if (!one->streamed)
         {
-            one->gathered += bytes;
+            one->buffered_body += bytes;
             return;
         }
-        pass_events(one, one->events.take(bytes));
+        pass_events(one, one->events.feed(bytes));
     }
 
     void pass_events(const pointer& one, const std::string& whole)
     {
         if (whole.empty())
             return;
-        if (!one->begun)
+        if (!one->stream_begun)
         {
-            const auto* weights = upstreams.weights(one->upstream);
+            const auto* weights = upstreams.served_version(one->upstream);
             if (weights != nullptr)
                 one->route.weights = *weights;
-            answers.begin(*one);
+            answers.begin_stream(*one);
         }
-        answers.give(one, whole);
+        answers.write_events(one, whole);
     }
 
     void broken(const pointer& one, const std::string& reason)
@@ -365,7 +369,7 @@
         if (!one)
             return;
         if (head.result == outcome::answered &&
-            (head.parts != one->parts || !one->events.whole()))
+            (head.parts != one->received_parts || !one->events.at_boundary()))
             return broken(one, "parts of the answer are missing");
         if (head.result == outcome::answered)
             return answered(one, head);
@@ -375,25 +379,25 @@
 
     void answered(const pointer& one, const message::answer_end& head)
     {
-        const auto took = now() - one->started;
-        upstreams.succeeded(
+        const auto took = now() - one->attempt_started_at;
+        upstreams.record_success(
             one->upstream,
             std::chrono::duration_cast<std::chrono::microseconds>(took));
-        host.crashes().answered(one->content, now());
-        times.learn(key_of(one->route), to_seconds(took));
+        host.crashes().record_response(one->content, now());
+        times.add_sample(key_of(one->route), to_seconds(took));
         queue_of(one->route).record_completion(now());
         leave_upstream(one);
         live.erase(one->stream);
-        answers.answered(*one, head);
+        answers.finish_answered(*one, head);
         pump();
     }
 
     /*! @brief An attempt gave no answer: try elsewhere, or say so. */
-    void attempt_ended(const pointer& one, const attempt_end& end)
+    void attempt_ended(const pointer& one, const attempt_failure& end)
     {
         leave_upstream(one);
-        one->maybe_ran = one->maybe_ran || end.result == outcome::unknown;
-        upstreams.failed(one->upstream, end.refused, now());
+        one->may_have_run = one->may_have_run || end.result == outcome::unknown;
+        upstreams.record_failure(one->upstream, end.refused, now());
         one->route.excluded.push_back(one->upstream);
         if (retries.allows(*one, end, left(*one)))
         {
@@ -401,7 +405,7 @@
             return retry(one);
         }
         live.erase(one->stream);
-        answers.conclude(one, end);
+        answers.finish_failed(one, end);
         pump();
     }
 
@@ -413,7 +417,7 @@
             return;
         if (const auto to = upstreams.choose(one->route, now()))
             return dispatch(one, *to);
-        if (one->begun)
+        if (one->stream_begun)
             return give_up(one, 502, "no upstream to resume the stream",
                            milliseconds(0));
         // Everybody else is full: all may be asked again.
@@ -427,8 +431,8 @@
                  milliseconds retry_after)
     {
         live.erase(one->stream);
-        answers.conclude(one, {outcome::not_run, refusal::none, status, reason,
-                               retry_after});
+        answers.finish_failed(one, {outcome::not_run, refusal::none, status,
+                                    reason, retry_after});
     }
 
     void abandoned(std::uint64_t stream)
@@ -439,7 +443,7 @@
         const auto one = found->second;
         host.counters().count("callers_left_total");
         live.erase(found);
-        if (one->running)
+        if (one->attempt_running)
         {
             cancel(one);
             leave_upstream(one);
@@ -455,7 +459,7 @@
 
     void reported(const message::report& one)
     {
-        upstreams.reported(one, now());
+        upstreams.apply_report(one, now());
         pump();
     }
 
@@ -466,7 +470,7 @@
         std::vector<pointer> affected;
         for (const auto& [stream, one] : live)
         {
-            if (one->running && one->upstream == peer)
+            if (one->attempt_running && one->upstream == peer)
                 affected.push_back(one);
         }
         for (const auto& one : affected)
@@ -509,7 +513,8 @@
         std::vector<pointer> late;
         for (const auto& [stream, one] : live)
         {
-            if (one->running && !one->begun && one->deadline <= now())
+            if (one->attempt_running && !one->stream_begun &&
+                one->deadline <= now())
                 late.push_back(one);
         }
         for (const auto& one : late)
@@ -517,7 +522,8 @@
             cancel(one);
             leave_upstream(one);
             live.erase(one->stream);
-            answers.conclude(one, {outcome::unknown, refusal::none, 504,
+            answers.finish_failed(one,
+                                  {outcome::unknown, refusal::none, 504,
                                    "the deadline has passed", milliseconds(0)});
         }
     }
@@ -527,9 +533,9 @@
 
     node& host;
     internal::live_upstreams upstreams;
-    internal::claim_notes claims;
-    internal::caller_answers answers;
-    internal::retry_rule retries;
+    internal::replicated_claims claims;
+    internal::response_writer answers;
+    internal::retry_policy retries;
     internal::service_times<queue_key> times;
     std::map<queue_key, fair_queue> queues;
     std::unordered_map<std::uint64_t, pointer> live;
@@ -572,7 +578,7 @@
             self->end(from, head.value());
         return true;
     }
-    return self->claims.received(from, one);
+    return self->claims.handle_frame(from, one);
 }
 
 void request_service::peer_lost(const instance_id& peer)
--- a/src/coursejunction/daemon/resource_api.cpp
+++ b/src/coursejunction/daemon/resource_api.cpp
@@ -213,7 +213,7 @@
             return serve_quarantine(
                 from, *reply, host.crashes().records(),
                 [this](const request_content& what)
-                { return host.crashes().lift(what, node::now()); },
+                { return host.crashes().lift_quarantine(what, node::now()); },
                 node::now());
         if (parts[0] == "leave" && from.method == "POST")
         {
--- a/src/coursejunction/daemon/run_service.cpp
+++ b/src/coursejunction/daemon/run_service.cpp
@@ -89,7 +89,7 @@
         auto one = std::make_shared<run>();
         one->from = from;
         one->content = request_content::of(ask.organisation, ask.path, body);
-        one->trial = host.crashes().standing(one->content, now()) ==
+        one->trial = host.crashes().status(one->content, now()) ==
                      crash_status::on_trial;
         one->body = std::move(body);
         one->began = now();
@@ -163,25 +163,25 @@
     void claim(const run_pointer& one)
     {
         claims.claim(request_id(one->ask.request),
-                     [this, one](internal::claim_end end)
+                     [this, one](internal::claim_result end)
                      { claimed(one, end); });
     }
 
-    void claimed(const run_pointer& one, internal::claim_end end)
+    void claimed(const run_pointer& one, internal::claim_result end)
     {
         const request_id id(one->ask.request);
         switch (end)
         {
-        case internal::claim_end::won:
+        case internal::claim_result::won:
             one->claiming = false;
             if (registry.start_claimed(id))
                 return start(one);
             return refuse(one, refusal::cancelled, milliseconds(0));
-        case internal::claim_end::lost:
+        case internal::claim_result::lost:
             one->claiming = false;
             registry.claim_lost(id);
             return duplicate(one);
-        case internal::claim_end::unknown:
+        case internal::claim_result::unknown:
             return unclaimed(one);
         }
     }
@@ -346,7 +346,7 @@
         host.counters().count("upstreams_ended_under_requests_total");
         log::warning("upstream_ended",
                      {{"requests", std::to_string(accused.size())}});
-        host.crashes().accuse(accused, now());
+        host.crashes().record_crashes(accused, now());
     }
 
     /*! @brief The upstream was never connected to: it did not run. */
@@ -477,7 +477,7 @@
             self->cancelled(from, cancel.value());
         return true;
     }
-    return self->claims.received(from, one);
+    return self->claims.handle_frame(from, one);
 }
 
 void run_service::peer_lost(const instance_id& peer)
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -6,8 +6,8 @@
 #include <nlohmann/json.hpp>
 
 #include "coursejunction/core/log.hpp"
-#include "coursejunction/daemon/internal/fenced_orders.hpp"
-#include "coursejunction/daemon/internal/side_reports.hpp"
+#include "coursejunction/daemon/internal/fenced_commands.hpp"
+#include "coursejunction/daemon/internal/report_publisher.hpp"
 #include "coursejunction/daemon/node.hpp"
 #include "coursejunction/daemon/run_service.hpp"
 #include "coursejunction/daemon/upstream_client.hpp"
@@ -73,7 +73,7 @@
         host.start(std::move(hooks));
         tick_timer = host.loop().every(internal::side_tick, [this] { tick(); });
         report_timer = host.loop().every(host.settings().report_interval, [this]
-                                         { reports.tell_load(state()); });
+                                         { reports.send_load(state()); });
         if (!plain)
             poll_timer = host.loop().every(internal::engine_poll,
                                            [this] { poll_engine(); });
@@ -195,7 +195,7 @@
         case replica_action::request_permit:
             return ask_permit();
         case replica_action::send_load_command:
-            return orders.request();
+            return orders.authorize();
         case replica_action::stage:
         case replica_action::none:
             return;
@@ -224,7 +224,7 @@
     {
         cached = state.cached;
         engine_slots = state.slots;
-        orders.seen(state.newest);
+        orders.record_seen_token(state.newest);
         if (state.loading)
             return;
         const auto before = copy.serving_version();
@@ -290,7 +290,7 @@
         order.adapter = copy.target()->adapter;
         order.engine_role = target.engine_role;
         order.token = orders.token();
-        orders.ordered();
+        orders.command_sent();
         host.counters().count("load_orders_total");
         engine.load(order, [this](const load_answer& got) { loaded(got); });
     }
@@ -299,7 +299,7 @@
     {
         using kind = load_answer::kind;
         if (got.end == kind::stale)
-            orders.refused();
+            orders.token_rejected();
         if (got.end == kind::incomplete)
             engine_lost_all();
         if (got.end != kind::loaded)
@@ -390,7 +390,7 @@
         report();
     }
 
-    void report() { reports.tell(state()); }
+    void report() { reports.send_report(state()); }
 
     std::string dump() const
     {
@@ -413,8 +413,8 @@
     replica copy;
     transfer_service transfer;
     run_service runs;
-    internal::fenced_orders orders;
-    internal::side_reports reports;
+    internal::fenced_commands orders;
+    internal::report_publisher reports;
     deployment target;
     bool plain;
     bool reading{false};
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -29,21 +29,22 @@
         switch (one.type)
         {
         case frame_type::have:
-            fetching.heard_have(from, decode<message::have>(one.head));
+            fetching.handle_have(from, decode<message::have>(one.head));
             return true;
         case frame_type::chunk_request:
             asked(from, decode<message::chunk_request>(one.head));
             return true;
         case frame_type::chunk_reply:
-            fetching.replied(from, decode<message::chunk_reply>(one.head),
-                             std::move(one.payload));
+            fetching.handle_chunk_reply(from,
+                                        decode<message::chunk_reply>(one.head),
+                                        std::move(one.payload));
             return true;
         case frame_type::manifest_request:
             asked_manifest(from, decode<message::manifest_request>(one.head));
             return true;
         case frame_type::manifest_reply:
-            fetching.replied_manifest(decode<message::manifest_reply>(one.head),
-                                      one.payload);
+            fetching.handle_manifest_reply(
+                decode<message::manifest_reply>(one.head), one.payload);
             return true;
         default:
             return false;
@@ -56,13 +57,13 @@
         if (!request)
             return;
         const auto& ask = request.value();
-        const bool wanted = fetching.wants(ask.manifest);
+        const bool wanted = fetching.is_target(ask.manifest);
         const auto found = held.find(ask.manifest);
         if (!found)
             return refuse(from, ask,
                           wanted ? message::chunk_status::absent
                                  : message::chunk_status::foreign);
-        fetching.asked(from, ask.manifest);
+        fetching.record_chunk_request(from, ask.manifest);
         const bool here = found->contains(ask.chunk);
         if (!here && ask.wait && wanted)
             return uploads.wait({from, ask.manifest, ask.chunk});
@@ -100,7 +101,7 @@
 
     void tick()
     {
-        if (!fetching.active())
+        if (!fetching.has_target())
             return;
         uploads.limit_to(governor.portion());
         fetching.tick();
@@ -124,28 +125,28 @@
 
 void transfer_service::want(const digest& version, weighting weigh)
 {
-    self->fetching.want(version, weigh);
+    self->fetching.set_target(version, weigh);
 }
 
 void transfer_service::want_nothing()
 {
-    self->fetching.stop();
+    self->fetching.clear_target();
 }
 
 void transfer_service::serving(const digest& version)
 {
-    self->held.serving(version);
-    self->fetching.release();
+    self->held.set_served(version);
+    self->fetching.release_unused();
 }
 
 void transfer_service::hand_over_again()
 {
-    self->fetching.hand_over_again();
+    self->fetching.restage();
 }
 
 void transfer_service::participants(std::vector<participant> all)
 {
-    self->fetching.participants(std::move(all));
+    self->fetching.set_participants(std::move(all));
 }
 
 bool transfer_service::received(const instance_id& from, frame& one)
@@ -166,7 +167,7 @@
 
 void transfer_service::first_token(std::chrono::microseconds took)
 {
-    const bool running = self->fetching.begun() &&
+    const bool running = self->fetching.has_manifest() &&
                          (!self->fetching.complete() || !self->uploads.empty());
     self->governor.first_token(took, running);
 }
@@ -189,7 +190,7 @@
 std::string transfer_service::dump() const
 {
     const auto& counts = self->fetching.counters();
-    const auto& announced = self->fetching.announced();
+    const auto& announced = self->fetching.have_listeners();
     nlohmann::json held = nlohmann::json::array();
     for (const auto& [version, chunks] : self->held.all())
         held.push_back({{"version", version.hex()},
--- a/tests/daemon/internal/crash_gossip.cpp
+++ b/tests/daemon/internal/crash_gossip.cpp
@@ -22,9 +22,9 @@
                              [this, at](const auto& records)
                              {
                                  if (at > 0)
-                                     all[at - 1].take(records, now);
+                                     all[at - 1].merge(records, now);
                                  if (at + 1 < all.size())
-                                     all[at + 1].take(records, now);
+                                     all[at + 1].merge(records, now);
                              });
     }
 
@@ -46,19 +46,19 @@
             bad, crash_id_of(instance_id(std::to_string(number)), {})};
     };
     const auto quarantined = [&](const internal::crash_gossip& one)
-    { return one.standing(bad, row.now) == crash_status::quarantined; };
-    row.all.front().accuse({end(1)}, row.now);
-    row.all[4].accuse({end(2)}, row.now);
+    { return one.status(bad, row.now) == crash_status::quarantined; };
+    row.all.front().record_crashes({end(1)}, row.now);
+    row.all[4].record_crashes({end(2)}, row.now);
     CHECK_FALSE(quarantined(row.all.back()));
-    row.all.back().accuse({end(3)}, row.now);
+    row.all.back().record_crashes({end(3)}, row.now);
     for (const auto& one : row.all)
         CHECK(quarantined(one));
 
     SECTION("and so does its lifting")
     {
-        CHECK(row.all[3].lift(bad, row.now));
+        CHECK(row.all[3].lift_quarantine(bad, row.now));
         for (const auto& one : row.all)
             CHECK_FALSE(quarantined(one));
-        CHECK_FALSE(row.all[3].lift(bad, row.now));
+        CHECK_FALSE(row.all[3].lift_quarantine(bad, row.now));
     }
 }
--- a/tests/daemon/internal/engine_hand_over.cpp
+++ b/tests/daemon/internal/engine_stager.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/internal/engine_hand_over.hpp"
+#include "coursejunction/daemon/internal/engine_stager.hpp"
 
 #include <string>
 #include <vector>
@@ -47,11 +47,11 @@
                                      fixtures::chunk_bytes));
     waiting_engine engine;
     int whole = 0;
-    ci::engine_hand_over<waiting_engine> hand_over(
-        engine, [&](const cj::digest&) { ++whole; });
-    hand_over.begin(chunks->of().id(), chunks);
-    hand_over.move_on();
-    hand_over.move_on();
+    ci::engine_stager<waiting_engine> stager(engine, [&](const cj::digest&)
+                                             { ++whole; });
+    stager.start(chunks->of().id(), chunks);
+    stager.advance();
+    stager.advance();
     REQUIRE(engine.manifests.size() == 1);
     CHECK(engine.chunks.empty());
 
@@ -59,7 +59,7 @@
     {
         engine.manifests[0](false);
         CHECK(engine.chunks.empty());
-        hand_over.move_on();
+        stager.advance();
         THEN("it is offered again")
         {
             CHECK(engine.manifests.size() == 2);
@@ -70,21 +70,21 @@
         engine.manifests[0](true);
         THEN("few are under way at once")
         {
-            CHECK(engine.chunks.size() == ci::hand_over_limit);
+            CHECK(engine.chunks.size() == ci::max_staging_calls);
         }
         for (std::size_t at = 0; at < engine.answers.size(); ++at)
             std::exchange(engine.answers[at], nullptr)(true);
         THEN("it is told once that all are there")
         {
             CHECK(engine.chunks.size() == 6);
-            CHECK(hand_over.size() == 6);
+            CHECK(stager.staged_count() == 6);
             CHECK(whole == 1);
         }
         AND_WHEN("it lost them")
         {
-            hand_over.again();
-            CHECK(hand_over.size() == 0);
-            hand_over.move_on();
+            stager.restart();
+            CHECK(stager.staged_count() == 0);
+            stager.advance();
             THEN("it begins with the manifest")
             {
                 CHECK(engine.manifests.size() == 2);
@@ -98,7 +98,7 @@
         THEN("the next turn offers others, then that one")
         {
             CHECK(engine.chunks.size() == 4);
-            hand_over.move_on();
+            stager.advance();
             CHECK(engine.chunks.size() == 5);
             engine.answers[1](true);
             engine.answers[2](true);
@@ -109,12 +109,12 @@
     {
         engine.manifests[0](true);
         const auto late = engine.answers[0];
-        hand_over.again();
+        stager.restart();
         late(true);
-        CHECK(hand_over.size() == 0);
-        hand_over.stop();
+        CHECK(stager.staged_count() == 0);
+        stager.stop();
         engine.answers[1](true);
-        CHECK(hand_over.size() == 0);
+        CHECK(stager.staged_count() == 0);
         CHECK(whole == 0);
     }
 }
--- a/tests/daemon/internal/have_announcer.cpp
+++ b/tests/daemon/internal/have_announcer.cpp
@@ -24,7 +24,7 @@
     {
         chunks.add(at, bytes.substr(at * fixtures::chunk_bytes,
                                     fixtures::chunk_bytes));
-        announcer.added(at);
+        announcer.add_chunk(at);
     };
     const cj::instance_id near("near");
     const cj::instance_id far("far");
@@ -32,20 +32,20 @@
 
     GIVEN("a listener of each hall, after a first round")
     {
-        announcer.asked(start);
-        announcer.listen(near, true, chunks);
-        announcer.listen(far, false, chunks);
-        announcer.listen(far, false, chunks);
+        announcer.record_request(start);
+        announcer.add_listener(near, true, chunks);
+        announcer.add_listener(far, false, chunks);
+        announcer.add_listener(far, false, chunks);
         CHECK(sent.size() == 2);
-        announcer.tell(chunks, start);
+        announcer.announce(chunks, start);
         sent.clear();
 
         WHEN("a chunk comes and a batch is due")
         {
             add(1);
-            announcer.tell(chunks, start + 99ms);
+            announcer.announce(chunks, start + 99ms);
             CHECK(sent.empty());
-            announcer.tell(chunks, start + 100ms);
+            announcer.announce(chunks, start + 100ms);
             THEN("only the own hall hears of it")
             {
                 REQUIRE(sent.size() == 1);
@@ -56,7 +56,7 @@
             {
                 add(2);
                 sent.clear();
-                announcer.tell(chunks, start + 500ms);
+                announcer.announce(chunks, start + 500ms);
                 THEN("the other hall hears of both, the own of the last")
                 {
                     REQUIRE(sent.size() == 2);
@@ -70,9 +70,9 @@
         {
             for (const cj::chunk_index at : {0, 1, 2})
                 add(at);
-            announcer.tell(chunks, start + 10s);
+            announcer.announce(chunks, start + 10s);
             CHECK(announcer.listener_count() == 2);
-            announcer.tell(chunks, start + 10s + 500ms);
+            announcer.announce(chunks, start + 10s + 500ms);
             THEN("it is told no more")
             {
                 CHECK(announcer.listener_count() == 0);
@@ -81,16 +81,16 @@
         WHEN("one is lost")
         {
             announcer.peer_lost(near);
-            announcer.tell(chunks, start + 500ms);
+            announcer.announce(chunks, start + 500ms);
             CHECK(sent.size() == 1);
         }
     }
     GIVEN("a neighbour that does not listen")
     {
-        announcer.neighbours({near});
+        announcer.set_neighbours({near});
         add(0);
-        announcer.greet(chunks);
-        announcer.tell(chunks, start);
+        announcer.send_all_held(chunks);
+        announcer.announce(chunks, start);
         THEN("it is greeted again with everything")
         {
             REQUIRE(sent.size() == 2);
@@ -106,7 +106,8 @@
     GIVEN("more peers than are told")
     {
         for (int at = 0; at < 70; ++at)
-            announcer.listen(cj::instance_id(std::to_string(at)), true, chunks);
+            announcer.add_listener(cj::instance_id(std::to_string(at)), true,
+                                   chunks);
         CHECK(announcer.listener_count() == 64);
     }
 }
--- a/tests/daemon/internal/held_versions.cpp
+++ b/tests/daemon/internal/held_versions.cpp
@@ -18,7 +18,7 @@
     const auto third = make(fixtures::model_bytes(1, 'y'));
     ci::held_versions held;
     for (const auto& one : {first, second, third})
-        held.hold(one->of().id(), one);
+        held.add(one->of().id(), one);
 
     THEN("a later one takes over what is common")
     {
@@ -29,8 +29,8 @@
     }
     WHEN("one is served and another wanted")
     {
-        held.serving(first->of().id());
-        held.release_but(third->of().id());
+        held.set_served(first->of().id());
+        held.release_unused(third->of().id());
         THEN("only these stay")
         {
             CHECK(held.all().size() == 2);
--- a/tests/daemon/internal/live_request.cpp
+++ b/tests/daemon/internal/live_request.cpp
@@ -12,14 +12,14 @@
     one.id = cj::request_id("r");
     one.route.weights = "w";
     one.attempt = 2;
-    REQUIRE_FALSE(one.events.take("data: {}\n\n").empty());
+    REQUIRE_FALSE(one.events.feed("data: {}\n\n").empty());
 
-    const auto ask = ci::dispatch_of(one, 250ms);
+    const auto ask = ci::make_dispatch(one, 250ms);
 
     CHECK(ask.resume_from == 1);
     CHECK(ask.request == "r");
     CHECK(ask.weights == "w");
     CHECK(ask.attempt == 2);
     CHECK(ask.deadline_ms == 250);
-    CHECK(ci::dispatch_of(one, -5ms).deadline_ms == 1);
+    CHECK(ci::make_dispatch(one, -5ms).deadline_ms == 1);
 }
--- a/tests/daemon/internal/live_upstreams.cpp
+++ b/tests/daemon/internal/live_upstreams.cpp
@@ -26,52 +26,52 @@
 
     GIVEN("nobody")
     {
-        CHECK_FALSE(upstreams.served(route, now));
-        CHECK_FALSE(upstreams.knows("m"));
+        CHECK_FALSE(upstreams.is_served(route, now));
+        CHECK_FALSE(upstreams.has_reported_model("m"));
         CHECK_FALSE(upstreams.choose(route, now));
-        CHECK(upstreams.weights(side) == nullptr);
+        CHECK(upstreams.served_version(side) == nullptr);
     }
     GIVEN("a side that reports")
     {
-        upstreams.reported(report, now);
-        CHECK(upstreams.served(route, now));
-        CHECK(upstreams.knows("m"));
+        upstreams.apply_report(report, now);
+        CHECK(upstreams.is_served(route, now));
+        CHECK(upstreams.has_reported_model("m"));
         CHECK(upstreams.choose(route, now) == side);
-        CHECK(*upstreams.weights(side) == "w");
+        CHECK(*upstreams.served_version(side) == "w");
 
         WHEN("its slots are taken, and one is left again")
         {
-            upstreams.entered(side);
-            upstreams.entered(side);
+            upstreams.begin_request(side);
+            upstreams.begin_request(side);
             CHECK_FALSE(upstreams.choose(route, now));
-            upstreams.left(side);
+            upstreams.end_request(side);
             CHECK(upstreams.choose(route, now) == side);
             CHECK(upstreams.dump().at(0).at("own") == 1);
         }
         WHEN("it says that it is full")
         {
-            upstreams.failed(side, cj::refusal::busy, now);
+            upstreams.record_failure(side, cj::refusal::busy, now);
             CHECK_FALSE(upstreams.choose(route, now));
             CHECK(upstreams.dump().at(0).at("failures") == 0);
         }
         WHEN("it fails, then answers")
         {
-            upstreams.failed(side, cj::refusal::unreachable, now);
+            upstreams.record_failure(side, cj::refusal::unreachable, now);
             CHECK_FALSE(upstreams.choose(route, now));
             CHECK(upstreams.dump().at(0).at("failures") == 1);
-            upstreams.succeeded(side, 1s);
+            upstreams.record_success(side, 1s);
             CHECK(upstreams.dump().at(0).at("failures") == 0);
         }
         WHEN("another has claimed the request")
         {
-            upstreams.failed(side, cj::refusal::claim, now);
+            upstreams.record_failure(side, cj::refusal::claim, now);
             CHECK(upstreams.choose(route, now) == side);
         }
         WHEN("its connection is lost")
         {
             upstreams.peer_lost(side);
-            CHECK_FALSE(upstreams.served(route, now));
-            CHECK(upstreams.knows("m"));
+            CHECK_FALSE(upstreams.is_served(route, now));
+            CHECK(upstreams.has_reported_model("m"));
         }
     }
 }
--- a/tests/daemon/internal/node_dump.cpp
+++ b/tests/daemon/internal/node_state.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/internal/node_dump.hpp"
+#include "coursejunction/daemon/internal/node_state.hpp"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
@@ -18,7 +18,7 @@
     members.assign({listed});
     const cj::time_point now{100s};
 
-    const auto shown = ci::members_dump(members, now);
+    const auto shown = ci::members_json(members, now);
 
     REQUIRE(shown.size() == 1);
     CHECK(shown[0].at("id") == "s");
@@ -26,12 +26,12 @@
     CHECK(shown[0].at("role") == "side");
     CHECK(shown[0].at("peer") == "10.0.0.2:1");
     CHECK(shown[0].at("usable") == members.usable(listed.id, now));
-    CHECK(ci::members_dump({}, now).is_array());
+    CHECK(ci::members_json({}, now).is_array());
 
     cj::hub_counters counts;
     counts.bytes_in = 5;
     counts.refused = 2;
-    const auto traffic = ci::traffic_dump(counts, 7, 9);
+    const auto traffic = ci::traffic_json(counts, 7, 9);
     CHECK(traffic.at("bytes_in") == 5);
     CHECK(traffic.at("frames_refused") == 2);
     CHECK(traffic.at("gossip_bytes") == 7);
--- a/tests/daemon/internal/peer_links.cpp
+++ b/tests/daemon/internal/peer_links.cpp
@@ -11,35 +11,35 @@
     const cj::instance_id peer("p");
     const cj::connection_id out(1);
     const cj::connection_id in(2);
-    links.dial(peer, out, "10.0.0.1:1");
-    links.accept(peer, in);
+    links.add_outgoing(peer, out, "10.0.0.1:1");
+    links.add_incoming(peer, in);
 
     THEN("each is known")
     {
-        CHECK(links.dialled(peer) == out);
-        CHECK(links.accepted(peer) == in);
-        CHECK(links.instance(out) == peer);
-        CHECK(links.instance(in) == peer);
-        CHECK_FALSE(links.instance(cj::connection_id(3)));
-        CHECK(links.dialled(cj::instance_id("q")).empty());
+        CHECK(links.outgoing(peer) == out);
+        CHECK(links.incoming(peer) == in);
+        CHECK(links.peer_of(out) == peer);
+        CHECK(links.peer_of(in) == peer);
+        CHECK_FALSE(links.peer_of(cj::connection_id(3)));
+        CHECK(links.outgoing(cj::instance_id("q")).empty());
     }
     WHEN("one is dropped")
     {
-        links.drop(out);
-        CHECK(links.dialled(peer).empty());
-        CHECK(links.accepted(peer) == in);
-        links.drop(out);
-        links.drop(in);
-        CHECK(links.accepted(peer).empty());
+        links.remove(out);
+        CHECK(links.outgoing(peer).empty());
+        CHECK(links.incoming(peer) == in);
+        links.remove(out);
+        links.remove(in);
+        CHECK(links.incoming(peer).empty());
     }
     WHEN("a later one has taken the place of an earlier")
     {
         const cj::connection_id later(4);
-        links.accept(peer, later);
-        links.drop(in);
+        links.add_incoming(peer, later);
+        links.remove(in);
         THEN("the later one stays")
         {
-            CHECK(links.accepted(peer) == later);
+            CHECK(links.incoming(peer) == later);
         }
     }
     WHEN("the instance is listed at another address")
@@ -48,11 +48,11 @@
         listed.id = peer;
         listed.peer_address = "10.0.0.1:1";
         cj::member_table members;
-        CHECK(links.moved(members).empty());
+        CHECK(links.relocated(members).empty());
         members.assign({listed});
-        CHECK(links.moved(members).empty());
+        CHECK(links.relocated(members).empty());
         listed.peer_address = "10.0.0.2:1";
         members.assign({listed});
-        CHECK(links.moved(members) == std::vector<cj::instance_id>{peer});
+        CHECK(links.relocated(members) == std::vector<cj::instance_id>{peer});
     }
 }
--- a/tests/daemon/internal/retry_rule.cpp
+++ b/tests/daemon/internal/retry_policy.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/daemon/internal/retry_rule.hpp"
+#include "coursejunction/daemon/internal/retry_policy.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -9,12 +9,12 @@
 SCENARIO("a request is tried elsewhere when that is right and cheap",
          "[daemon]")
 {
-    ci::retry_rule rule;
+    ci::retry_policy policy;
     ci::live_request one;
     one.attempt = 1;
-    ci::attempt_end end;
+    ci::attempt_failure end;
     end.result = cj::outcome::not_run;
-    const auto allows = [&] { return rule.allows(one, end, 1s); };
+    const auto allows = [&] { return policy.allows(one, end, 1s); };
 
     GIVEN("a full side")
     {
@@ -26,14 +26,14 @@
         }
         THEN("the last attempt and a passed deadline end it")
         {
-            one.attempt = ci::retry_rule::max_attempts;
+            one.attempt = ci::retry_policy::max_attempts;
             CHECK_FALSE(allows());
             one.attempt = 1;
-            CHECK_FALSE(rule.allows(one, end, 0ms));
+            CHECK_FALSE(policy.allows(one, end, 0ms));
         }
         THEN("a begun stream needs its weights and may be repeated")
         {
-            one.begun = true;
+            one.stream_begun = true;
             CHECK_FALSE(allows());
             one.route.weights = "w";
             CHECK(allows());
@@ -58,7 +58,7 @@
         {
             CHECK(tried == 20);
             for (int at = 0; at < 11; ++at)
-                rule.request();
+                policy.record_request();
             CHECK(allows());
             CHECK_FALSE(allows());
         }
--- a/tests/daemon/internal/service_times.cpp
+++ b/tests/daemon/internal/service_times.cpp
@@ -17,12 +17,12 @@
     }
     GIVEN("one that took a second")
     {
-        times.learn("a", 1);
+        times.add_sample("a", 1);
         CHECK(times["a"] == 1s);
         CHECK(times["b"] == 0us);
         AND_WHEN("one takes two")
         {
-            times.learn("a", 2);
+            times.add_sample("a", 2);
             THEN("a part of it counts, and twice a part of the deviation")
             {
                 CHECK(times["a"] == 1300ms);
--- a/tests/daemon/internal/token_record.cpp
+++ b/tests/daemon/internal/token_record.cpp
@@ -9,7 +9,7 @@
 {
     GIVEN("a record")
     {
-        const auto text = ci::to_text({cj::fencing_token(12), "i/ab cd"});
+        const auto text = ci::format_token({cj::fencing_token(12), "i/ab cd"});
         CHECK(text == "12 i/ab cd");
         const auto read = ci::parse_token(text);
         CHECK(read.token == cj::fencing_token(12));
