--- a/src/coursejunction/daemon/internal/any_planner.cpp
+++ b/src/coursejunction/daemon/internal/any_planner.cpp
@@ -6,7 +6,7 @@
 {
 
 any_planner make_planner(const manifest& of, const node_settings& settings,
-                         weighting weigh, time_point now)
+                         weighting preference, time_point now)
 {
     planner_limits limits;
     limits.seed =
@@ -25,9 +25,10 @@
     case transfer_policy::swarm:
         break;
     }
-    const double extra = weigh == weighting::time ? settings.origin_extra : 0;
-    return transfer_planner<swarm_policy>(of, own, limits, swarm_policy(extra),
-                                          now);
+    const double origin_extra =
+        preference == weighting::time ? settings.origin_extra : 0;
+    return transfer_planner<swarm_policy>(of, own, limits,
+                                          swarm_policy(origin_extra), now);
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/any_planner.hpp
+++ b/src/coursejunction/daemon/internal/any_planner.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief The planner of a transfer, whichever way the settings name.
+ * @brief A transfer planner for any of the policies that the settings can
+ * select.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_ANY_PLANNER_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_ANY_PLANNER_HPP
@@ -16,16 +17,17 @@
 namespace coursejunction::internal
 {
 
-/*! @brief A planner of one of the four ways. */
+/*! @brief A planner with one of the four policies. */
 using any_planner = std::variant<
     transfer_planner<swarm_policy>, transfer_planner<stripe_policy>,
     transfer_planner<chain_policy>, transfer_planner<origin_policy>>;
 
-/*! @brief Makes the planner that the settings name.
- * @param weigh What the deployment weighs more; only a swarm heeds it. */
+/*! @brief Makes the planner that the settings select.
+ * @param preference Whether the deployment prefers a short transfer or few
+ * origin bytes; only the swarm policy uses it. */
 [[nodiscard]] any_planner make_planner(const manifest& of,
                                        const node_settings& settings,
-                                       weighting weigh, time_point now);
+                                       weighting preference, time_point now);
 
 } // namespace coursejunction::internal
 
--- a/src/coursejunction/daemon/internal/configuration_restorer.cpp
+++ b/src/coursejunction/daemon/internal/configuration_restorer.cpp
@@ -11,101 +11,112 @@
 namespace
 {
 
-/*! @brief Time in which a watch usually tells of a change that gossip has
- * told before. */
+/*! @brief Time within which a watch usually reports a change that has already
+ * arrived by gossip. */
 constexpr milliseconds watch_lag{2000};
 
-/*! @brief Time in which one watcher reads and writes, before the next. */
-constexpr milliseconds turn_length{1000};
+/*! @brief Additional delay per rank: time for one watcher to read and write
+ * before the next one does. */
+constexpr milliseconds delay_per_rank{1000};
 
-/*! @brief Longest time for one restore. */
-constexpr milliseconds restore_limit{5000};
+/*! @brief Timeout of one restore. */
+constexpr milliseconds restore_timeout{5000};
 
 } // namespace
 
-configuration_restorer::configuration_restorer(
-    event_loop& owner, key_value_client& service, metrics& counts,
-    const configuration_view& known, rank_callback place, found_callback call)
+configuration_restorer::configuration_restorer(event_loop& owner,
+                                               key_value_client& service,
+                                               metrics& counts,
+                                               const configuration_view& known,
+                                               rank_callback own_rank,
+                                               found_callback call)
     : loop(owner), key_values(service), counters(counts), view(known),
-      rank(std::move(place)), found(std::move(call))
+      rank(std::move(own_rank)), found(std::move(call))
 {
 }
 
-void configuration_restorer::on_stored(const configuration& now)
+void configuration_restorer::on_stored(const configuration& read)
 {
-    held = now;
-    if (branch && held->descends_from(*branch))
-        branch.reset();
-    compare();
+    stored = read;
+    if (diverged_configuration &&
+        stored->descends_from(*diverged_configuration))
+        diverged_configuration.reset();
+    check();
 }
 
 void configuration_restorer::on_changed()
 {
-    compare();
+    check();
 }
 
 void configuration_restorer::on_diverged(configuration other)
 {
     if (!rank())
         return;
-    branch = std::move(other);
-    compare();
+    diverged_configuration = std::move(other);
+    check();
 }
 
-/*! @brief Returns an acknowledged configuration that the service lacks. */
+/*! @brief Returns an acknowledged configuration that the service lacks, or
+ * null. */
 const configuration* configuration_restorer::missing() const
 {
-    if (!held)
+    if (!stored)
         return nullptr;
-    if (!held->descends_from(view.current()))
+    if (!stored->descends_from(view.current()))
         return &view.current();
-    return branch && !held->descends_from(*branch) ? &*branch : nullptr;
+    return diverged_configuration &&
+                   !stored->descends_from(*diverged_configuration)
+               ? &*diverged_configuration
+               : nullptr;
 }
 
-void configuration_restorer::compare()
+void configuration_restorer::check()
 {
-    if (store)
+    if (restore_store)
         return;
-    const auto place = missing() == nullptr ? std::nullopt : rank();
-    if (!place)
+    const auto own_rank = missing() == nullptr ? std::nullopt : rank();
+    if (!own_rank)
     {
-        waiting = false;
-        return turn.stop();
+        scheduled = false;
+        return delay_timer.stop();
     }
-    if (waiting)
+    if (scheduled)
         return;
-    waiting = true;
-    turn = loop.after(watch_lag + turn_length * *place, [this] { restore(); });
+    scheduled = true;
+    delay_timer = loop.after(watch_lag + delay_per_rank * *own_rank,
+                             [this] { restore(); });
 }
 
 void configuration_restorer::restore()
 {
-    waiting = false;
+    scheduled = false;
     const auto* lost = missing();
     if (lost == nullptr || !rank())
         return;
     counters.count("configuration_restores_total");
-    store.emplace(loop, key_values, event_loop::now() + restore_limit);
+    restore_store.emplace(loop, key_values,
+                          event_loop::now() + restore_timeout);
     configuration_writer<configuration_store>::restore(
-        *store, *lost, write_id(random_id()),
-        [this](const write_result& got)
-        { loop.post([this, got] { restored(got); }); });
+        *restore_store, *lost, write_id(random_id()),
+        [this](const write_result& written)
+        { loop.post([this, written] { restored(written); }); });
 }
 
-void configuration_restorer::restored(const write_result& got)
+void configuration_restorer::restored(const write_result& written)
 {
-    store.reset();
-    if (!got.end)
+    restore_store.reset();
+    if (!written.end)
     {
         log::warning("configuration_not_restored",
-                     {{"reason", got.end.error().message}});
-        return compare();
+                     {{"reason", written.end.error().message}});
+        return check();
     }
     log::state(
         "configuration_restored",
-        {{"revision", std::to_string(got.end.value().number().value())}});
-    on_stored(got.end.value());
-    found(got.end.value());
+        {{"revision", std::to_string(written.end.value().number().value())}});
+    on_stored(written.end.value());
+    found(written.end.value());
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/configuration_restorer.hpp
+++ b/src/coursejunction/daemon/internal/configuration_restorer.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Writes to the key-value service what it has lost of the configuration.
+ * @brief Restores configurations that the key-value service has lost.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_CONFIGURATION_RESTORER_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_CONFIGURATION_RESTORER_HPP
@@ -17,36 +17,36 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Compares what the service holds with what was acknowledged, and
- * writes what is missing by compare-and-swap. Watchers take turns by rank, so
- * that usually one of them writes and the others see that nothing is missing
- * any more. */
+/*! @brief Compares the configuration stored in the service with those that were
+ * acknowledged, and writes a missing one back by check-and-swap. Watchers
+ * wait in order of their rank, so that usually one of them writes and the
+ * others find that nothing is missing any more. */
 class configuration_restorer
 {
 public:
-    /*! @brief Returns the place of this instance among the watchers, none when
-     * it does not watch. */
+    /*! @brief Returns the rank of this instance among the watchers, or nothing
+     * if it does not watch. */
     using rank_callback = std::function<std::optional<std::size_t>()>;
 
-    /*! @brief Takes a configuration that the service holds now. */
+    /*! @brief Called with the configuration that is stored after a restore. */
     using found_callback = std::function<void(configuration)>;
 
     configuration_restorer(event_loop& owner, key_value_client& service,
                            metrics& counts, const configuration_view& known,
-                           rank_callback place, found_callback call);
+                           rank_callback own_rank, found_callback call);
 
-    /*! @brief The service answered with this configuration. */
-    void on_stored(const configuration& now);
+    /*! @brief Called with each configuration read from the service. */
+    void on_stored(const configuration& read);
 
-    /*! @brief Another configuration is in force. */
+    /*! @brief Called when another configuration comes into force. */
     void on_changed();
 
-    /*! @brief An acknowledged configuration and the one in force do not
-     * descend from each other. */
+    /*! @brief Called with an acknowledged configuration that neither descends
+     * from the one in force nor is its ancestor. */
     void on_diverged(configuration other);
 
 private:
-    void compare();
+    void check();
     void restore();
     void restored(const write_result& got);
     [[nodiscard]] const configuration* missing() const;
@@ -57,11 +57,12 @@
     const configuration_view& view;
     rank_callback rank;
     found_callback found;
-    std::optional<configuration> held;
-    std::optional<configuration> branch;
-    std::optional<configuration_store> store;
-    bool waiting{false};
-    timer turn;
+    std::optional<configuration> stored; /*!< Last one read. */
+    std::optional<configuration> diverged_configuration;
+    /*! @brief Set while a restore is in progress. */
+    std::optional<configuration_store> restore_store;
+    bool scheduled{false};
+    timer delay_timer;
 };
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/configuration_watch.cpp
+++ b/src/coursejunction/daemon/internal/configuration_watch.cpp
@@ -10,11 +10,12 @@
 namespace
 {
 
-/*! @brief Time that the service may hold a watch before it answers. */
+/*! @brief Time after which the service answers a watch even without a change.
+ */
 constexpr milliseconds watch_wait{10'000};
 
-/*! @brief Time to the next call after one that failed. */
-constexpr milliseconds watch_retry{500};
+/*! @brief Delay before the next call after a failed one. */
+constexpr milliseconds watch_retry_delay{500};
 
 } // namespace
 
@@ -31,49 +32,50 @@
 void configuration_watch::read_initial()
 {
     key_values.read(configuration_key,
-                    [this](const result<stored_value>& got)
+                    [this](const result<stored_value>& read)
                     {
-                        if (got)
-                            take(got.value());
+                        if (read)
+                            accept(read.value());
                         else if (!view.ready())
-                            retry_read = loop.after(watch_retry,
+                            retry_read = loop.after(watch_retry_delay,
                                                     [this] { read_initial(); });
                     });
 }
 
-void configuration_watch::set_designated(bool chosen)
+void configuration_watch::set_designated(bool watch_here)
 {
-    chosen_now = chosen;
-    if (chosen_now && !watching)
+    is_designated = watch_here;
+    if (is_designated && !watching)
         watch();
 }
 
 void configuration_watch::watch()
 {
-    watching = chosen_now;
-    if (!chosen_now)
+    watching = is_designated;
+    if (!is_designated)
         return;
-    key_values.watch(configuration_key, index, watch_wait,
-                     [this](const result<stored_value>& got) { watched(got); });
+    key_values.watch(configuration_key, last_index, watch_wait,
+                     [this](const result<stored_value>& read)
+                     { watch_returned(read); });
 }
 
-void configuration_watch::watched(const result<stored_value>& got)
+void configuration_watch::watch_returned(const result<stored_value>& read)
 {
     counters.count("key_value_watches_total");
-    if (!got)
+    if (!read)
     {
-        // The service may come back from an older copy, which gives out the
-        // same indices again.
-        index = 0;
-        retry_watch = loop.after(watch_retry, [this] { watch(); });
+        // The service may have been restored from an older snapshot, after
+        // which it assigns the same indices again.
+        last_index = 0;
+        retry_watch = loop.after(watch_retry_delay, [this] { watch(); });
         return;
     }
-    index = got.value().watched;
-    take(got.value());
+    last_index = read.value().watched;
+    accept(read.value());
     watch();
 }
 
-void configuration_watch::take(const stored_value& stored)
+void configuration_watch::accept(const stored_value& stored)
 {
     auto parsed = stored.index == 0 ? result<configuration>(configuration())
                                     : configuration::parse(stored.text);
--- a/src/coursejunction/daemon/internal/configuration_watch.hpp
+++ b/src/coursejunction/daemon/internal/configuration_watch.hpp
@@ -15,40 +15,40 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Reads once at the start, and watches while this instance is one of
- * those that do so for their hall. */
+/*! @brief Reads the configuration once at startup, and watches it while this
+ * instance is one of the designated watchers of its hall. */
 class configuration_watch
 {
 public:
-    /*! @brief Takes a configuration that was read. */
+    /*! @brief Called with each configuration that was read. */
     using found_callback = std::function<void(configuration)>;
 
-    /*! @param known Tells whether a first one is still to be read. */
+    /*! @param known Says whether the initial configuration is still missing. */
     configuration_watch(event_loop& owner, key_value_client& service,
                         metrics& counts, const configuration_view& known,
                         found_callback call);
 
-    /*! @brief Reads, again and again until some configuration is known. */
+    /*! @brief Reads the configuration; retries until one is known. */
     void read_initial();
 
-    /*! @brief Says whether this instance is to watch. */
-    void set_designated(bool chosen);
+    /*! @brief Sets whether this instance watches. */
+    void set_designated(bool watch_here);
 
-    /*! @brief Tells whether this instance is to watch. */
-    [[nodiscard]] bool designated() const noexcept { return chosen_now; }
+    /*! @brief Returns whether this instance is to watch. */
+    [[nodiscard]] bool designated() const noexcept { return is_designated; }
 
 private:
     void watch();
-    void watched(const result<stored_value>& got);
-    void take(const stored_value& stored);
+    void watch_returned(const result<stored_value>& got);
+    void accept(const stored_value& stored);
 
     event_loop& loop;
     key_value_client& key_values;
     metrics& counters;
     const configuration_view& view;
     found_callback found;
-    std::uint64_t index{0};
-    bool chosen_now{false};
+    std::uint64_t last_index{0};
+    bool is_designated{false};
     bool watching{false};
     timer retry_read;
     timer retry_watch;
--- a/src/coursejunction/daemon/internal/crash_gossip.hpp
+++ b/src/coursejunction/daemon/internal/crash_gossip.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief One process's ledger of requests that crash upstreams, kept alike with
- * its neighbours'.
+ * @brief One process's ledger of requests that crash upstreams, replicated by
+ * gossip with its neighbours.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_CRASH_GOSSIP_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_CRASH_GOSSIP_HPP
@@ -19,107 +19,111 @@
 namespace coursejunction::internal
 {
 
-/*! @brief What sides see is told from neighbour to neighbour; pure but for its
- * log lines and counters. */
+/*! @brief Records the crashes that sidecars observe and gossips the records to
+ * the neighbours. Does no I/O besides log lines and counters. */
 class crash_gossip
 {
 public:
     /*! @brief Sends records to the neighbours. */
-    using tell_callback =
+    using send_callback =
         std::function<void(const std::vector<message::crash_record>&)>;
 
-    crash_gossip(metrics& counted, tell_callback call)
-        : counters(counted), tell(std::move(call)), ledger(limits())
+    crash_gossip(metrics& counts, send_callback call)
+        : counters(counts), send(std::move(call)), ledger(limits())
     {
     }
 
     [[nodiscard]] const crash_ledger& records() const { return ledger; }
 
-    [[nodiscard]] crash_status status(const request_content& what,
+    [[nodiscard]] crash_status status(const request_content& content,
                                       time_point now) const
     {
-        return ledger.status(what, now);
+        return ledger.status(content, now);
     }
 
     /*! @brief Returns how many copies of a request may run at once.
-     * @param tries_it Whether trials of it are this process's. */
-    [[nodiscard]] std::size_t max_running(const request_content& what,
-                                          bool tries_it, time_point now) const
+     * @param owns_trials Whether this process runs the trials of the request.
+     */
+    [[nodiscard]] std::size_t max_running(const request_content& content,
+                                          bool owns_trials,
+                                          time_point now) const
     {
-        return ledger.max_running(what, tries_it, now);
+        return ledger.max_running(content, owns_trials, now);
     }
 
-    /*! @brief An upstream ended under some requests. */
-    void record_crashes(const std::vector<crash_report>& accused,
+    /*! @brief Records that an upstream crashed while it ran some requests. */
+    void record_crashes(const std::vector<crash_report>& reports,
                         time_point now)
     {
-        for (const auto& one : accused)
+        for (const auto& report : reports)
         {
-            if (ledger.record_crash(one.content, one.crash, one.evidence, now))
-                note(one.content);
+            if (ledger.record_crash(report.content, report.crash,
+                                    report.evidence, now))
+                log_quarantine(report.content);
         }
         send_updates(now);
     }
 
-    /*! @brief An upstream answered a request in whole. */
-    void record_response(const request_content& what, time_point now)
+    /*! @brief Records that an upstream answered a request completely. */
+    void record_response(const request_content& content, time_point now)
     {
-        if (ledger.record_response(what, now))
+        if (ledger.record_response(content, now))
             send_updates(now);
     }
 
-    /*! @brief Takes a neighbour's records, and passes on what is new. */
-    void merge(const std::vector<message::crash_record>& told, time_point now)
+    /*! @brief Merges a neighbour's records and forwards those that are new. */
+    void merge(const std::vector<message::crash_record>& records,
+               time_point now)
     {
-        for (const auto& one : told)
+        for (const auto& record : records)
         {
-            if (ledger.merge(one, now))
-                note(one.content);
+            if (ledger.merge(record, now))
+                log_quarantine(record.content);
         }
         if (ledger.has_pending_updates())
             send_updates(now);
     }
 
-    /*! @brief Ends a quarantine everywhere.
-     * @return Whether there was one. */
-    bool lift_quarantine(const request_content& what, time_point now)
+    /*! @brief Ends a quarantine here and, through gossip, everywhere.
+     * @return Whether the request was quarantined. */
+    bool lift_quarantine(const request_content& content, time_point now)
     {
-        if (!ledger.lift_quarantine(what, now))
+        if (!ledger.lift_quarantine(content, now))
             return false;
-        log::state("quarantine_lifted", {{"content", what.hex()}});
+        log::state("quarantine_lifted", {{"content", content.hex()}});
         send_updates(now);
         return true;
     }
 
-    /*! @brief Tells neighbours what changed and, in turn, what is quarantined;
-     * called with each heartbeat. */
+    /*! @brief Sends the neighbours the records that changed and, in rotation,
+     * those that are quarantined; called with each heartbeat. */
     void send_updates(time_point now)
     {
         ledger.expire(now);
         counters.set("requests_quarantined",
                      static_cast<double>(ledger.blocked_count()));
-        const auto told =
+        const auto updates =
             ledger.collect_updates(crash_ledger::max_records_per_datagram, now);
-        if (!told.empty())
-            tell(told);
+        if (!updates.empty())
+            send(updates);
     }
 
 private:
     [[nodiscard]] static crash_limits limits()
     {
-        crash_limits made;
-        made.relays_records = true;
-        return made;
+        crash_limits set;
+        set.relays_records = true;
+        return set;
     }
 
-    void note(const request_content& what)
+    void log_quarantine(const request_content& content)
     {
         counters.count("quarantines_total");
-        log::warning("request_quarantined", {{"content", what.hex()}});
+        log::warning("request_quarantined", {{"content", content.hex()}});
     }
 
     metrics& counters;
-    tell_callback tell;
+    send_callback send;
     crash_ledger ledger;
 };
 
--- a/src/coursejunction/daemon/internal/engine_stager.hpp
+++ b/src/coursejunction/daemon/internal/engine_stager.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Hands the chunks of a version over to an engine.
+ * @brief Stages the chunks of a version in an engine.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_ENGINE_STAGER_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_ENGINE_STAGER_HPP
@@ -17,26 +17,26 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Chunks handed over at once. */
+/*! @brief Maximum number of staging calls in progress at once. */
 inline constexpr std::size_t max_staging_calls = 4;
 
-/*! @brief Hands over first the manifest, then each chunk, a few at once, and
- * says when the engine has all of them.
- * @tparam Engine Has `stage_manifest` and `stage_chunk`, which tell later
- * whether it worked. */
+/*! @brief Stages a version in the engine: first the manifest, then the chunks,
+ * a few at once. A call that fails is repeated by a later `advance`.
+ * @tparam Engine Has `stage_manifest` and `stage_chunk`, which call back with
+ * whether they succeeded. */
 template <typename Engine>
 class engine_stager
 {
 public:
     /*! @brief Called once when the engine has every chunk. */
-    using whole_callback = std::function<void(const digest&)>;
+    using staged_callback = std::function<void(const digest&)>;
 
-    engine_stager(Engine& to, whole_callback call)
-        : engine(to), whole(std::move(call))
+    engine_stager(Engine& to, staged_callback call)
+        : engine(to), on_staged(std::move(call))
     {
     }
 
-    /*! @brief Begins with a version; what it holds already is queued. */
+    /*! @brief Starts staging a version; the chunks already held are queued. */
     void start(const digest& of, std::shared_ptr<const staging> held)
     {
         version = of;
@@ -44,97 +44,103 @@
         restart();
     }
 
-    /*! @brief Begins anew, after the engine lost what it had. */
+    /*! @brief Starts from the beginning, after the engine lost what was staged.
+     */
     void restart()
     {
         reset();
         const auto all = chunks->held();
-        waiting = {all.begin(), all.end()};
+        queued = {all.begin(), all.end()};
     }
 
-    /*! @brief Ends it; answers still to come are ignored. */
+    /*! @brief Stops staging; late responses are ignored. */
     void stop()
     {
         reset();
-        waiting.clear();
+        queued.clear();
         chunks.reset();
     }
 
-    /*! @brief Queues a chunk that is held now. */
-    void enqueue(chunk_index chunk) { waiting.push_back(chunk); }
+    /*! @brief Queues a chunk that has become available. */
+    void enqueue(chunk_index chunk) { queued.push_back(chunk); }
 
-    /*! @brief Hands over what there is room for. */
+    /*! @brief Starts as many calls as the limit allows. */
     void advance()
     {
-        if (!manifest_done)
-            return hand_over_manifest();
-        while (open < max_staging_calls && !waiting.empty())
+        if (!manifest_staged)
+            return stage_manifest_once();
+        while (in_progress < max_staging_calls && !queued.empty())
         {
-            const auto chunk = waiting.front();
-            waiting.pop_front();
-            ++open;
-            engine.stage_chunk(version, chunk, *chunks->find(chunk),
-                               [this, chunk, of = serial](bool ok)
-                               { handed_over(chunk, of, ok); });
+            const auto chunk = queued.front();
+            queued.pop_front();
+            ++in_progress;
+            engine.stage_chunk(
+                version, chunk, *chunks->find(chunk),
+                [this, chunk, call_generation = generation](bool ok)
+                { chunk_done(chunk, call_generation, ok); });
         }
     }
 
-    /*! @brief Returns how many chunks the engine has taken. */
-    [[nodiscard]] std::size_t staged_count() const noexcept { return done; }
+    /*! @brief Returns the number of chunks that the engine has accepted. */
+    [[nodiscard]] std::size_t staged_count() const noexcept
+    {
+        return staged_chunk_count;
+    }
 
 private:
     void reset()
     {
-        ++serial;
-        open = 0;
-        done = 0;
-        manifest_done = false;
-        told = false;
+        ++generation;
+        in_progress = 0;
+        staged_chunk_count = 0;
+        manifest_staged = false;
+        staged_reported = false;
     }
 
-    void hand_over_manifest()
+    void stage_manifest_once()
     {
-        if (open > 0)
+        if (in_progress > 0)
             return;
-        ++open;
+        ++in_progress;
         engine.stage_manifest(version, chunks->of().text(),
-                              [this, of = serial](bool ok)
+                              [this, call_generation = generation](bool ok)
                               {
-                                  if (of != serial)
+                                  if (call_generation != generation)
                                       return;
-                                  --open;
-                                  manifest_done = ok;
+                                  --in_progress;
+                                  manifest_staged = ok;
                                   if (ok)
                                       advance();
                               });
     }
 
-    void handed_over(chunk_index chunk, std::uint64_t of, bool ok)
+    void chunk_done(chunk_index chunk, std::uint64_t call_generation, bool ok)
     {
-        if (of != serial)
+        if (call_generation != generation)
             return;
-        --open;
+        --in_progress;
         if (!ok)
-            return waiting.push_back(chunk); // The next tick tries again.
-        ++done;
-        if (done == chunks->of().size() && !told)
+            return queued.push_back(chunk); // The next `advance` retries.
+        ++staged_chunk_count;
+        if (staged_chunk_count == chunks->of().size() && !staged_reported)
         {
-            told = true;
-            return whole(version);
+            staged_reported = true;
+            return on_staged(version);
         }
         advance();
     }
 
     Engine& engine;
-    whole_callback whole;
+    staged_callback on_staged;
     digest version;
     std::shared_ptr<const staging> chunks;
-    std::deque<chunk_index> waiting;
-    std::size_t open{0};
-    std::size_t done{0};
-    bool manifest_done{false};
-    bool told{false};
-    std::uint64_t serial{0}; /*!< Of this beginning; tells late answers. */
+    std::deque<chunk_index> queued;
+    std::size_t in_progress{0};
+    std::size_t staged_chunk_count{0};
+    bool manifest_staged{false};
+    bool staged_reported{false};
+    /*! @brief Incremented by each start, to recognise late responses. */
+    std::uint64_t generation{0};
 };
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/event_framer.hpp
+++ b/src/coursejunction/daemon/internal/event_framer.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Cuts a stream of an answer into whole events.
+ * @brief Splits the stream of a response at the ends of events.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_EVENT_FRAMER_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_EVENT_FRAMER_HPP
@@ -11,47 +11,51 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Gives out whole events only, so that a stream can be resumed
- * elsewhere exactly behind the last one; pure. */
+/*! @brief Passes on only complete events, so that another upstream can resume
+ * the stream exactly after the last one; pure. */
 class event_framer
 {
 public:
-    /*! @brief Takes bytes of the stream.
-     * @return The events that are whole now; empty when none is. */
+    /*! @brief Adds bytes of the stream.
+     * @return The events that they complete; empty for none. */
     [[nodiscard]] std::string feed(std::string_view bytes)
     {
         pending += bytes;
         const auto end = pending.rfind(event_end);
         if (end == std::string::npos)
             return {};
-        auto whole = pending.substr(0, end + event_end.size());
-        pending.erase(0, whole.size());
-        count(whole);
-        return whole;
+        auto complete = pending.substr(0, end + event_end.size());
+        pending.erase(0, complete.size());
+        count_data_events(complete);
+        return complete;
     }
 
-    /*! @brief Drops the start of an event: another attempt sends it anew. */
+    /*! @brief Drops an incomplete event; another attempt sends it again. */
     void discard_partial() { pending.clear(); }
 
-    /*! @brief Tells whether no event is half here. */
+    /*! @brief Returns whether no incomplete event is pending. */
     [[nodiscard]] bool at_boundary() const noexcept { return pending.empty(); }
 
-    /*! @brief Returns the events with data that were given out. */
-    [[nodiscard]] std::uint32_t data_events() const noexcept { return events; }
+    /*! @brief Returns the number of events with data passed on so far; comments
+     * do not count. */
+    [[nodiscard]] std::uint32_t data_events() const noexcept
+    {
+        return data_event_count;
+    }
 
 private:
     static constexpr std::string_view event_end = "\n\n";
     static constexpr std::string_view event_start = "data: {";
 
-    void count(const std::string& whole)
+    void count_data_events(const std::string& complete)
     {
-        for (auto at = whole.find(event_start); at != std::string::npos;
-             at = whole.find(event_start, at + 1))
-            ++events;
+        for (auto at = complete.find(event_start); at != std::string::npos;
+             at = complete.find(event_start, at + 1))
+            ++data_event_count;
     }
 
-    std::string pending; /*!< Start of an event that is not yet whole. */
-    std::uint32_t events{0};
+    std::string pending; /*!< Start of an incomplete event. */
+    std::uint32_t data_event_count{0};
 };
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/fenced_commands.cpp
+++ b/src/coursejunction/daemon/internal/fenced_commands.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-/*! @brief Time to the next try when the service gave no token. */
-constexpr milliseconds token_retry{300};
+/*! @brief Delay before the next attempt when the service gave no token. */
+constexpr milliseconds token_retry_delay{300};
 
 } // namespace
 
-fenced_commands::fenced_commands(node& owner, order_callback allowed,
-                                 order_callback refused)
+fenced_commands::fenced_commands(node& owner, decision_callback allowed,
+                                 decision_callback refused)
     : host(owner), allow(std::move(allowed)), refuse(std::move(refused)),
       guard(owner.settings().upstream_fenced), process_id(random_id())
 {
@@ -31,7 +31,7 @@
     case fence_state::held:
         return allow();
     case fence_state::none:
-        return take_token();
+        return acquire_token();
     case fence_state::unconfirmed:
         return confirm_token();
     case fence_state::lost:
@@ -39,43 +39,44 @@
     }
 }
 
-void fenced_commands::request_later()
+void fenced_commands::authorize_later()
 {
-    again = host.loop().after(token_retry, [this] { authorize(); });
+    retry = host.loop().after(token_retry_delay, [this] { authorize(); });
 }
 
-void fenced_commands::take_token()
+void fenced_commands::acquire_token()
 {
     host.key_values().read(fence_key(host.settings().instance),
-                           [this](const result<stored_value>& got)
+                           [this](const result<stored_value>& read)
                            {
-                               if (!got)
-                                   return request_later();
-                               take_after(got.value());
+                               if (!read)
+                                   return authorize_later();
+                               acquire_next_token(read.value());
                            });
 }
 
-/*! @brief Takes the next token by compare-and-swap. The value names the
- * process, so a lost answer is settled by reading again. */
-void fenced_commands::take_after(const stored_value& stored)
+/*! @brief Acquires the next token by compare-and-swap. The stored value names
+ * the owning process, so if the response is lost, the next read shows whether
+ * the write succeeded. */
+void fenced_commands::acquire_next_token(const stored_value& stored)
 {
     const auto newest = parse_token(stored.text);
-    if (newest.owner == owner_text() && newest.token >= highest)
+    if (newest.owner == owner_id() && newest.token >= highest_seen)
     {
         guard.token_acquired(newest.token);
         return authorize();
     }
-    const fencing_token next(std::max(newest.token, highest).value() + 1);
+    const fencing_token next(std::max(newest.token, highest_seen).value() + 1);
     host.key_values().swap(fence_key(host.settings().instance), stored.index,
-                           format_token({next, owner_text()}),
-                           [this, next](swap_outcome done)
-                           { taken(next, done); });
+                           format_token({next, owner_id()}),
+                           [this, next](swap_outcome swapped)
+                           { token_written(next, swapped); });
 }
 
-void fenced_commands::taken(fencing_token next, swap_outcome done)
+void fenced_commands::token_written(fencing_token next, swap_outcome swapped)
 {
-    if (done != swap_outcome::swapped)
-        return request_later();
+    if (swapped != swap_outcome::swapped)
+        return authorize_later();
     guard.token_acquired(next);
     log::state("fencing_token_taken",
                {{"token", std::to_string(next.value())}});
@@ -86,20 +87,20 @@
 {
     host.key_values().read(
         fence_key(host.settings().instance),
-        [this](const result<stored_value>& got)
+        [this](const result<stored_value>& read)
         {
-            if (got)
+            if (read)
             {
-                guard.newest_token_read(parse_token(got.value().text).token);
+                guard.newest_token_read(parse_token(read.value().text).token);
                 return authorize();
             }
             guard.service_unreachable();
             return guard.state() == fence_state::held ? authorize()
-                                                      : request_later();
+                                                      : authorize_later();
         });
 }
 
-std::string fenced_commands::owner_text() const
+std::string fenced_commands::owner_id() const
 {
     return host.settings().instance.value() + "/" + process_id;
 }
--- a/src/coursejunction/daemon/internal/fenced_commands.hpp
+++ b/src/coursejunction/daemon/internal/fenced_commands.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Sees that only one process gives orders to an upstream.
+ * @brief Lets only one process send commands to an upstream.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_FENCED_COMMANDS_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_FENCED_COMMANDS_HPP
@@ -21,56 +21,57 @@
 namespace internal
 {
 
-/*! @brief Takes and confirms the fencing token of an instance's upstream at
- * the key-value service, before each order as far as that is needed. */
+/*! @brief Acquires the fencing token of an instance's upstream at the key-value
+ * service, and confirms it before a command when that is necessary. */
 class fenced_commands
 {
 public:
-    using order_callback = std::function<void()>;
+    using decision_callback = std::function<void()>;
 
-    /*! @param allowed Called when an order may be given now.
-     * @param refused Called when another process is in charge. */
-    fenced_commands(node& owner, order_callback allowed,
-                    order_callback refused);
+    /*! @param allowed Called when a command may be sent now.
+     * @param refused Called when another process has a newer token. */
+    fenced_commands(node& owner, decision_callback allowed,
+                    decision_callback refused);
 
-    /*! @brief Asks to give an order; one of the callbacks follows. */
+    /*! @brief Asks for permission to send a command; one of the callbacks
+     * follows. Retries while the key-value service does not answer. */
     void authorize();
 
     /*! @brief Called regularly.
-     * @return Whether a pause of this process was noticed. */
+     * @return Whether this process turns out to have been suspended. */
     bool tick(time_point now) { return guard.tick(now); }
 
-    /*! @brief An order was given. */
+    /*! @brief Records that a command was sent. */
     void command_sent() { guard.command_sent(); }
 
-    /*! @brief The upstream has seen this token. The next one that is taken is
-     * above it, also when the service has lost the newest. */
+    /*! @brief Records the highest token that the upstream has seen. The next
+     * token is higher, even if the service has lost the newest one. */
     void record_seen_token(fencing_token newest)
     {
-        highest = std::max(highest, newest);
+        highest_seen = std::max(highest_seen, newest);
     }
 
-    /*! @brief The upstream refused the token as old. */
+    /*! @brief Records that the upstream rejected the token as outdated. */
     void token_rejected() { guard.token_rejected(); }
 
-    /*! @brief Returns the token; empty before one was taken. */
+    /*! @brief Returns the token; empty before one is acquired. */
     [[nodiscard]] fencing_token token() const { return guard.token(); }
 
 private:
-    void request_later();
-    void take_token();
-    void take_after(const stored_value& stored);
-    void taken(fencing_token next, swap_outcome done);
+    void authorize_later();
+    void acquire_token();
+    void acquire_next_token(const stored_value& stored);
+    void token_written(fencing_token next, swap_outcome swapped);
     void confirm_token();
-    [[nodiscard]] std::string owner_text() const;
+    [[nodiscard]] std::string owner_id() const;
 
     node& host;
-    order_callback allow;
-    order_callback refuse;
+    decision_callback allow;
+    decision_callback refuse;
     fence guard;
-    fencing_token highest;
+    fencing_token highest_seen;
     std::string process_id;
-    timer again;
+    timer retry;
 };
 
 } // namespace internal
--- a/src/coursejunction/daemon/internal/have_announcer.cpp
+++ b/src/coursejunction/daemon/internal/have_announcer.cpp
@@ -8,18 +8,19 @@
 namespace
 {
 
-/*! @brief Shortest time between two batches to the own hall. */
-constexpr milliseconds have_batch{100};
+/*! @brief Minimum interval between two announcements to the own hall. */
+constexpr milliseconds hall_announce_interval{100};
 
-/*! @brief Time between two signs of life to everybody. */
-constexpr milliseconds have_interval{500};
+/*! @brief Interval between two announcements to all listeners and neighbours.
+ */
+constexpr milliseconds announce_interval{500};
 
-/*! @brief Peers that are told at most. */
+/*! @brief Maximum number of listeners; further peers are ignored. */
 constexpr std::size_t max_listeners = 64;
 
-/*! @brief Time without a request after which a whole version is no longer
- * announced. */
-constexpr std::chrono::seconds quiet_after{10};
+/*! @brief Time without a chunk request after which a complete version is no
+ * longer announced. */
+constexpr std::chrono::seconds idle_timeout{10};
 
 } // namespace
 
@@ -27,75 +28,76 @@
 
 void have_announcer::set_neighbours(std::set<instance_id> chosen)
 {
-    known = std::move(chosen);
+    neighbours = std::move(chosen);
 }
 
 void have_announcer::send_all_held(const staging& chunks) const
 {
-    for (const auto& id : known)
+    for (const auto& id : neighbours)
         send(id, chunks.held());
 }
 
-void have_announcer::add_listener(const instance_id& peer, bool near,
+void have_announcer::add_listener(const instance_id& peer, bool same_hall,
                                   const staging& chunks)
 {
     if (listeners.contains(peer) || listeners.size() >= max_listeners)
         return;
-    listeners[peer] = near;
+    listeners[peer] = same_hall;
     send(peer, chunks.held());
 }
 
 void have_announcer::announce(const staging& chunks, time_point now)
 {
-    if (now - told_far >= have_interval)
-        return tell_all(chunks, now);
-    if (fresh.empty() || now - told_near < have_batch)
+    if (now - all_announced_at >= announce_interval)
+        return announce_to_all(chunks, now);
+    if (unannounced.empty() || now - hall_announced_at < hall_announce_interval)
         return;
-    told_near = now;
-    tell_near();
+    hall_announced_at = now;
+    announce_to_hall();
 }
 
-void have_announcer::tell_near()
+void have_announcer::announce_to_hall()
 {
-    for (const auto& [peer, near] : listeners)
+    for (const auto& [peer, same_hall] : listeners)
     {
-        if (near)
-            send(peer, fresh);
+        if (same_hall)
+            send(peer, unannounced);
     }
-    note_unheard();
-    fresh.clear();
+    keep_for_other_halls();
+    unannounced.clear();
 }
 
-void have_announcer::tell_all(const staging& chunks, time_point now)
+void have_announcer::announce_to_all(const staging& chunks, time_point now)
 {
-    told_far = told_near = now;
-    if (chunks.complete() && now - asked_at > quiet_after)
+    all_announced_at = hall_announced_at = now;
+    if (chunks.complete() && now - last_request_at > idle_timeout)
         listeners.clear();
-    note_unheard();
-    for (const auto& [peer, near] : listeners)
-        send(peer, near ? fresh : unheard);
-    fresh.clear();
-    unheard.clear();
+    keep_for_other_halls();
+    for (const auto& [peer, same_hall] : listeners)
+        send(peer, same_hall ? unannounced : unannounced_elsewhere);
+    unannounced.clear();
+    unannounced_elsewhere.clear();
     if (chunks.complete())
         return;
-    for (const auto& id : known)
+    for (const auto& id : neighbours)
     {
         if (!listeners.contains(id))
             send(id, chunks.held());
     }
 }
 
-void have_announcer::note_unheard()
+void have_announcer::keep_for_other_halls()
 {
-    unheard.insert(unheard.end(), fresh.begin(), fresh.end());
+    unannounced_elsewhere.insert(unannounced_elsewhere.end(),
+                                 unannounced.begin(), unannounced.end());
 }
 
 void have_announcer::stop()
 {
     listeners.clear();
-    known.clear();
-    fresh.clear();
-    unheard.clear();
+    neighbours.clear();
+    unannounced.clear();
+    unannounced_elsewhere.clear();
 }
 
 std::size_t have_announcer::listener_count() const
@@ -105,7 +107,7 @@
 
 std::size_t have_announcer::neighbour_count() const
 {
-    return known.size();
+    return neighbours.size();
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/have_announcer.hpp
+++ b/src/coursejunction/daemon/internal/have_announcer.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Tells peers which chunks are held here.
+ * @brief Announces to peers which chunks are held here.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_HAVE_ANNOUNCER_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_HAVE_ANNOUNCER_HPP
@@ -16,8 +16,10 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Keeps who is to hear of the chunks of the wanted version, and tells
- * them in small batches. */
+/*! @brief Announces the held chunks of the target version to two groups of
+ * peers. Listeners have announced or requested chunks themselves and get only
+ * what is new. Neighbours that are not listeners yet get everything that is
+ * held, until the version is complete here. */
 class have_announcer
 {
 public:
@@ -27,51 +29,53 @@
 
     explicit have_announcer(send_callback call);
 
-    /*! @brief Sets whom this instance makes itself known to. */
+    /*! @brief Sets the peers that this instance announces itself to. */
     void set_neighbours(std::set<instance_id> chosen);
 
-    /*! @brief Makes this instance known to its neighbours, with everything
-     * it holds; they answer in kind. */
+    /*! @brief Sends the neighbours every held chunk; they reply with theirs. */
     void send_all_held(const staging& chunks) const;
 
-    /*! @brief Counts a peer as one that wants to hear what is held here; a
-     * new one is told everything.
-     * @param near Whether it is in the own hall. */
-    void add_listener(const instance_id& peer, bool near,
+    /*! @brief Adds a peer that wants announcements; a new one gets every held
+     * chunk.
+     * @param same_hall Whether the peer is in the own hall. */
+    void add_listener(const instance_id& peer, bool same_hall,
                       const staging& chunks);
 
-    /*! @brief Notes that a peer asked for a chunk. */
-    void record_request(time_point now) { asked_at = now; }
+    /*! @brief Records that a peer requested a chunk. */
+    void record_request(time_point now) { last_request_at = now; }
 
-    /*! @brief Notes a chunk that nobody has been told of. */
-    void add_chunk(chunk_index chunk) { fresh.push_back(chunk); }
+    /*! @brief Adds a chunk for the next announcement. */
+    void add_chunk(chunk_index chunk) { unannounced.push_back(chunk); }
 
-    /*! @brief Tells listeners of the own hall what is new, in small batches,
-     * and those of other halls more slowly: they only need signs of life. */
+    /*! @brief Announces new chunks to the listeners of the own hall in small
+     * batches, and less often to those of other halls, which need it only to
+     * see that this instance is alive. */
     void announce(const staging& chunks, time_point now);
 
-    /*! @brief Forgets a listener whose connection is gone. */
+    /*! @brief Removes a listener whose connection is lost. */
     void peer_lost(const instance_id& peer) { listeners.erase(peer); }
 
-    /*! @brief Forgets everybody: the version is no longer wanted. */
+    /*! @brief Removes all listeners and neighbours: the version is no longer
+     * the target. */
     void stop();
 
     [[nodiscard]] std::size_t listener_count() const;
     [[nodiscard]] std::size_t neighbour_count() const;
 
 private:
-    void tell_near();
-    void tell_all(const staging& chunks, time_point now);
-    void note_unheard();
+    void announce_to_hall();
+    void announce_to_all(const staging& chunks, time_point now);
+    void keep_for_other_halls();
 
     send_callback send;
-    std::set<instance_id> known;
-    std::map<instance_id, bool> listeners; /*!< Whether in the own hall. */
-    std::vector<chunk_index> fresh;        /*!< Not yet told to anybody. */
-    std::vector<chunk_index> unheard;      /*!< Not yet told to other halls. */
-    time_point told_near{};
-    time_point told_far{};
-    time_point asked_at{};
+    std::set<instance_id> neighbours;
+    std::map<instance_id, bool> listeners; /*!< Whether in the same hall. */
+    std::vector<chunk_index> unannounced;  /*!< Not sent to any listener. */
+    /*! @brief Sent to the own hall, but not yet to others. */
+    std::vector<chunk_index> unannounced_elsewhere;
+    time_point hall_announced_at{};
+    time_point all_announced_at{};
+    time_point last_request_at{};
 };
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/heartbeat_gossip.cpp
+++ b/src/coursejunction/daemon/internal/heartbeat_gossip.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-/*! @brief Shortest time between two answers to a neighbour that has an older
+/*! @brief Minimum interval between two replies to a neighbour that has an older
  * configuration. */
-constexpr milliseconds answer_gap{200};
+constexpr milliseconds min_reply_interval{200};
 
 } // namespace
 
@@ -27,13 +27,14 @@
 
 result<bool> heartbeat_gossip::open(event_loop& loop, std::uint16_t port)
 {
-    auto made = datagram_socket::create(
+    auto opened_socket = datagram_socket::create(
         loop, settings.address, port,
         [this](const std::string&, std::string_view bytes)
-        { datagram(bytes); });
-    if (!made)
-        return failure(made.error().kind, made.error().message);
-    socket = std::move(made.value());
+        { handle_datagram(bytes); });
+    if (!opened_socket)
+        return failure(opened_socket.error().kind,
+                       opened_socket.error().message);
+    socket = std::move(opened_socket.value());
     return true;
 }
 
@@ -41,78 +42,80 @@
 {
     for (const auto& id : members.neighbours(
              settings.instance, settings.gossip_neighbours, event_loop::now()))
-        beat_to(id);
+        send_heartbeat(id);
 }
 
-void heartbeat_gossip::beat_to(const instance_id& to)
+void heartbeat_gossip::send_heartbeat(const instance_id& to)
 {
-    const auto* listed = members.find(to);
-    if (listed == nullptr)
+    const auto* receiver = members.find(to);
+    if (receiver == nullptr)
         return;
-    message::heartbeat beat;
-    beat.instance = settings.instance.value();
-    beat.incarnation = incarnation;
-    beat.sequence = ++beats;
-    beat.revision = view.ready() ? view.current().number().value() : 0;
-    beat.leaving = leaving;
-    socket->send(listed->peer_address,
-                 seal_datagram(ring, frame_type::heartbeat, encode(beat)));
+    message::heartbeat sent;
+    sent.instance = settings.instance.value();
+    sent.incarnation = incarnation;
+    sent.sequence = ++last_sequence;
+    sent.revision = view.ready() ? view.current().number().value() : 0;
+    sent.leaving = leaving;
+    socket->send(receiver->peer_address,
+                 seal_datagram(ring, frame_type::heartbeat, encode(sent)));
 }
 
-void heartbeat_gossip::datagram(std::string_view bytes)
+void heartbeat_gossip::handle_datagram(std::string_view bytes)
 {
     const auto opened = open_datagram(ring, bytes);
     if (opened && opened.value().type == frame_type::crash_news)
-        return heard_crashes(opened.value().head);
+        return handle_crash_records(opened.value().head);
     if (!opened || opened.value().type != frame_type::heartbeat)
     {
         counters.count("datagrams_refused_total");
         return;
     }
-    const auto beat = decode<message::heartbeat>(opened.value().head);
-    if (beat)
-        heard(beat.value());
+    const auto received = decode<message::heartbeat>(opened.value().head);
+    if (received)
+        handle_heartbeat(received.value());
 }
 
-void heartbeat_gossip::send_crash_records(const message::crash_news& news)
+void heartbeat_gossip::send_crash_records(const message::crash_news& records)
 {
     const auto sealed =
-        seal_datagram(ring, frame_type::crash_news, encode(news));
+        seal_datagram(ring, frame_type::crash_news, encode(records));
     for (const auto& id : members.neighbours(
              settings.instance, settings.gossip_neighbours, event_loop::now()))
     {
-        const auto* listed = members.find(id);
-        if (listed != nullptr)
-            socket->send(listed->peer_address, sealed);
+        const auto* receiver = members.find(id);
+        if (receiver != nullptr)
+            socket->send(receiver->peer_address, sealed);
     }
 }
 
-void heartbeat_gossip::heard_crashes(std::string_view head)
+void heartbeat_gossip::handle_crash_records(std::string_view head)
 {
-    const auto news = decode<message::crash_news>(head);
-    if (!news)
+    const auto received = decode<message::crash_news>(head);
+    if (!received)
         return counters.count("datagrams_refused_total");
     if (crashes)
-        crashes(news.value().records);
+        crashes(received.value().records);
 }
 
-void heartbeat_gossip::heard(const message::heartbeat& beat)
+void heartbeat_gossip::handle_heartbeat(const message::heartbeat& received)
 {
-    const instance_id from(beat.instance);
+    const instance_id from(received.instance);
     const auto now = event_loop::now();
-    if (!members.heard({from, beat.incarnation, beat.sequence, beat.leaving},
-                       now))
+    if (!members.heard(
+            {from, received.incarnation, received.sequence, received.leaving},
+            now))
     {
         counters.count("heartbeats_replayed_total");
         return;
     }
     const auto own = view.current().number().value();
-    if (beat.revision > own || !view.ready())
-        return newer(from, beat.revision);
-    if (beat.revision == own || now - answered[from] <= answer_gap)
+    if (received.revision > own || !view.ready())
+        return newer(from, received.revision);
+    if (received.revision == own ||
+        now - last_reply[from] <= min_reply_interval)
         return;
-    answered[from] = now;
-    beat_to(from);
+    last_reply[from] = now;
+    send_heartbeat(from);
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/heartbeat_gossip.hpp
+++ b/src/coursejunction/daemon/internal/heartbeat_gossip.hpp
@@ -24,22 +24,23 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Tells neighbours that this instance lives and which configuration
- * it has, and hears the same of them. */
+/*! @brief Exchanges heartbeats with the neighbours: each says that the sender
+ * is alive and which configuration revision it has. */
 class heartbeat_gossip
 {
 public:
-    /*! @brief Called when a neighbour has a newer configuration, or any while
-     * none is known here. */
+    /*! @brief Called when a neighbour has a newer configuration; while none is
+     * known here, for every heartbeat. */
     using newer_callback =
         std::function<void(const instance_id&, std::uint64_t revision)>;
 
-    /*! @brief Called when a neighbour tells of requests that crash upstreams.
-     */
+    /*! @brief Called when a neighbour sends records of requests that crash
+     * upstreams. */
     using crashes_callback =
         std::function<void(const std::vector<message::crash_record>&)>;
 
-    /*! @param started When this process started. */
+    /*! @param started Incarnation of this process: larger after each restart.
+     */
     heartbeat_gossip(const node_settings& set, const key_ring& keys,
                      member_table& all, const configuration_view& known,
                      metrics& counts, std::uint64_t started,
@@ -52,23 +53,23 @@
     /*! @brief Sends a heartbeat to each neighbour. */
     void send_heartbeats();
 
-    /*! @brief Sets who hears of requests that crash upstreams. */
+    /*! @brief Sets the callback for the neighbours' crash records. */
     void on_crashes(crashes_callback call) { crashes = std::move(call); }
 
-    /*! @brief Tells each neighbour of requests that crash upstreams. */
-    void send_crash_records(const message::crash_news& news);
+    /*! @brief Sends crash records to each neighbour. */
+    void send_crash_records(const message::crash_news& records);
 
-    /*! @brief Says from now on that this instance is leaving. */
+    /*! @brief Marks this instance as leaving in all later heartbeats. */
     void set_leaving() { leaving = true; }
 
-    /*! @brief Returns bytes received and sent. */
+    /*! @brief Returns the bytes received and sent. */
     [[nodiscard]] std::uint64_t total_bytes() const { return socket->bytes(); }
 
 private:
-    void beat_to(const instance_id& to);
-    void datagram(std::string_view bytes);
-    void heard(const message::heartbeat& beat);
-    void heard_crashes(std::string_view head);
+    void send_heartbeat(const instance_id& to);
+    void handle_datagram(std::string_view bytes);
+    void handle_heartbeat(const message::heartbeat& received);
+    void handle_crash_records(std::string_view head);
 
     const node_settings& settings;
     const key_ring& ring;
@@ -79,8 +80,9 @@
     newer_callback newer;
     crashes_callback crashes;
     std::unique_ptr<datagram_socket> socket;
-    std::map<instance_id, time_point> answered;
-    std::uint64_t beats{0};
+    std::map<instance_id, time_point>
+        last_reply; /*!< To neighbours that are behind. */
+    std::uint64_t last_sequence{0};
     bool leaving{false};
 };
 
--- a/src/coursejunction/daemon/internal/held_versions.cpp
+++ b/src/coursejunction/daemon/internal/held_versions.cpp
@@ -5,31 +5,31 @@
 
 void held_versions::add(const digest& version, const value_type& chunks)
 {
-    for (const auto& [name, other] : versions)
+    for (const auto& [id, other] : versions)
     {
-        if (name != version)
+        if (id != version)
             chunks->adopt(*other);
     }
     versions[version] = chunks;
 }
 
-void held_versions::release_unused(const digest& wanted)
+void held_versions::release_unused(const digest& target)
 {
-    std::erase_if(versions, [&](const auto& one)
-                  { return one.first != served && one.first != wanted; });
+    std::erase_if(versions, [&](const auto& entry)
+                  { return entry.first != served && entry.first != target; });
 }
 
 held_versions::value_type held_versions::find(const digest& version) const
 {
-    const auto known = versions.find(version);
-    return known == versions.end() ? nullptr : known->second;
+    const auto found = versions.find(version);
+    return found == versions.end() ? nullptr : found->second;
 }
 
 staging::value_type held_versions::find(const digest& version,
                                         chunk_index chunk) const
 {
-    const auto known = find(version);
-    return known ? known->find(chunk) : nullptr;
+    const auto found = find(version);
+    return found ? found->find(chunk) : nullptr;
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/held_versions.hpp
+++ b/src/coursejunction/daemon/internal/held_versions.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The versions whose chunks are held here, wholly or in part.
+ * @brief The versions whose chunks are held here, completely or in part.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_HELD_VERSIONS_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_HELD_VERSIONS_HPP
@@ -14,22 +14,23 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Keeps the wanted version, the served one, and one that was stopped
- * half-way until the next has taken over the chunks both have in common. */
+/*! @brief Holds the target version, the served version, and a version whose
+ * transfer was stopped, until the next one has adopted the chunks that both
+ * share. */
 class held_versions
 {
 public:
     using value_type = std::shared_ptr<staging>;
 
-    /*! @brief Says which version the engine serves. */
+    /*! @brief Sets the version that the engine serves. */
     void set_served(const digest& version) { served = version; }
 
-    /*! @brief Holds a version; chunks that others have in common with it are
-     * taken over. */
+    /*! @brief Adds a version, which adopts the chunks that it shares with those
+     * already held. */
     void add(const digest& version, const value_type& chunks);
 
-    /*! @brief Drops versions that are neither wanted nor served. */
-    void release_unused(const digest& wanted);
+    /*! @brief Drops the versions that are neither the target nor served. */
+    void release_unused(const digest& target);
 
     /*! @brief Returns a version, or null. */
     [[nodiscard]] value_type find(const digest& version) const;
--- a/src/coursejunction/daemon/internal/instance_list.cpp
+++ b/src/coursejunction/daemon/internal/instance_list.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-std::string text_of(const json& from, const char* name)
+std::string string_field(const json& from, const char* name)
 {
     const auto found = from.find(name);
     if (found == from.end() || !found->is_string())
@@ -21,7 +21,7 @@
     return found->get<std::string>();
 }
 
-std::vector<std::string> labels_of(const json& from)
+std::vector<std::string> parse_labels(const json& from)
 {
     std::vector<std::string> labels;
     if (!from.contains("labels") || !from["labels"].is_array())
@@ -38,19 +38,20 @@
 {
     if (!from.is_object())
         return std::nullopt;
-    member one;
-    one.id = instance_id(text_of(from, "id"));
-    one.hall = hall_id(text_of(from, "hall"));
-    one.region = region_id(text_of(from, "region"));
-    one.peer_address = text_of(from, "peer");
-    one.http_address = text_of(from, "http");
-    one.upstream_kind = text_of(from, "kind");
-    one.leaving = text_of(from, "state") == "leaving";
-    one.kind = text_of(from, "role") == "side" ? role::side : role::entry;
-    one.labels = labels_of(from);
-    if (one.id.empty() || one.peer_address.empty())
+    member parsed;
+    parsed.id = instance_id(string_field(from, "id"));
+    parsed.hall = hall_id(string_field(from, "hall"));
+    parsed.region = region_id(string_field(from, "region"));
+    parsed.peer_address = string_field(from, "peer");
+    parsed.http_address = string_field(from, "http");
+    parsed.upstream_kind = string_field(from, "kind");
+    parsed.leaving = string_field(from, "state") == "leaving";
+    parsed.kind =
+        string_field(from, "role") == "side" ? role::side : role::entry;
+    parsed.labels = parse_labels(from);
+    if (parsed.id.empty() || parsed.peer_address.empty())
         return std::nullopt;
-    return one;
+    return parsed;
 }
 
 } // namespace
@@ -60,14 +61,14 @@
     const auto list = json::parse(text, nullptr, false);
     if (!list.is_array())
         return std::nullopt;
-    std::vector<member> found;
-    for (const auto& one : list)
+    std::vector<member> members;
+    for (const auto& item : list)
     {
-        auto parsed = parse_member(one);
+        auto parsed = parse_member(item);
         if (parsed)
-            found.push_back(std::move(*parsed));
+            members.push_back(std::move(*parsed));
     }
-    return found;
+    return members;
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/instance_list.hpp
+++ b/src/coursejunction/daemon/internal/instance_list.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Reads the platform's list of instances; pure.
+ * @brief Parses the platform's list of instances; pure.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_INSTANCE_LIST_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_INSTANCE_LIST_HPP
@@ -13,9 +13,8 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Reads a list; entries that name no instance or address are left
- * out.
- * @return The members, or nothing when the text is no list. */
+/*! @brief Parses a list. Items without an id or a peer address are left out.
+ * @return The members, or nothing if the text is not a JSON array. */
 [[nodiscard]] std::optional<std::vector<member>>
 parse_instance_list(std::string_view text);
 
--- a/src/coursejunction/daemon/internal/live_request.cpp
+++ b/src/coursejunction/daemon/internal/live_request.cpp
@@ -7,23 +7,23 @@
 namespace coursejunction::internal
 {
 
-message::dispatch make_dispatch(const live_request& one, milliseconds left)
+message::dispatch make_dispatch(const live_request& request, milliseconds left)
 {
-    message::dispatch ask;
-    ask.stream = one.stream;
-    ask.attempt = one.attempt;
-    ask.request = one.id.value();
-    ask.organisation = one.organisation.value();
-    ask.model = one.route.model;
-    ask.path = one.path;
-    ask.priority = one.priority;
-    ask.deadline_ms =
+    message::dispatch command;
+    command.stream = request.stream;
+    command.attempt = request.attempt;
+    command.request = request.id.value();
+    command.organisation = request.organisation.value();
+    command.model = request.route.model;
+    command.path = request.path;
+    command.priority = request.priority;
+    command.deadline_ms =
         static_cast<std::uint32_t>(std::max<std::int64_t>(1, left.count()));
-    ask.not_repeatable = one.not_repeatable;
-    ask.seed = stable_hash(one.id.value());
-    ask.resume_from = one.events.data_events();
-    ask.weights = one.route.weights;
-    return ask;
+    command.not_repeatable = request.not_repeatable;
+    command.seed = stable_hash(request.id.value());
+    command.resume_from = request.events.data_events();
+    command.weights = request.route.weights;
+    return command;
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/live_request.hpp
+++ b/src/coursejunction/daemon/internal/live_request.hpp
@@ -18,18 +18,19 @@
 namespace coursejunction::internal
 {
 
-/*! @brief One request of a caller. */
+/*! @brief One request of a caller, with the state of its current attempt and of
+ * the response. */
 struct live_request : entry_request
 {
-    std::uint64_t stream{0};
-    std::uint32_t attempt{0};
-    bool stream_begun{false};
+    std::uint64_t stream{0};  /*!< Number of the request at this entry. */
+    std::uint32_t attempt{0}; /*!< Number of the current attempt; from 1. */
+    bool stream_begun{false}; /*!< The caller has got the response headers. */
     bool attempt_running{false};
-    bool may_have_run{false}; /*!< An attempt may have run. */
-    std::uint32_t received_parts{0};
-    event_framer events; /*!< Those of them that the caller was given. */
-    std::string buffered_body;
-    std::string unsent_events; /*!< Whole events for the next flush. */
+    bool may_have_run{false};        /*!< Some attempt may have run. */
+    std::uint32_t received_parts{0}; /*!< Of the current attempt. */
+    event_framer events;             /*!< Frames the response into events. */
+    std::string buffered_body;       /*!< Response that is not streamed. */
+    std::string unsent_events;       /*!< Complete events for the next flush. */
     time_point last_write_at{};
     instance_id upstream;
     request_content content;
@@ -41,19 +42,19 @@
 
 using live_request_pointer = std::shared_ptr<live_request>;
 
-/*! @brief How an attempt, or the whole request, ended without answer. */
+/*! @brief Why an attempt, or the whole request, got no response. */
 struct attempt_failure
 {
     outcome result{outcome::unknown};
     refusal refused{refusal::none};
-    int status{0};
+    int status{0}; /*!< HTTP status for the caller; 0 for the default. */
     std::string reason;
     milliseconds retry_after{0};
 };
 
-/*! @brief Makes the order that an attempt at an upstream begins with.
- * @param left Time to the deadline; what has passed counts as the least. */
-[[nodiscard]] message::dispatch make_dispatch(const live_request& one,
+/*! @brief Makes the message that starts an attempt at an upstream.
+ * @param left Time until the deadline; sent as at least 1 ms. */
+[[nodiscard]] message::dispatch make_dispatch(const live_request& request,
                                               milliseconds left);
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/live_upstreams.cpp
+++ b/src/coursejunction/daemon/internal/live_upstreams.cpp
@@ -28,22 +28,23 @@
     return scored_policy();
 }
 
-void live_upstreams::apply_report(const message::report& one, time_point now)
+void live_upstreams::apply_report(const message::report& report, time_point now)
 {
-    auto& state = table[instance_id(one.instance)];
-    state.hall = hall_id(one.hall);
-    state.region = region_id(one.region);
-    state.model = one.model;
-    state.kind = one.kind;
-    state.weights = one.serving;
-    state.slots = one.slots;
-    state.reported_requests = one.running;
+    auto& state = table[instance_id(report.instance)];
+    state.hall = hall_id(report.hall);
+    state.region = region_id(report.region);
+    state.model = report.model;
+    state.kind = report.kind;
+    state.weights = report.serving;
+    state.slots = report.slots;
+    state.reported_requests = report.running;
     state.own_at_report = state.own_requests;
-    state.open = one.phase != "unreachable" &&
-                 (one.kind == "plain" || !one.serving.empty());
-    state.leaving = one.leaving;
+    state.open = report.phase != "unreachable" &&
+                 (report.kind == "plain" || !report.serving.empty());
+    state.leaving = report.leaving;
     state.reported_at = now;
-    state.cached = {one.cached_prefixes.begin(), one.cached_prefixes.end()};
+    state.cached = {report.cached_prefixes.begin(),
+                    report.cached_prefixes.end()};
 }
 
 void live_upstreams::peer_lost(const instance_id& peer)
@@ -64,14 +65,14 @@
                                     time_point now)
 {
     if (why == refusal::busy)
-        note_full(at);
+        mark_full(at);
     else if (is_fault_of_upstream(why))
         table.record_failure(at, now);
 }
 
-/*! @brief The side had no room although it seemed so here: other entries
- * use it too. */
-void live_upstreams::note_full(const instance_id& upstream)
+/*! @brief Counts all slots as taken. The sidecar refused although slots seemed
+ * free here, because other entries use it too. */
+void live_upstreams::mark_full(const instance_id& upstream)
 {
     auto* state = table.find(upstream);
     if (state == nullptr)
@@ -84,9 +85,10 @@
                                                   time_point now)
 {
     return std::visit(
-        [&](auto& chosen) {
-            return table.choose(chosen, route, settings.hall, settings.region,
-                                now);
+        [&](auto& active_policy)
+        {
+            return table.choose(active_policy, route, settings.hall,
+                                settings.region, now);
         },
         policy);
 }
@@ -107,16 +109,16 @@
 nlohmann::json live_upstreams::dump() const
 {
     auto upstreams = nlohmann::json::array();
-    for (const auto& [id, one] : table.all())
+    for (const auto& [id, state] : table.all())
         upstreams.push_back({{"instance", id.value()},
-                             {"model", one.model},
-                             {"open", one.open},
-                             {"leaving", one.leaving},
-                             {"slots", one.slots},
-                             {"load", one.load()},
-                             {"own", one.own_requests},
-                             {"failures", one.failures},
-                             {"service_s", one.service_s}});
+                             {"model", state.model},
+                             {"open", state.open},
+                             {"leaving", state.leaving},
+                             {"slots", state.slots},
+                             {"load", state.load()},
+                             {"own", state.own_requests},
+                             {"failures", state.failures},
+                             {"service_s", state.service_s}});
     return upstreams;
 }
 
--- a/src/coursejunction/daemon/internal/live_upstreams.hpp
+++ b/src/coursejunction/daemon/internal/live_upstreams.hpp
@@ -18,51 +18,56 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Keeps what sides report, what this entry has running there, and
- * how attempts ended; chooses by the policy of the settings. */
+/*! @brief Tracks the sidecars' reports, the requests that this entry has
+ * running at each upstream, and the results of attempts; chooses an upstream by
+ * the routing policy of the settings. */
 class live_upstreams
 {
 public:
     explicit live_upstreams(const node_settings& set);
 
-    /*! @brief Takes a side's report. */
-    void apply_report(const message::report& one, time_point now);
+    /*! @brief Applies a sidecar's report. */
+    void apply_report(const message::report& report, time_point now);
 
-    /*! @brief Notes that a side's connection is gone. */
+    /*! @brief Closes an upstream whose sidecar's connection is lost; its next
+     * report may open it again. */
     void peer_lost(const instance_id& peer);
 
-    /*! @brief Counts a request that goes to an upstream. */
+    /*! @brief Counts a request sent to an upstream. */
     void begin_request(const instance_id& to) { ++table[to].own_requests; }
 
-    /*! @brief Counts a request that has left an upstream. */
+    /*! @brief Counts the end of a request at an upstream. */
     void end_request(const instance_id& from);
 
-    /*! @brief Notes that an attempt was answered. */
+    /*! @brief Records an attempt that was answered. */
     void record_success(const instance_id& at, std::chrono::microseconds took)
     {
         table.record_success(at, took);
     }
 
-    /*! @brief Notes that an attempt gave no answer. */
+    /*! @brief Records an attempt that failed. A full upstream is marked full;
+     * only a refusal that counts as its fault is a failure of the upstream. */
     void record_failure(const instance_id& at, refusal why, time_point now);
 
     /*! @brief Chooses an upstream that has room.
-     * @return The upstream, or nothing. */
+     * @return The upstream, or nothing if all are full or closed. */
     [[nodiscard]] std::optional<instance_id> choose(const route_request& route,
                                                     time_point now);
 
-    /*! @brief Tells whether anybody serves the model, with room or not. */
+    /*! @brief Returns whether any upstream serves the model, even if it is
+     * full.
+     */
     [[nodiscard]] bool is_served(const route_request& route,
                                  time_point now) const
     {
         return table.is_served(route, now);
     }
 
-    /*! @brief Tells whether a side has ever reported the model. */
+    /*! @brief Returns whether any sidecar has ever reported the model. */
     [[nodiscard]] bool has_reported_model(const std::string& model) const;
 
-    /*! @brief Returns the weights that an upstream serves; null when it is
-     * unknown. */
+    /*! @brief Returns the version that an upstream serves; null if the upstream
+     * is unknown. */
     [[nodiscard]] const std::string* served_version(const instance_id& of);
 
     /*! @brief Returns the state as JSON. */
@@ -73,7 +78,7 @@
         std::variant<scored_policy, least_loaded_policy, round_robin_policy>;
 
     [[nodiscard]] static any_policy make_policy(routing_policy which);
-    void note_full(const instance_id& upstream);
+    void mark_full(const instance_id& upstream);
 
     const node_settings& settings;
     upstream_table table;
--- a/src/coursejunction/daemon/internal/node_state.cpp
+++ b/src/coursejunction/daemon/internal/node_state.cpp
@@ -7,14 +7,14 @@
 
 nlohmann::json members_json(const member_table& members, time_point now)
 {
-    auto shown = nlohmann::json::array();
-    for (const auto& [id, one] : members.all())
-        shown.push_back({{"id", id.value()},
-                         {"hall", one.hall.value()},
-                         {"role", one.kind == role::entry ? "entry" : "side"},
-                         {"peer", one.peer_address},
-                         {"usable", members.usable(id, now)}});
-    return shown;
+    auto list = nlohmann::json::array();
+    for (const auto& [id, member] : members.all())
+        list.push_back({{"id", id.value()},
+                        {"hall", member.hall.value()},
+                        {"role", member.kind == role::entry ? "entry" : "side"},
+                        {"peer", member.peer_address},
+                        {"usable", members.usable(id, now)}});
+    return list;
 }
 
 nlohmann::json traffic_json(const hub_counters& counts,
--- a/src/coursejunction/daemon/internal/node_state.hpp
+++ b/src/coursejunction/daemon/internal/node_state.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Parts of the state that a node shows, as JSON; pure.
+ * @brief Parts of a node's state as JSON; pure.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_NODE_STATE_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_NODE_STATE_HPP
@@ -15,11 +15,11 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Shows the listed members and whether work may be sent to them. */
+/*! @brief Returns the listed members and whether each may be sent work. */
 [[nodiscard]] nlohmann::json members_json(const member_table& members,
                                           time_point now);
 
-/*! @brief Shows what was sent and received. */
+/*! @brief Returns the counts of what was sent and received. */
 [[nodiscard]] nlohmann::json traffic_json(const hub_counters& counts,
                                           std::uint64_t gossip_bytes,
                                           std::uint64_t key_value_calls);
--- a/src/coursejunction/daemon/internal/paced_downlink.cpp
+++ b/src/coursejunction/daemon/internal/paced_downlink.cpp
@@ -8,14 +8,15 @@
 namespace
 {
 
-/*! @brief What is due this soon arrives now: a timer is no finer. */
-constexpr std::chrono::microseconds take_ahead{2000};
+/*! @brief Chunks due within this time are delivered now, since timers are no
+ * finer. */
+constexpr std::chrono::microseconds timer_resolution{2000};
 
 } // namespace
 
 paced_downlink::paced_downlink(event_loop& owner, double rate,
-                               arrived_callback call)
-    : loop(owner), link(rate), arrived(std::move(call))
+                               deliver_callback call)
+    : loop(owner), link(rate), deliver(std::move(call))
 {
 }
 
@@ -24,23 +25,23 @@
 {
     const auto at =
         link.reserve(static_cast<double>(bytes.size()), event_loop::now());
-    coming.push_back({at, chunk, std::move(bytes), from});
-    take_due();
+    queued.push_back({at, chunk, std::move(bytes), from});
+    deliver_due();
 }
 
-void paced_downlink::take_due()
+void paced_downlink::deliver_due()
 {
-    while (!coming.empty() &&
-           coming.front().at <= event_loop::now() + take_ahead)
+    while (!queued.empty() &&
+           queued.front().at <= event_loop::now() + timer_resolution)
     {
-        auto one = std::move(coming.front());
-        coming.pop_front();
-        arrived(one.chunk, std::move(one.bytes), one.from);
+        auto next = std::move(queued.front());
+        queued.pop_front();
+        deliver(next.chunk, std::move(next.bytes), next.from);
     }
-    if (coming.empty())
+    if (queued.empty())
         return;
-    due = loop.after(coming.front().at - event_loop::now(),
-                     [this] { take_due(); });
+    due_timer = loop.after(queued.front().at - event_loop::now(),
+                           [this] { deliver_due(); });
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/paced_downlink.hpp
+++ b/src/coursejunction/daemon/internal/paced_downlink.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Lets chunks arrive as fast as the downlink may carry them.
+ * @brief Paces the chunks that come from peers to the downlink's rate.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_PACED_DOWNLINK_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_PACED_DOWNLINK_HPP
@@ -16,26 +16,28 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Holds chunks that came from peers until the paced downlink has
- * carried them. */
+/*! @brief Holds each received chunk until a downlink of the configured rate
+ * would have transferred it. */
 class paced_downlink
 {
 public:
-    /*! @brief Takes a chunk that has arrived, and who sent it. */
-    using arrived_callback =
+    /*! @brief Called with each chunk and its sender. */
+    using deliver_callback =
         std::function<void(chunk_index, std::string, const instance_id&)>;
 
-    /*! @param rate Bytes a second that the downlink carries. */
-    paced_downlink(event_loop& owner, double rate, arrived_callback call);
+    /*! @param rate Rate of the downlink in bytes per second. */
+    paced_downlink(event_loop& owner, double rate, deliver_callback call);
 
-    /*! @brief Lets a chunk arrive when the downlink has carried it. */
+    /*! @brief Queues a chunk; the callback runs when the downlink would have
+     * transferred it. */
     void enqueue(chunk_index chunk, std::string bytes, const instance_id& from);
 
-    /*! @brief Drops what has not arrived; the time it took stays taken. */
-    void clear() { coming.clear(); }
+    /*! @brief Drops the queued chunks; their time on the link stays reserved.
+     */
+    void clear() { queued.clear(); }
 
 private:
-    struct arrival
+    struct queued_chunk
     {
         time_point at;
         chunk_index chunk;
@@ -43,13 +45,13 @@
         instance_id from;
     };
 
-    void take_due();
+    void deliver_due();
 
     event_loop& loop;
     link_pacer link;
-    arrived_callback arrived;
-    std::deque<arrival> coming;
-    timer due;
+    deliver_callback deliver;
+    std::deque<queued_chunk> queued;
+    timer due_timer;
 };
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/replicated_claims.cpp
+++ b/src/coursejunction/daemon/internal/replicated_claims.cpp
@@ -12,103 +12,107 @@
 namespace
 {
 
-/*! @brief Entries that remember a claim. */
-constexpr std::size_t keepers_per_claim = 3;
+/*! @brief Entries that store a claim. */
+constexpr std::size_t voters_per_claim = 3;
 
-/*! @brief Claims that an entry remembers, some 200 bytes each. */
-constexpr std::size_t remembered_claims = 100'000;
+/*! @brief Claims that an entry stores; about 200 bytes each. */
+constexpr std::size_t max_stored_claims = 100'000;
 
-/*! @brief Time in which a keeper that lives answers, also from far away. */
-constexpr milliseconds keeper_patience{300};
+/*! @brief Time within which a live voter answers, also from another region. */
+constexpr milliseconds vote_timeout{300};
 
 } // namespace
 
 replicated_claims::replicated_claims(node& owner)
-    : host(owner), book(remembered_claims), numbers(stable_hash(random_id()))
+    : host(owner), registry(max_stored_claims),
+      last_number(stable_hash(random_id()))
 {
 }
 
 void replicated_claims::record(const request_id& request,
                                const std::string& claimant, done_callback done)
 {
-    ask(request, claimant, std::move(done));
+    start_vote(request, claimant, std::move(done));
 }
 
 void replicated_claims::query(const request_id& request, done_callback done)
 {
-    ask(request, {}, std::move(done));
+    start_vote(request, {}, std::move(done));
 }
 
-void replicated_claims::ask(const request_id& request,
-                            const std::string& claimant, done_callback done)
+void replicated_claims::start_vote(const request_id& request,
+                                   const std::string& claimant,
+                                   done_callback done)
 {
-    const message::claim_note note{++numbers, digest::of(request.value()),
-                                   claimant};
-    const auto keepers = keepers_of(note.request);
-    auto& one =
-        questions
-            .emplace(note.number,
-                     question{claim_quorum({keepers.begin(), keepers.end()}),
-                              std::move(done),
-                              {}})
+    const message::claim_note claim{++last_number, digest::of(request.value()),
+                                    claimant};
+    const auto voters = voters_of(claim.request);
+    auto& vote =
+        pending
+            .emplace(claim.number,
+                     pending_vote{claim_quorum({voters.begin(), voters.end()}),
+                                  std::move(done),
+                                  {}})
             .first->second;
-    for (const auto& keeper : keepers)
+    for (const auto& voter : voters)
     {
-        if (keeper == host.settings().instance)
-            one.tally.add_answer(keeper, taken(note));
-        else if (!host.send(keeper, note))
-            one.tally.drop_voter(keeper);
+        if (voter == host.settings().instance)
+            vote.quorum.add_answer(voter, is_taken(claim));
+        else if (!host.send(voter, claim))
+            vote.quorum.drop_voter(voter);
     }
-    one.patience =
-        host.loop().after(keeper_patience,
-                          [this, number = note.number]
+    vote.timeout =
+        host.loop().after(vote_timeout,
+                          [this, number = claim.number]
                           {
-                              questions.at(number).tally.stop_waiting();
-                              settle(number);
+                              pending.at(number).quorum.stop_waiting();
+                              finish_if_decided(number);
                           });
-    settle(note.number);
+    finish_if_decided(claim.number);
 }
 
-/*! @brief Keepers are drawn among all listed entries, so that processes that
- * differ in whom they hear from still ask the same. */
+/*! @brief Chooses among all listed entries, not only the reachable ones, so
+ * that processes with different views of the membership ask the same voters. */
 std::vector<instance_id>
-replicated_claims::keepers_of(const digest& request) const
+replicated_claims::voters_of(const digest& request) const
 {
     std::vector<instance_id> entries;
-    for (const auto& [id, one] : host.members().all())
+    for (const auto& [id, member] : host.members().all())
     {
-        if (one.kind == role::entry)
+        if (member.kind == role::entry)
             entries.push_back(id);
     }
-    return rendezvous_rank(request.hex(), entries, keepers_per_claim);
+    return rendezvous_rank(request.hex(), entries, voters_per_claim);
 }
 
-bool replicated_claims::taken(const message::claim_note& ask)
+bool replicated_claims::is_taken(const message::claim_note& claim)
 {
-    return ask.claimant.empty()
-               ? book.contains(ask.request, node::now())
-               : !book.try_claim(ask.request, ask.claimant, node::now());
+    return claim.claimant.empty()
+               ? registry.contains(claim.request, node::now())
+               : !registry.try_claim(claim.request, claim.claimant,
+                                     node::now());
 }
 
-bool replicated_claims::handle_frame(const instance_id& from, const frame& one)
+bool replicated_claims::handle_frame(const instance_id& from,
+                                     const frame& received)
 {
-    if (one.type == frame_type::claim_note)
+    if (received.type == frame_type::claim_note)
     {
-        const auto ask = decode<message::claim_note>(one.head);
-        if (ask)
-            host.send(from, message::claim_answer{ask.value().number,
-                                                  taken(ask.value())});
+        const auto claim = decode<message::claim_note>(received.head);
+        if (claim)
+            host.send(from, message::claim_answer{claim.value().number,
+                                                  is_taken(claim.value())});
         return true;
     }
-    if (one.type == frame_type::claim_answer)
+    if (received.type == frame_type::claim_answer)
     {
-        const auto answer = decode<message::claim_answer>(one.head);
+        const auto answer = decode<message::claim_answer>(received.head);
         const auto found =
-            answer ? questions.find(answer.value().number) : questions.end();
-        if (found == questions.end())
+            answer ? pending.find(answer.value().number) : pending.end();
+        if (found == pending.end())
             return true;
-        found->second.tally.add_answer(from, answer.value().taken);
-        settle(found->first);
+        found->second.quorum.add_answer(from, answer.value().taken);
+        finish_if_decided(found->first);
         return true;
     }
     return false;
@@ -116,27 +120,27 @@
 
 void replicated_claims::peer_lost(const instance_id& peer)
 {
-    std::vector<std::uint64_t> open;
-    for (auto& [number, one] : questions)
+    std::vector<std::uint64_t> numbers;
+    for (auto& [number, vote] : pending)
     {
-        one.tally.drop_voter(peer);
-        open.push_back(number);
+        vote.quorum.drop_voter(peer);
+        numbers.push_back(number);
     }
-    for (const auto number : open)
-        settle(number);
+    for (const auto number : numbers)
+        finish_if_decided(number);
 }
 
-/*! @brief Gives the word when it is settled. */
-void replicated_claims::settle(std::uint64_t number)
+/*! @brief Calls back when the voters have decided. */
+void replicated_claims::finish_if_decided(std::uint64_t number)
 {
-    const auto found = questions.find(number);
-    const auto word =
-        found == questions.end() ? std::nullopt : found->second.tally.verdict();
-    if (!word)
+    const auto found = pending.find(number);
+    const auto verdict =
+        found == pending.end() ? std::nullopt : found->second.quorum.verdict();
+    if (!verdict)
         return;
-    const auto ended = std::move(found->second);
-    questions.erase(found);
-    ended.done(*word);
+    const auto decided = std::move(found->second);
+    pending.erase(found);
+    decided.done(*verdict);
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/replicated_claims.hpp
+++ b/src/coursejunction/daemon/internal/replicated_claims.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The second memory of claims, beside the key-value service.
+ * @brief Replicas of claims at entries, beside the key-value service.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_REPLICATED_CLAIMS_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_REPLICATED_CLAIMS_HPP
@@ -25,9 +25,10 @@
 namespace internal
 {
 
-/*! @brief Keeps claims at three entries each, drawn by the request's id, and
- * asks them. The key-value service may come back from a copy that lacks a
- * claim; its keepers still know of it, and so outlast the side that ran it. */
+/*! @brief Stores each claim at three entries, its voters, which are chosen by
+ * the request's id, and queries them. The key-value service may be rolled back
+ * to a state that lacks a claim; the voters still have it, even after the
+ * sidecar that ran the request is gone. */
 class replicated_claims
 {
 public:
@@ -35,41 +36,45 @@
 
     explicit replicated_claims(node& owner);
 
-    /*! @brief Notes a claim with its keepers; again is the same.
-     * @param claimant The session that has it in the key-value service. */
+    /*! @brief Records a claim at its voters; idempotent for one claimant.
+     * @param claimant The session that holds the claim in the key-value
+     * service. */
     void record(const request_id& request, const std::string& claimant,
                 done_callback done);
 
-    /*! @brief Asks whether anybody has claimed a request. */
+    /*! @brief Asks the voters whether a request has been claimed. One that has
+     * the claim decides; otherwise two of three must answer. */
     void query(const request_id& request, done_callback done);
 
-    /*! @brief Takes a frame of claims.
-     * @return Whether it was one. */
-    bool handle_frame(const instance_id& from, const frame& one);
+    /*! @brief Handles a claim or query sent to this process as a voter, or a
+     * voter's answer.
+     * @return Whether the frame was one of these. */
+    bool handle_frame(const instance_id& from, const frame& received);
 
+    /*! @brief Stops waiting for a peer whose connection is lost. */
     void peer_lost(const instance_id& peer);
 
 private:
-    struct question
+    struct pending_vote
     {
-        claim_quorum tally;
+        claim_quorum quorum;
         done_callback done;
-        timer patience;
+        timer timeout;
     };
 
-    void ask(const request_id& request, const std::string& claimant,
-             done_callback done);
-    [[nodiscard]] bool taken(const message::claim_note& ask);
+    void start_vote(const request_id& request, const std::string& claimant,
+                    done_callback done);
+    [[nodiscard]] bool is_taken(const message::claim_note& claim);
     [[nodiscard]] std::vector<instance_id>
-    keepers_of(const digest& request) const;
-    void settle(std::uint64_t number);
+    voters_of(const digest& request) const;
+    void finish_if_decided(std::uint64_t number);
 
     node& host;
-    claim_registry book;
-    std::map<std::uint64_t, question> questions;
-    /*! @brief Begins anywhere: an answer may come to another process of the
-     * same instance. */
-    std::uint64_t numbers;
+    claim_registry registry;
+    std::map<std::uint64_t, pending_vote> pending;
+    /*! @brief Starts at a random number: a late vote may reach a restarted
+     * process of the same instance. */
+    std::uint64_t last_number;
 };
 
 } // namespace internal
--- a/src/coursejunction/daemon/internal/report_publisher.cpp
+++ b/src/coursejunction/daemon/internal/report_publisher.cpp
@@ -8,10 +8,11 @@
 namespace
 {
 
-/*! @brief Regular reports after which one is sent though nothing changed. */
-constexpr int slow_reports = 4;
+/*! @brief Report intervals after which the load is sent although it has not
+ * changed. */
+constexpr int keep_alive_intervals = 4;
 
-message::load_report load_of(const message::report& state)
+message::load_report make_load_report(const message::report& state)
 {
     message::load_report load;
     load.running = state.running;
@@ -34,29 +35,31 @@
 
 void report_publisher::send_report(const message::report& state)
 {
-    told_cached = state.cached_prefixes;
-    told_running = state.running;
-    told_reason = state.reason;
-    for (auto& [id, one] : subscribers)
+    sent_prefixes = state.cached_prefixes;
+    sent_running = state.running;
+    sent_reason = state.reason;
+    for (auto& [id, subscriber] : subscribers)
     {
-        one.told = node::now();
+        subscriber.last_sent = node::now();
         host.send(id, state);
     }
 }
 
 void report_publisher::send_load(const message::report& state)
 {
-    if (state.cached_prefixes != told_cached || state.reason != told_reason)
+    if (state.cached_prefixes != sent_prefixes || state.reason != sent_reason)
         return send_report(state);
-    const auto load = load_of(state);
-    const bool moved = load.running != told_running;
-    const auto slowly = host.settings().report_interval * slow_reports;
-    told_running = load.running;
-    for (auto& [id, one] : subscribers)
+    const auto load = make_load_report(state);
+    const bool load_changed = load.running != sent_running;
+    const auto keep_alive_period =
+        host.settings().report_interval * keep_alive_intervals;
+    sent_running = load.running;
+    for (auto& [id, subscriber] : subscribers)
     {
-        if (node::now() - one.told < slowly && !(moved && one.routing))
+        if (node::now() - subscriber.last_sent < keep_alive_period &&
+            !(load_changed && subscriber.routing))
             continue;
-        one.told = node::now();
+        subscriber.last_sent = node::now();
         host.send(id, load);
     }
 }
--- a/src/coursejunction/daemon/internal/report_publisher.hpp
+++ b/src/coursejunction/daemon/internal/report_publisher.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Reports of a side to those who subscribed to them.
+ * @brief Sends a sidecar's reports to their subscribers.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_REPORT_PUBLISHER_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_REPORT_PUBLISHER_HPP
@@ -21,26 +21,28 @@
 namespace internal
 {
 
-/*! @brief Tells subscribers the whole state when it matters, and else only
- * the load, or that this side is alive. */
+/*! @brief Sends subscribers the full state when it changes, and otherwise only
+ * the load or a sign that this sidecar is alive. */
 class report_publisher
 {
 public:
     explicit report_publisher(node& owner) : host(owner) {}
 
-    /*! @brief Takes a subscriber and tells it the whole state.
-     * @param routing Whether it routes requests here. */
+    /*! @brief Adds a subscriber and sends it the full state.
+     * @param routing Whether the subscriber routes requests here. */
     void subscribe(const instance_id& from, bool routing,
                    const message::report& state);
 
-    /*! @brief Forgets a subscriber whose connection is gone. */
+    /*! @brief Removes a subscriber whose connection is lost. */
     void peer_lost(const instance_id& peer) { subscribers.erase(peer); }
 
-    /*! @brief Tells everybody the whole state. */
+    /*! @brief Sends all subscribers the full state. */
     void send_report(const message::report& state);
 
-    /*! @brief Tells what has changed since: the load to those that route
-     * here, and to everybody slowly that this side is alive. */
+    /*! @brief Called regularly. Sends the full state if the cached prefixes or
+     * the reason have changed; otherwise the load, at once to those that route
+     * here if it has changed, and to all others at longer
+     * intervals. */
     void send_load(const message::report& state);
 
     /*! @brief Returns the number of subscribers. */
@@ -50,14 +52,14 @@
     struct subscription
     {
         bool routing{false};
-        time_point told{};
+        time_point last_sent{};
     };
 
     node& host;
     std::map<instance_id, subscription> subscribers;
-    std::vector<std::uint64_t> told_cached;
-    std::uint32_t told_running{0};
-    std::string told_reason;
+    std::vector<std::uint64_t> sent_prefixes;
+    std::uint32_t sent_running{0};
+    std::string sent_reason;
 };
 
 } // namespace internal
--- a/src/coursejunction/daemon/internal/response_writer.cpp
+++ b/src/coursejunction/daemon/internal/response_writer.cpp
@@ -14,142 +14,147 @@
 
 using nlohmann::json;
 
-/*! @brief Events that come closer together are given to the caller at once;
- * a reader notices no such delay. */
+/*! @brief Events that arrive closer together are written to the caller at once;
+ * a reader does not notice a delay this short. */
 constexpr milliseconds flush_interval{10};
 
-/*! @brief Gives the events of a request that were held back. */
-void flush_held(live_request& one)
+/*! @brief Writes the events of a request that wait for a flush. */
+void flush_events(live_request& request)
 {
-    if (one.unsent_events.empty())
+    if (request.unsent_events.empty())
         return;
-    one.reply->write(one.unsent_events);
-    one.unsent_events.clear();
-    one.last_write_at = node::now();
+    request.reply->write(request.unsent_events);
+    request.unsent_events.clear();
+    request.last_write_at = node::now();
 }
 
-void write_outcome(live_request& one, const std::string& name)
+void write_outcome(live_request& request, const std::string& name)
 {
-    flush_held(one);
-    one.reply->write("event: outcome\ndata: " + name + "\n\n");
+    flush_events(request);
+    request.reply->write("event: outcome\ndata: " + name + "\n\n");
 }
 
 void add_retry_after(header_map& headers, milliseconds wait)
 {
-    constexpr std::int64_t second = 1000;
+    constexpr std::int64_t ms_per_second = 1000;
     headers["Retry-After"] =
-        std::to_string((wait.count() + second - 1) / second);
+        std::to_string((wait.count() + ms_per_second - 1) / ms_per_second);
     headers["Retry-After-Ms"] = std::to_string(wait.count());
 }
 
 } // namespace
 
-response_writer::response_writer(node& owner, replicated_claims& kept)
-    : host(owner), notes(kept),
+response_writer::response_writer(node& owner, replicated_claims& replicas)
+    : host(owner), claims(replicas),
       flush_timer(owner.loop().every(flush_interval, [this] { flush(); }))
 {
 }
 
-void response_writer::begin_stream(live_request& one)
+void response_writer::begin_stream(live_request& request)
 {
-    one.stream_begun = true;
-    one.reply->begin(200, "text/event-stream",
-                     {{"Request-Id", one.id.value()}});
+    request.stream_begun = true;
+    request.reply->begin(200, "text/event-stream",
+                         {{"Request-Id", request.id.value()}});
     host.counters().observe("time_to_first_token_seconds",
-                            to_seconds(node::now() - one.arrived_at));
+                            to_seconds(node::now() - request.arrived_at));
 }
 
-void response_writer::write_events(const live_request_pointer& one,
+void response_writer::write_events(const live_request_pointer& request,
                                    const std::string& events)
 {
-    const bool soon = node::now() - one->last_write_at < flush_interval;
-    if (!soon && one->unsent_events.empty())
+    const bool recently_written =
+        node::now() - request->last_write_at < flush_interval;
+    if (!recently_written && request->unsent_events.empty())
     {
-        one->last_write_at = node::now();
-        return one->reply->write(events);
+        request->last_write_at = node::now();
+        return request->reply->write(events);
     }
-    if (one->unsent_events.empty())
-        to_flush.push_back(one);
-    one->unsent_events += events;
+    if (request->unsent_events.empty())
+        unflushed.push_back(request);
+    request->unsent_events += events;
 }
 
-/*! @brief Gives all events that were held back. */
+/*! @brief Writes all events that wait for a flush. */
 void response_writer::flush()
 {
-    for (const auto& one : to_flush)
-        flush_held(*one);
-    to_flush.clear();
+    for (const auto& request : unflushed)
+        flush_events(*request);
+    unflushed.clear();
 }
 
-void response_writer::finish_answered(live_request& one,
+void response_writer::finish_answered(live_request& request,
                                       const message::answer_end& head)
 {
     host.counters().count("answers_total", 1, {{"outcome", "answered"}});
-    if (one.stream_begun)
+    if (request.stream_begun)
     {
-        write_outcome(one, "answered");
-        return one.reply->finish();
+        write_outcome(request, "answered");
+        return request.reply->finish();
     }
-    header_map headers{{"Outcome", "answered"}, {"Request-Id", one.id.value()}};
+    header_map headers{{"Outcome", "answered"},
+                       {"Request-Id", request.id.value()}};
     if (!head.weights.empty())
         headers["Weights"] = head.weights;
-    one.reply->send(head.status, head.content_type, headers, one.buffered_body);
+    request.reply->send(head.status, head.content_type, headers,
+                        request.buffered_body);
 }
 
-void response_writer::finish_failed(const live_request_pointer& one,
-                                    attempt_failure end)
+void response_writer::finish_failed(const live_request_pointer& request,
+                                    attempt_failure failure)
 {
-    if (one->may_have_run || one->stream_begun)
-        end.result = outcome::unknown;
-    if (end.result != outcome::not_run || !one->not_repeatable)
-        return answer(*one, end);
+    if (request->may_have_run || request->stream_begun)
+        failure.result = outcome::unknown;
+    if (failure.result != outcome::not_run || !request->not_repeatable)
+        return write_failure(*request, failure);
     host.key_values().read(
-        claim_key(one->id),
-        [this, one, end](const result<stored_value>& got) mutable
+        claim_key(request->id),
+        [this, request, failure](const result<stored_value>& claim) mutable
         {
-            if (got && got.value().index == 0)
-                return unclaimed(one, end);
-            end.result = outcome::unknown;
-            answer(*one, end);
+            if (claim && claim.value().index == 0)
+                return check_replicas(request, failure);
+            failure.result = outcome::unknown;
+            write_failure(*request, failure);
         });
 }
 
-/*! @brief The key-value service has no claim: it may have lost one. */
-void response_writer::unclaimed(const live_request_pointer& one,
-                                attempt_failure end)
+/*! @brief Asks the voters for a claim: the key-value service has none, but may
+ * have lost it. */
+void response_writer::check_replicas(const live_request_pointer& request,
+                                     attempt_failure failure)
 {
-    notes.query(one->id,
-                [this, one, end](claim_verdict word) mutable
-                {
-                    if (word != claim_verdict::free)
-                        end.result = outcome::unknown;
-                    answer(*one, end);
-                });
+    claims.query(request->id,
+                 [this, request, failure](claim_verdict verdict) mutable
+                 {
+                     if (verdict != claim_verdict::free)
+                         failure.result = outcome::unknown;
+                     write_failure(*request, failure);
+                 });
 }
 
-/*! @brief Sends a final answer that is no answer of an upstream; a stream
- * that has begun is cut so that nobody takes it for whole. */
-void response_writer::answer(live_request& one, const attempt_failure& end)
+/*! @brief Writes the outcome of a request that no upstream answered. A stream
+ * that has begun is aborted, so that no caller takes it for complete. */
+void response_writer::write_failure(live_request& request,
+                                    const attempt_failure& failure)
 {
-    const auto name = std::string(to_string(end.result));
+    const auto name = std::string(to_string(failure.result));
     host.counters().count("answers_total", 1, {{"outcome", name}});
-    if (one.stream_begun)
+    if (request.stream_begun)
     {
-        write_outcome(one, name);
-        return one.reply->cut();
+        write_outcome(request, name);
+        return request.reply->cut();
     }
-    header_map headers{{"Outcome", name}, {"Request-Id", one.id.value()}};
-    if (end.retry_after.count() > 0)
-        add_retry_after(headers, end.retry_after);
-    const json body{{"outcome", name}, {"error", end.reason}};
-    one.reply->send(end.status == 0 ? 502 : end.status, "application/json",
-                    headers, body.dump());
+    header_map headers{{"Outcome", name}, {"Request-Id", request.id.value()}};
+    if (failure.retry_after.count() > 0)
+        add_retry_after(headers, failure.retry_after);
+    const json body{{"outcome", name}, {"error", failure.reason}};
+    request.reply->send(failure.status == 0 ? 502 : failure.status,
+                        "application/json", headers, body.dump());
 }
 
 void response_writer::reject_input(const std::shared_ptr<http_reply>& reply,
-                                   const std::string& fault)
+                                   const std::string& error)
 {
-    const json body{{"outcome", "not_run"}, {"error", fault}};
+    const json body{{"outcome", "not_run"}, {"error", error}};
     reply->send(400, "application/json", {{"Outcome", "not_run"}}, body.dump());
 }
 
--- a/src/coursejunction/daemon/internal/response_writer.hpp
+++ b/src/coursejunction/daemon/internal/response_writer.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What callers are answered.
+ * @brief Writes responses to callers.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_RESPONSE_WRITER_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_RESPONSE_WRITER_HPP
@@ -22,43 +22,46 @@
 namespace internal
 {
 
-/*! @brief Gives callers their answers, whole or event by event, and the final
- * word on requests that got none. */
+/*! @brief Writes responses to callers, whole or event by event, and the final
+ * outcome of requests that failed. */
 class response_writer
 {
 public:
-    /*! @param kept Claims that the key-value service may have lost; it must
-     * outlive the answers. */
-    response_writer(node& owner, replicated_claims& kept);
+    /*! @param replicas Claims that the key-value service may have lost; must
+     * outlive the writer. */
+    response_writer(node& owner, replicated_claims& replicas);
 
-    /*! @brief Begins a stream of events. */
-    void begin_stream(live_request& one);
+    /*! @brief Starts a stream of events. */
+    void begin_stream(live_request& request);
 
-    /*! @brief Gives events to the caller: at once, unless the last ones were
-     * given so shortly before that the next flush does for both. */
-    void write_events(const live_request_pointer& one,
+    /*! @brief Writes events to the caller: at once, or with the next flush if
+     * the last write was less than a flush interval ago. */
+    void write_events(const live_request_pointer& request,
                       const std::string& events);
 
-    /*! @brief Ends a request that an upstream has answered. */
-    void finish_answered(live_request& one, const message::answer_end& head);
+    /*! @brief Finishes a request that an upstream answered completely. */
+    void finish_answered(live_request& request,
+                         const message::answer_end& head);
 
-    /*! @brief Gives the final answer at once. "Not run" is said only when no
-     * attempt may have run; for a request that may run only once, when nobody
-     * else has claimed its id either. */
-    void finish_failed(const live_request_pointer& one, attempt_failure end);
+    /*! @brief Finishes a request that no upstream answered. The outcome is
+     * "not run" only if no attempt may have run and, for a request that must
+     * not run twice, if no other sidecar has claimed its id. */
+    void finish_failed(const live_request_pointer& request,
+                       attempt_failure failure);
 
-    /*! @brief Refuses what is no request. */
+    /*! @brief Responds to an invalid request with status 400. */
     static void reject_input(const std::shared_ptr<http_reply>& reply,
-                             const std::string& fault);
+                             const std::string& error);
 
 private:
-    void unclaimed(const live_request_pointer& one, attempt_failure end);
-    void answer(live_request& one, const attempt_failure& end);
+    void check_replicas(const live_request_pointer& request,
+                        attempt_failure failure);
+    void write_failure(live_request& request, const attempt_failure& failure);
     void flush();
 
     node& host;
-    replicated_claims& notes;
-    std::vector<live_request_pointer> to_flush;
+    replicated_claims& claims;
+    std::vector<live_request_pointer> unflushed;
     timer flush_timer;
 };
 
--- a/src/coursejunction/daemon/internal/retry_policy.cpp
+++ b/src/coursejunction/daemon/internal/retry_policy.cpp
@@ -3,17 +3,19 @@
 namespace coursejunction::internal
 {
 
-bool retry_policy::allows(const live_request& one, const attempt_failure& end,
-                          milliseconds left)
+bool retry_policy::allows(const live_request& request,
+                          const attempt_failure& failure, milliseconds left)
 {
-    // A begun stream goes on only with the same weights and sampling.
-    if (one.stream_begun && (one.route.weights.empty() || one.not_repeatable))
+    // A begun stream can be resumed only with the same weights and sampling;
+    // the request then runs twice.
+    if (request.stream_begun &&
+        (request.route.weights.empty() || request.not_repeatable))
         return false;
-    if (one.attempt >= max_attempts || left.count() <= 0)
+    if (request.attempt >= max_attempts || left.count() <= 0)
         return false;
-    if (end.result == outcome::unknown && one.not_repeatable)
+    if (failure.result == outcome::unknown && request.not_repeatable)
         return false;
-    switch (end.refused)
+    switch (failure.refused)
     {
     case refusal::busy:
     case refusal::closed:
--- a/src/coursejunction/daemon/internal/retry_policy.hpp
+++ b/src/coursejunction/daemon/internal/retry_policy.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Whether a request is tried at another upstream.
+ * @brief Decides whether a failed attempt is followed by one at another
+ * upstream.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_RETRY_POLICY_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_RETRY_POLICY_HPP
@@ -11,35 +12,37 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Tells whether a refusal speaks against the upstream that gave it. */
+/*! @brief Returns whether a refusal counts as a failure of the upstream. */
 [[nodiscard]] constexpr bool is_fault_of_upstream(refusal why)
 {
     return why != refusal::claim && why != refusal::cancelled &&
            why != refusal::duplicate;
 }
 
-/*! @brief Decides on retries and keeps them a portion of the requests;
- * pure. */
+/*! @brief Decides on further attempts, and limits those after failures to a
+ * fraction of the requests; pure. */
 class retry_policy
 {
 public:
-    /*! @brief Attempts that a request gets. */
+    /*! @brief Maximum number of attempts of a request. */
     static constexpr unsigned max_attempts = 4;
 
-    /*! @brief A request came. */
+    /*! @brief Records the arrival of a request, which adds to the budget. */
     void record_request() { budget.record_request(); }
 
-    /*! @brief Decides on another attempt. Being refused by a gate or a full
-     * side costs nobody work, so it spends none of the budget.
-     * @param left Time to the deadline. */
-    [[nodiscard]] bool allows(const live_request& one,
-                              const attempt_failure& end, milliseconds left);
+    /*! @brief Returns whether another attempt is allowed. A refusal by a
+     * closed, leaving or full sidecar costs no upstream any work, so the
+     * attempt after it is free; those after failures spend from the budget.
+     * @param left Time until the deadline. */
+    [[nodiscard]] bool allows(const live_request& request,
+                              const attempt_failure& failure,
+                              milliseconds left);
 
 private:
-    static constexpr double retry_portion = 0.1; /*!< Of the requests. */
-    static constexpr double retry_depth = 20;    /*!< Retries saved at most. */
+    static constexpr double retry_ratio = 0.1; /*!< Attempts per request. */
+    static constexpr double max_budget = 20;   /*!< Largest budget. */
 
-    retry_budget budget{retry_portion, retry_depth};
+    retry_budget budget{retry_ratio, max_budget};
 };
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/service_times.hpp
+++ b/src/coursejunction/daemon/internal/service_times.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief How long requests take at the upstreams.
+ * @brief Estimates how long requests take at the upstreams.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_SERVICE_TIMES_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_SERVICE_TIMES_HPP
@@ -13,37 +13,38 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Smoothed time of a request and its mean deviation (as RFC 6298
- * does for round trips), for each kind of request; pure.
- * @tparam Key What requests of one kind have in common. */
+/*! @brief Smoothed service time and mean deviation for each kind of request, as
+ * RFC 6298 computes them for round-trip times; pure.
+ * @tparam Key Identifies a kind of request. */
 template <typename Key>
 class service_times
 {
 public:
-    /*! @brief Takes the time that a request took. */
+    /*! @brief Adds the service time of a finished request. */
     void add_sample(const Key& key, double seconds)
     {
         constexpr double smoothing = 0.1;
-        auto& known = estimates[key];
-        if (known.mean == 0)
-            known.mean = seconds;
-        const auto off = seconds - known.mean;
-        known.mean += off * smoothing;
-        known.deviation += (std::abs(off) - known.deviation) * smoothing;
+        auto& current = estimates[key];
+        if (current.mean == 0)
+            current.mean = seconds;
+        const auto error = seconds - current.mean;
+        current.mean += error * smoothing;
+        current.deviation += (std::abs(error) - current.deviation) * smoothing;
     }
 
-    /*! @brief Returns the time that a request should be given. */
+    /*! @brief Returns the time to allow for a request; zero before the first
+     * sample. */
     [[nodiscard]] std::chrono::microseconds operator[](const Key& key) const
     {
         const auto found = estimates.find(key);
         if (found == estimates.end())
             return std::chrono::microseconds(0);
-        const auto& known = found->second;
-        return from_seconds(known.mean + deviations * known.deviation);
+        const auto& current = found->second;
+        return from_seconds(current.mean + deviations * current.deviation);
     }
 
 private:
-    /*! @brief Mean deviations above the mean; most requests take less. */
+    /*! @brief Mean deviations added to the mean; most requests take less. */
     static constexpr double deviations = 2;
 
     struct estimate
--- a/src/coursejunction/daemon/internal/token_record.hpp
+++ b/src/coursejunction/daemon/internal/token_record.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What the key-value service holds of a fencing token; pure.
+ * @brief The stored form of a fencing token in the key-value service; pure.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_TOKEN_RECORD_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_TOKEN_RECORD_HPP
@@ -12,20 +12,20 @@
 namespace coursejunction::internal
 {
 
-/*! @brief A token and the process that took it. */
+/*! @brief A token and the process that acquired it. */
 struct token_record
 {
     fencing_token token;
     std::string owner;
 };
 
-/*! @brief Writes a record. */
-[[nodiscard]] inline std::string format_token(const token_record& from)
+/*! @brief Formats a record as `<token> <owner>`. */
+[[nodiscard]] inline std::string format_token(const token_record& record)
 {
-    return std::to_string(from.token.value()) + " " + from.owner;
+    return std::to_string(record.token.value()) + " " + record.owner;
 }
 
-/*! @brief Reads a record; it is empty when the text is none. */
+/*! @brief Parses a record; its token is empty if the text is not valid. */
 [[nodiscard]] inline token_record parse_token(const std::string& text)
 {
     constexpr int decimal = 10;
--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -13,11 +13,12 @@
 namespace
 {
 
-/*! @brief Time between two requests for a manifest. */
+/*! @brief Interval between two requests for a manifest. */
 constexpr milliseconds manifest_interval{100};
 
-/*! @brief Requests for a manifest to one rank before the next stands in. */
-constexpr unsigned manifest_attempts_each = 5;
+/*! @brief Manifest requests sent to the peer of one rank before the request
+ * goes to the peer of the next rank. */
+constexpr unsigned manifest_attempts_per_rank = 5;
 
 } // namespace
 
@@ -28,7 +29,7 @@
       downlink(
           owner.loop(), owner.settings().download_rate,
           [this](chunk_index chunk, std::string bytes, const instance_id& from)
-          { arrive(chunk, std::move(bytes), from); }),
+          { accept_chunk(chunk, std::move(bytes), from); }),
       origin(owner.http(), owner.settings()), stager(engine, std::move(staged)),
       announcer([this](const instance_id& to, std::vector<chunk_index> chunks)
                 { send_have(to, std::move(chunks)); })
@@ -40,21 +41,21 @@
     return host.settings();
 }
 
-void version_fetch::set_target(const digest& version, weighting weigh)
+void version_fetch::set_target(const digest& version, weighting preference)
 {
     if (target && target->version == version)
     {
-        target->weigh = weigh;
+        target->preference = preference;
         return;
     }
     clear_target();
     origin.reset();
     target.emplace();
     target->version = version;
-    target->weigh = weigh;
-    target->began = now();
-    if (auto known = held.find(version))
-        begin(std::move(known));
+    target->preference = preference;
+    target->started_at = now();
+    if (auto chunks = held.find(version))
+        start_transfer(std::move(chunks));
 }
 
 void version_fetch::clear_target()
@@ -86,35 +87,35 @@
 
 void version_fetch::set_participants(std::vector<participant> all)
 {
-    if (all == everybody)
+    if (all == participants)
         return;
-    everybody = std::move(all);
-    assign();
+    participants = std::move(all);
+    assign_participants();
 }
 
-void version_fetch::begin(std::shared_ptr<staging> chunks)
+void version_fetch::start_transfer(std::shared_ptr<staging> chunks)
 {
-    auto& fetching = *target;
-    fetching.chunks = std::move(chunks);
-    fetching.planner.emplace(
-        make_planner(fetching.chunks->of(), settings(), fetching.weigh, now()));
-    held.add(fetching.version, fetching.chunks);
+    auto& current = *target;
+    current.chunks = std::move(chunks);
+    current.planner.emplace(make_planner(current.chunks->of(), settings(),
+                                         current.preference, now()));
+    held.add(current.version, current.chunks);
     release_unused();
-    assign();
-    for (const auto at : fetching.chunks->held())
+    assign_participants();
+    for (const auto at : current.chunks->held())
         with_planner([&](auto& planner) { planner.held(at, now()); });
-    stager.start(fetching.version, fetching.chunks);
-    announcer.send_all_held(*fetching.chunks);
+    stager.start(current.version, current.chunks);
+    announcer.send_all_held(*current.chunks);
     log::state("transfer_started",
-               {{"version", fetching.version.hex()},
-                {"chunks", std::to_string(fetching.chunks->of().size())},
-                {"held", std::to_string(fetching.chunks->size())}});
+               {{"version", current.version.hex()},
+                {"chunks", std::to_string(current.chunks->of().size())},
+                {"held", std::to_string(current.chunks->size())}});
 }
 
-void version_fetch::assign()
+void version_fetch::assign_participants()
 {
     with_planner([&](auto& planner)
-                 { planner.participants(everybody, now()); });
+                 { planner.participants(participants, now()); });
     if (!target || !target->planner)
         return;
     choose_neighbours();
@@ -123,16 +124,16 @@
 void version_fetch::choose_neighbours()
 {
     const auto chosen =
-        chosen_neighbours(target->version, everybody, settings().instance,
+        chosen_neighbours(target->version, participants, settings().instance,
                           settings().hall, settings().transfer_neighbours);
-    std::set<instance_id> all(chosen.begin(), chosen.end());
+    std::set<instance_id> neighbours(chosen.begin(), chosen.end());
     with_planner(
         [&](auto& planner)
         {
             for (const auto& id : planner.watched())
-                all.insert(id);
+                neighbours.insert(id);
         });
-    announcer.set_neighbours(std::move(all));
+    announcer.set_neighbours(std::move(neighbours));
 }
 
 void version_fetch::send_have(const instance_id& to,
@@ -145,38 +146,38 @@
     host.send(to, have);
 }
 
-void version_fetch::ask_manifest()
+void version_fetch::request_manifest()
 {
-    auto& fetching = *target;
-    if (now() < fetching.manifest_after || everybody.empty())
+    auto& current = *target;
+    if (now() < current.next_manifest_request || participants.empty())
         return;
-    fetching.manifest_after = now() + manifest_interval;
+    current.next_manifest_request = now() + manifest_interval;
     const auto source = manifest_source(
-        fetching.version, everybody, settings().instance, settings().hall,
-        fetching.manifest_attempts / manifest_attempts_each);
-    ++fetching.manifest_attempts;
+        current.version, participants, settings().instance, settings().hall,
+        current.manifest_attempts / manifest_attempts_per_rank);
+    ++current.manifest_attempts;
     if (!source)
-        return ask_origin_manifest();
+        return request_origin_manifest();
     message::manifest_request request;
-    request.manifest = fetching.version;
+    request.manifest = current.version;
     host.send(*source, request);
 }
 
-void version_fetch::ask_origin_manifest()
+void version_fetch::request_origin_manifest()
 {
     origin.fetch_manifest(target->version,
-                          [this](weight_source, const http_result& end)
+                          [this](weight_source, const http_result& response)
                           {
-                              counts.origin_bytes += end.body.size();
-                              if (end.ok())
-                                  return take_manifest(end.body);
+                              counts.origin_bytes += response.body.size();
+                              if (response.ok())
+                                  return accept_manifest(response.body);
                               target->reason =
                                   "origin does not give the manifest: " +
-                                  fault_text(end);
+                                  failure_text(response);
                           });
 }
 
-void version_fetch::take_manifest(const std::string& text)
+void version_fetch::accept_manifest(const std::string& text)
 {
     if (!target || target->chunks)
         return;
@@ -187,58 +188,61 @@
         target->reason = parsed.error().message;
         return;
     }
-    const auto total = parsed.value().total_bytes();
-    if (static_cast<double>(total) > settings().staged_limit)
+    const auto total_bytes = parsed.value().total_bytes();
+    if (static_cast<double>(total_bytes) > settings().staged_limit)
     {
-        target->reason = "the version has " + std::to_string(total) +
+        target->reason = "the version has " + std::to_string(total_bytes) +
                          " bytes, more than staged_limit";
         return;
     }
     target->reason.clear();
-    begin(std::make_shared<staging>(std::move(parsed.value())));
+    start_transfer(std::make_shared<staging>(std::move(parsed.value())));
 }
 
-void version_fetch::ask_chunks()
+void version_fetch::request_chunks()
 {
     std::vector<transfer_request> requests;
     with_planner([&](auto& planner) { requests = planner.next(now()); });
-    for (const auto& one : requests)
+    for (const auto& wanted : requests)
     {
-        if (one.how == transfer_request::kind::origin)
-            ask_origin(one.chunk);
+        if (wanted.how == transfer_request::kind::origin)
+            request_from_origin(wanted.chunk);
         else
-            ask_peer(one);
+            request_from_peer(wanted);
     }
 }
 
-void version_fetch::ask_peer(const transfer_request& one)
+void version_fetch::request_from_peer(const transfer_request& wanted)
 {
     message::chunk_request request;
     request.manifest = target->version;
-    request.chunk = one.chunk;
-    request.wait = one.how == transfer_request::kind::waiting;
-    if (!host.send(one.peer, request))
-        with_planner([&](auto& planner)
-                     { planner.refused(one.chunk, one.peer, true, 0, now()); });
+    request.chunk = wanted.chunk;
+    request.wait = wanted.how == transfer_request::kind::waiting;
+    if (!host.send(wanted.peer, request))
+        with_planner(
+            [&](auto& planner)
+            { planner.refused(wanted.chunk, wanted.peer, true, 0, now()); });
 }
 
-void version_fetch::ask_origin(chunk_index chunk)
+void version_fetch::request_from_origin(chunk_index chunk)
 {
     origin.fetch_chunk(target->chunks->of(), chunk,
-                       [this, chunk](weight_source from, http_result end)
+                       [this, chunk](weight_source from, http_result response)
                        {
                            (from == weight_source::store
                                 ? counts.weight_store_bytes
-                                : counts.origin_bytes) += end.body.size();
-                           if (!end.ok())
-                               return origin_failed(chunk, end);
-                           arrive(chunk, std::move(end.body), instance_id());
+                                : counts.origin_bytes) += response.body.size();
+                           if (!response.ok())
+                               return origin_failed(chunk, response);
+                           accept_chunk(chunk, std::move(response.body),
+                                        instance_id());
                        });
 }
 
-void version_fetch::origin_failed(chunk_index chunk, const http_result& end)
+void version_fetch::origin_failed(chunk_index chunk,
+                                  const http_result& response)
 {
-    target->reason = "origin does not give a chunk: " + fault_text(end);
+    target->reason = "origin does not give a chunk: " + failure_text(response);
     with_planner([&](auto& planner) { planner.origin_failed(chunk, now()); });
 }
 
@@ -252,13 +256,13 @@
         [&](auto& planner) {
             planner.holds(from, have.value().chunks, have.value().queue, now());
         });
-    listen(from);
+    add_listener(from);
 }
 
-void version_fetch::listen(const instance_id& peer)
+void version_fetch::add_listener(const instance_id& peer)
 {
-    const auto* known = host.members().find(peer);
-    const bool near = known != nullptr && known->hall == settings().hall;
+    const auto* found = host.members().find(peer);
+    const bool near = found != nullptr && found->hall == settings().hall;
     announcer.add_listener(peer, near, *target->chunks);
 }
 
@@ -267,7 +271,7 @@
 {
     announcer.record_request(now());
     if (has_manifest() && is_target(version))
-        listen(from);
+        add_listener(from);
 }
 
 void version_fetch::handle_chunk_reply(
@@ -277,23 +281,23 @@
     if (!reply || !target || !target->chunks ||
         reply.value().manifest != target->version)
         return;
-    const auto& got = reply.value();
-    if (got.status != message::chunk_status::given)
+    const auto& response = reply.value();
+    if (response.status != message::chunk_status::given)
     {
         with_planner(
             [&](auto& planner)
             {
                 planner.heard(from, now());
-                planner.refused(got.chunk, from,
-                                got.status != message::chunk_status::busy,
-                                got.queue, now());
+                planner.refused(response.chunk, from,
+                                response.status != message::chunk_status::busy,
+                                response.queue, now());
             });
         return;
     }
     count_peer_bytes(from, bytes.size());
     with_planner([&](auto& planner)
-                 { planner.holds(from, {}, got.queue, now()); });
-    downlink.enqueue(got.chunk, std::move(bytes), from);
+                 { planner.holds(from, {}, response.queue, now()); });
+    downlink.enqueue(response.chunk, std::move(bytes), from);
 }
 
 void version_fetch::count_peer_bytes(const instance_id& from, std::size_t bytes)
@@ -306,19 +310,19 @@
     counts.cross_region_bytes += peer->region != settings().region ? bytes : 0;
 }
 
-void version_fetch::arrive(chunk_index chunk, std::string bytes,
-                           const instance_id& from)
+void version_fetch::accept_chunk(chunk_index chunk, std::string bytes,
+                                 const instance_id& from)
 {
-    auto& fetching = *target;
-    const auto end = fetching.chunks->add(chunk, std::move(bytes));
-    if (end == staging::addition::corrupt)
+    auto& current = *target;
+    const auto added = current.chunks->add(chunk, std::move(bytes));
+    if (added == staging::addition::corrupt)
     {
         ++counts.corrupt;
         host.counters().count("chunks_corrupt_total");
         with_planner([&](auto& planner) { planner.corrupt(chunk, from); });
-        return ask_chunks();
+        return request_chunks();
     }
-    if (end == staging::addition::already_held)
+    if (added == staging::addition::already_held)
     {
         ++counts.duplicate;
         return;
@@ -326,20 +330,20 @@
     with_planner([&](auto& planner) { planner.held(chunk, now()); });
     announcer.add_chunk(chunk);
     stager.enqueue(chunk);
-    uploads.release(fetching.version, chunk);
+    uploads.release(current.version, chunk);
     stager.advance();
-    ask_chunks();
-    if (fetching.chunks->complete())
-        finished();
+    request_chunks();
+    if (current.chunks->complete())
+        transfer_finished();
 }
 
-void version_fetch::finished()
+void version_fetch::transfer_finished()
 {
     target->reason.clear();
     log::state(
         "transfer_complete",
         {{"version", target->version.hex()},
-         {"seconds", std::to_string(to_seconds(now() - target->began))}});
+         {"seconds", std::to_string(to_seconds(now() - target->started_at))}});
 }
 
 void version_fetch::handle_manifest_reply(
@@ -347,7 +351,7 @@
 {
     if (reply && target && reply.value().manifest == target->version &&
         !text.empty())
-        take_manifest(text);
+        accept_manifest(text);
 }
 
 void version_fetch::peer_lost(const instance_id& peer)
@@ -361,9 +365,9 @@
     if (!target)
         return;
     if (!target->chunks)
-        return ask_manifest();
+        return request_manifest();
     stager.advance();
-    ask_chunks();
+    request_chunks();
     announcer.announce(*target->chunks, now());
 }
 
@@ -376,33 +380,33 @@
 {
     if (!target)
         return {};
-    transfer_progress made;
-    made.reason = target->reason;
+    transfer_progress progress;
+    progress.reason = target->reason;
     if (target->chunks)
     {
-        made.done = target->chunks->bytes();
-        made.total = target->chunks->of().total_bytes();
+        progress.done = target->chunks->bytes();
+        progress.total = target->chunks->of().total_bytes();
     }
-    return made;
+    return progress;
 }
 
 nlohmann::json version_fetch::dump() const
 {
     if (!target)
         return {};
-    nlohmann::json made = {{"version", target->version.hex()},
-                           {"reason", target->reason},
-                           {"handed_over", stager.staged_count()}};
+    nlohmann::json state = {{"version", target->version.hex()},
+                            {"reason", target->reason},
+                            {"handed_over", stager.staged_count()}};
     if (!target->planner)
-        return made;
+        return state;
     std::visit(
         [&](const auto& planner)
         {
-            made["level"] = planner.level();
-            made["pending"] = planner.pending();
+            state["level"] = planner.level();
+            state["pending"] = planner.pending();
         },
         *target->planner);
-    return made;
+    return state;
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/version_fetch.hpp
+++ b/src/coursejunction/daemon/internal/version_fetch.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Fetches the target version.
+ * @brief Downloads the target version of the weights.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_VERSION_FETCH_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_VERSION_FETCH_HPP
@@ -29,87 +29,92 @@
 namespace coursejunction::internal
 {
 
-/*! @brief How far the target version is. */
+/*! @brief State of the download of the target version. */
 struct target_version
 {
     digest version;
-    weighting weigh{weighting::time};
-    std::shared_ptr<staging> chunks;
+    weighting preference{weighting::time};
+    std::shared_ptr<staging> chunks; /*!< Null until the manifest arrives. */
     std::optional<any_planner> planner;
     unsigned manifest_attempts{0};
-    time_point manifest_after{};
-    std::string reason;
-    time_point began{};
+    time_point next_manifest_request{};
+    std::string reason; /*!< Last failure; empty for none. */
+    time_point started_at{};
 };
 
-/*! @brief Gets the target version from peers and the origin, verifies it and
- * hands it over to the engine. */
+/*! @brief Downloads the target version from peers and the origin, verifies each
+ * chunk and stages it in the engine. */
 class version_fetch
 {
 public:
     using staged_callback = transfer_service::staged_callback;
 
-    /*! @param versions Where the version is held while it comes and after.
+    /*! @param staged Called once when the engine has every chunk.
+     * @param versions Stores the chunks during the download and afterwards.
      * @param sender Sends chunks to the peers that wait for them. */
     version_fetch(node& owner, upstream_client& engine, staged_callback staged,
                   held_versions& versions, chunk_uploader& sender);
 
-    /*! @brief Sets the target version; another one under way is stopped. */
-    void set_target(const digest& version, weighting weigh);
+    /*! @brief Sets the target version; a download of another one is stopped. */
+    void set_target(const digest& version, weighting preference);
 
-    /*! @brief Stops wanting anything. */
+    /*! @brief Stops the download; there is no target afterwards. */
     void clear_target();
 
-    /*! @brief Drops versions that are neither target nor served, once the
-     * target one has taken over what they have in common. */
+    /*! @brief Drops the versions that are neither the target nor served, once
+     * the target has adopted the chunks that they share. Does nothing before
+     * the target's manifest is known. */
     void release_unused();
 
-    /*! @brief Hands the version over again, after the engine lost it. */
+    /*! @brief Stages the version again after the engine has lost it. */
     void restage();
 
-    /*! @brief Sets who takes part. */
+    /*! @brief Sets the instances that take part in the transfer. */
     void set_participants(std::vector<participant> all);
 
-    /*! @brief Moves on, when something is target. */
+    /*! @brief Requests and stages what is due; called every few milliseconds.
+     */
     void tick();
 
-    /*! @brief Takes what a peer says that it holds. */
+    /*! @brief Handles a peer's announcement of the chunks that it holds. */
     void handle_have(const instance_id& from,
                      const result<message::have>& have);
 
-    /*! @brief Takes a peer's answer to a request for a chunk. */
+    /*! @brief Handles a peer's reply to a chunk request. */
     void handle_chunk_reply(const instance_id& from,
                             const result<message::chunk_reply>& reply,
                             std::string bytes);
 
-    /*! @brief Takes a peer's answer to a request for the manifest. */
+    /*! @brief Handles a peer's reply to a manifest request. */
     void handle_manifest_reply(const result<message::manifest_reply>& reply,
                                const std::string& text);
 
-    /*! @brief Notes that a peer asked for a chunk of a version held here. */
+    /*! @brief Records that a peer requested a chunk of a version held here. */
     void record_chunk_request(const instance_id& from, const digest& version);
 
-    /*! @brief Notes that a peer's connection is gone. */
+    /*! @brief Handles the loss of a peer's connection. */
     void peer_lost(const instance_id& peer);
 
-    /*! @brief Tells whether a version is the target one. */
+    /*! @brief Returns whether a version is the target. */
     [[nodiscard]] bool is_target(const digest& version) const;
 
-    /*! @brief Tells whether any version is target. */
+    /*! @brief Returns whether there is a target. */
     [[nodiscard]] bool has_target() const { return target.has_value(); }
 
-    /*! @brief Tells whether the manifest of the target version is here. */
+    /*! @brief Returns whether the target's manifest is known. */
     [[nodiscard]] bool has_manifest() const { return target && target->chunks; }
 
-    /*! @brief Tells whether all of the target version is here. */
+    /*! @brief Returns whether every chunk of the target is held. */
     [[nodiscard]] bool complete() const
     {
         return has_manifest() && target->chunks->complete();
     }
 
+    /*! @brief Returns how much of the target is held, and why it is not
+     * whole. */
     [[nodiscard]] transfer_progress progress() const;
     [[nodiscard]] const transfer_counters& counters() const { return counts; }
-    [[nodiscard]] const have_announcer& have_listeners() const
+    [[nodiscard]] const have_announcer& announcements() const
     {
         return announcer;
     }
@@ -128,21 +133,22 @@
             std::visit(call, *target->planner);
     }
 
-    void begin(std::shared_ptr<staging> chunks);
-    void assign();
+    void start_transfer(std::shared_ptr<staging> chunks);
+    void assign_participants();
     void choose_neighbours();
     void send_have(const instance_id& to, std::vector<chunk_index> chunks);
-    void ask_manifest();
-    void ask_origin_manifest();
-    void take_manifest(const std::string& text);
-    void ask_chunks();
-    void ask_peer(const transfer_request& one);
-    void ask_origin(chunk_index chunk);
-    void origin_failed(chunk_index chunk, const http_result& end);
-    void listen(const instance_id& peer);
+    void request_manifest();
+    void request_origin_manifest();
+    void accept_manifest(const std::string& text);
+    void request_chunks();
+    void request_from_peer(const transfer_request& wanted);
+    void request_from_origin(chunk_index chunk);
+    void origin_failed(chunk_index chunk, const http_result& response);
+    void add_listener(const instance_id& peer);
     void count_peer_bytes(const instance_id& from, std::size_t bytes);
-    void arrive(chunk_index chunk, std::string bytes, const instance_id& from);
-    void finished();
+    void accept_chunk(chunk_index chunk, std::string bytes,
+                      const instance_id& from);
+    void transfer_finished();
 
     node& host;
     held_versions& held;
@@ -153,7 +159,7 @@
     engine_stager<upstream_client> stager;
     have_announcer announcer;
     std::optional<target_version> target;
-    std::vector<participant> everybody;
+    std::vector<participant> participants;
 };
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/weight_source_client.cpp
+++ b/src/coursejunction/daemon/internal/weight_source_client.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-/*! @brief Longest time for the whole of one call. */
-constexpr milliseconds origin_timeout{60'000};
+/*! @brief Timeout of a whole call. */
+constexpr milliseconds call_timeout{60'000};
 
-std::string range_text(const manifest& of, chunk_index chunk)
+std::string range_of(const manifest& of, chunk_index chunk)
 {
     const auto first = of.offset(chunk);
     const auto last = first + of.chunk_bytes(chunk) - 1;
@@ -20,9 +20,9 @@
 
 } // namespace
 
-weight_source_client::weight_source_client(http_client& carrier,
+weight_source_client::weight_source_client(http_client& http,
                                            const node_settings& set)
-    : client(carrier), settings(set)
+    : client(http), settings(set)
 {
 }
 
@@ -30,60 +30,61 @@
 {
     cancel_all();
     sources = origin_fallback(!settings.weight_store_url.empty());
-    manifest_asked = false;
+    manifest_in_progress = false;
 }
 
 void weight_source_client::cancel_all()
 {
-    ++serial;
-    for (const auto& [chunk, call] : open)
+    ++generation;
+    for (const auto& [chunk, call] : chunk_calls)
         client.cancel(call);
-    open.clear();
+    chunk_calls.clear();
 }
 
 void weight_source_client::fetch_manifest(const digest& version,
                                           done_callback done)
 {
-    if (manifest_asked)
+    if (manifest_in_progress)
         return;
-    manifest_asked = true;
+    manifest_in_progress = true;
     http_call call;
     const auto from = sources.current();
     call.url = url_of(from) + "/manifests/" + version.hex();
-    call.timeout = origin_timeout;
-    client.start(
-        std::move(call),
-        [this, from, of = serial, done = std::move(done)](http_result end)
-        {
-            if (of != serial)
-                return;
-            manifest_asked = false;
-            note(from, end);
-            done(from, std::move(end));
-        });
+    call.timeout = call_timeout;
+    client.start(std::move(call),
+                 [this, from, call_generation = generation,
+                  done = std::move(done)](http_result response)
+                 {
+                     if (call_generation != generation)
+                         return;
+                     manifest_in_progress = false;
+                     record_result(from, response);
+                     done(from, std::move(response));
+                 });
 }
 
 void weight_source_client::fetch_chunk(const manifest& of, chunk_index chunk,
                                        done_callback done)
 {
-    const auto old = open.find(chunk);
-    if (old != open.end())
-        client.cancel(old->second);
+    const auto previous = chunk_calls.find(chunk);
+    if (previous != chunk_calls.end())
+        client.cancel(previous->second);
     const auto from = sources.current();
     http_call call;
     call.url = url_of(from) + of.path();
-    call.headers["Range"] = range_text(of, chunk);
-    call.timeout = origin_timeout;
-    open[chunk] = client.start(std::move(call),
-                               [this, chunk, from, begun = serial,
-                                done = std::move(done)](http_result end)
-                               {
-                                   if (begun != serial)
-                                       return;
-                                   open.erase(chunk);
-                                   note(from, end);
-                                   done(from, std::move(end));
-                               });
+    call.headers["Range"] = range_of(of, chunk);
+    call.timeout = call_timeout;
+    chunk_calls[chunk] =
+        client.start(std::move(call),
+                     [this, chunk, from, call_generation = generation,
+                      done = std::move(done)](http_result response)
+                     {
+                         if (call_generation != generation)
+                             return;
+                         chunk_calls.erase(chunk);
+                         record_result(from, response);
+                         done(from, std::move(response));
+                     });
 }
 
 const std::string& weight_source_client::url_of(weight_source from) const
@@ -92,16 +93,17 @@
                                         : settings.origin_url;
 }
 
-void weight_source_client::note(weight_source from, const http_result& end)
+void weight_source_client::record_result(weight_source from,
+                                         const http_result& response)
 {
-    if (!end.ok())
+    if (!response.ok())
         sources.failed(from);
 }
 
-std::string fault_text(const http_result& end)
+std::string failure_text(const http_result& response)
 {
-    return end.fault.empty() ? "status " + std::to_string(end.status)
-                             : end.fault;
+    return response.fault.empty() ? "status " + std::to_string(response.status)
+                                  : response.fault;
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/weight_source_client.hpp
+++ b/src/coursejunction/daemon/internal/weight_source_client.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Calls to the origin of weights, or the weight store that stands in.
+ * @brief Downloads from the origin of weights or, if that fails, the weight
+ * store.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_WEIGHT_SOURCE_CLIENT_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_WEIGHT_SOURCE_CLIENT_HPP
@@ -18,42 +19,46 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Asks for the manifest and the chunks of one version. A source that
- * fails makes the next call go to the other one. */
+/*! @brief Downloads the manifest and the chunks of one version. After a failed
+ * call the next one goes to the other source. */
 class weight_source_client
 {
 public:
-    /*! @brief Takes the end of a call and which source it went to. */
+    /*! @brief Called with the source of a call and its result. */
     using done_callback = std::function<void(weight_source, http_result)>;
 
-    weight_source_client(http_client& carrier, const node_settings& set);
+    weight_source_client(http_client& http, const node_settings& set);
 
-    /*! @brief Begins with another version, at the origin itself. */
+    /*! @brief Starts with another version; its first call goes to the origin.
+     */
     void reset();
 
-    /*! @brief Ends the calls for chunks; no callback comes any more. */
+    /*! @brief Cancels the chunk calls; no callback of an earlier call runs any
+     * more. */
     void cancel_all();
 
-    /*! @brief Asks for the manifest, unless a call for it is open. */
+    /*! @brief Downloads the manifest, unless a call for it is in progress. */
     void fetch_manifest(const digest& version, done_callback done);
 
-    /*! @brief Asks for a chunk, in place of an open call for the same. */
+    /*! @brief Downloads a chunk; replaces a call for the same chunk that is in
+     * progress. */
     void fetch_chunk(const manifest& of, chunk_index chunk, done_callback done);
 
 private:
     [[nodiscard]] const std::string& url_of(weight_source from) const;
-    void note(weight_source from, const http_result& end);
+    void record_result(weight_source from, const http_result& response);
 
     http_client& client;
     const node_settings& settings;
     origin_fallback sources{false};
-    std::map<chunk_index, http_client::call_id> open;
-    bool manifest_asked{false};
-    std::uint64_t serial{0}; /*!< Of this beginning; tells late answers. */
+    std::map<chunk_index, http_client::call_id> chunk_calls;
+    bool manifest_in_progress{false};
+    /*! @brief Incremented by `cancel_all`, to recognise late results. */
+    std::uint64_t generation{0};
 };
 
-/*! @brief Says why a call that is not ok gave nothing. */
-[[nodiscard]] std::string fault_text(const http_result& end);
+/*! @brief Describes why a call failed. */
+[[nodiscard]] std::string failure_text(const http_result& response);
 
 } // namespace coursejunction::internal
 
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -190,7 +190,7 @@
 std::string transfer_service::dump() const
 {
     const auto& counts = self->fetching.counters();
-    const auto& announced = self->fetching.have_listeners();
+    const auto& announced = self->fetching.announcements();
     nlohmann::json held = nlohmann::json::array();
     for (const auto& [version, chunks] : self->held.all())
         held.push_back({{"version", version.hex()},
