--- a/tests/daemon/internal/crash_gossip.cpp
+++ b/tests/daemon/internal/crash_gossip.cpp
@@ -11,54 +11,56 @@
 namespace
 {
 
-/*! @brief Processes in a row, each of which hears only its neighbours. */
-struct row_of_processes
+/*! @brief A chain of processes, each of which exchanges records only with its
+ * neighbours. */
+struct process_chain
 {
-    explicit row_of_processes(std::size_t count)
+    explicit process_chain(std::size_t count)
     {
-        all.reserve(count);
-        for (std::size_t at = 0; at < count; ++at)
-            all.emplace_back(counters,
-                             [this, at](const auto& records)
-                             {
-                                 if (at > 0)
-                                     all[at - 1].merge(records, now);
-                                 if (at + 1 < all.size())
-                                     all[at + 1].merge(records, now);
-                             });
+        processes.reserve(count);
+        for (std::size_t index = 0; index < count; ++index)
+            processes.emplace_back(
+                counters,
+                [this, index](const auto& records)
+                {
+                    if (index > 0)
+                        processes[index - 1].merge(records, now);
+                    if (index + 1 < processes.size())
+                        processes[index + 1].merge(records, now);
+                });
     }
 
     metrics counters;
     time_point now{100s};
-    std::vector<internal::crash_gossip> all;
+    std::vector<internal::crash_gossip> processes;
 };
 
 } // namespace
 
-TEST_CASE("news of crashing requests pass from neighbour to neighbour",
-          "[daemon]")
+TEST_CASE("crash records reach processes that are not neighbours", "[daemon]")
 {
-    row_of_processes row(9);
-    const auto bad = request_content::of("school", "/v1/completions", "bad");
-    const auto end = [&](int number)
+    process_chain chain(9);
+    const auto content =
+        request_content::of("school", "/v1/completions", "bad");
+    const auto crash = [&](int number)
     {
         return crash_report{
-            bad, crash_id_of(instance_id(std::to_string(number)), {})};
+            content, crash_id_of(instance_id(std::to_string(number)), {})};
     };
-    const auto quarantined = [&](const internal::crash_gossip& one)
-    { return one.status(bad, row.now) == crash_status::quarantined; };
-    row.all.front().record_crashes({end(1)}, row.now);
-    row.all[4].record_crashes({end(2)}, row.now);
-    CHECK_FALSE(quarantined(row.all.back()));
-    row.all.back().record_crashes({end(3)}, row.now);
-    for (const auto& one : row.all)
-        CHECK(quarantined(one));
+    const auto quarantined = [&](const internal::crash_gossip& process)
+    { return process.status(content, chain.now) == crash_status::quarantined; };
+    chain.processes.front().record_crashes({crash(1)}, chain.now);
+    chain.processes[4].record_crashes({crash(2)}, chain.now);
+    CHECK_FALSE(quarantined(chain.processes.back()));
+    chain.processes.back().record_crashes({crash(3)}, chain.now);
+    for (const auto& process : chain.processes)
+        CHECK(quarantined(process));
 
-    SECTION("and so does its lifting")
+    SECTION("lifting the quarantine is forwarded too")
     {
-        CHECK(row.all[3].lift_quarantine(bad, row.now));
-        for (const auto& one : row.all)
-            CHECK_FALSE(quarantined(one));
-        CHECK_FALSE(row.all[3].lift_quarantine(bad, row.now));
+        CHECK(chain.processes[3].lift_quarantine(content, chain.now));
+        for (const auto& process : chain.processes)
+            CHECK_FALSE(quarantined(process));
+        CHECK_FALSE(chain.processes[3].lift_quarantine(content, chain.now));
     }
 }
--- a/tests/daemon/internal/engine_stager.cpp
+++ b/tests/daemon/internal/engine_stager.cpp
@@ -13,31 +13,31 @@
 namespace
 {
 
-/*! @brief Keeps what is handed over, until the test answers. */
-struct waiting_engine
+/*! @brief Records staging calls; the test calls their callbacks. */
+struct recording_engine
 {
-    using answer = std::function<void(bool)>;
+    using callback = std::function<void(bool)>;
 
-    void stage_manifest(const cj::digest&, const std::string&, answer done)
+    void stage_manifest(const cj::digest&, const std::string&, callback done)
     {
-        manifests.push_back(std::move(done));
+        manifest_callbacks.push_back(std::move(done));
     }
 
     void stage_chunk(const cj::digest&, cj::chunk_index chunk,
-                     const std::string&, answer done)
+                     const std::string&, callback done)
     {
         chunks.push_back(chunk);
-        answers.push_back(std::move(done));
+        chunk_callbacks.push_back(std::move(done));
     }
 
-    std::vector<answer> manifests;
+    std::vector<callback> manifest_callbacks;
     std::vector<cj::chunk_index> chunks;
-    std::vector<answer> answers;
+    std::vector<callback> chunk_callbacks;
 };
 
 } // namespace
 
-SCENARIO("an engine gets the manifest, then every chunk", "[daemon]")
+SCENARIO("a version is staged as the manifest, then every chunk", "[daemon]")
 {
     const auto bytes = fixtures::model_bytes(6);
     const auto chunks =
@@ -45,76 +45,76 @@
     for (cj::chunk_index at = 0; at < 6; ++at)
         chunks->add(at, bytes.substr(at * fixtures::chunk_bytes,
                                      fixtures::chunk_bytes));
-    waiting_engine engine;
-    int whole = 0;
-    ci::engine_stager<waiting_engine> stager(engine, [&](const cj::digest&)
-                                             { ++whole; });
+    recording_engine engine;
+    int completed = 0;
+    ci::engine_stager<recording_engine> stager(engine, [&](const cj::digest&)
+                                               { ++completed; });
     stager.start(chunks->of().id(), chunks);
     stager.advance();
     stager.advance();
-    REQUIRE(engine.manifests.size() == 1);
+    REQUIRE(engine.manifest_callbacks.size() == 1);
     CHECK(engine.chunks.empty());
 
-    GIVEN("an engine that does not take the manifest")
+    GIVEN("an engine that rejects the manifest")
     {
-        engine.manifests[0](false);
+        engine.manifest_callbacks[0](false);
         CHECK(engine.chunks.empty());
         stager.advance();
-        THEN("it is offered again")
+        THEN("the next advance stages it again")
         {
-            CHECK(engine.manifests.size() == 2);
+            CHECK(engine.manifest_callbacks.size() == 2);
         }
     }
-    GIVEN("an engine that takes all")
+    GIVEN("an engine that accepts everything")
     {
-        engine.manifests[0](true);
-        THEN("few are under way at once")
+        engine.manifest_callbacks[0](true);
+        THEN("the number of calls in progress is limited")
         {
             CHECK(engine.chunks.size() == ci::max_staging_calls);
         }
-        for (std::size_t at = 0; at < engine.answers.size(); ++at)
-            std::exchange(engine.answers[at], nullptr)(true);
-        THEN("it is told once that all are there")
+        for (std::size_t at = 0; at < engine.chunk_callbacks.size(); ++at)
+            std::exchange(engine.chunk_callbacks[at], nullptr)(true);
+        THEN("completion is reported once")
         {
             CHECK(engine.chunks.size() == 6);
             CHECK(stager.staged_count() == 6);
-            CHECK(whole == 1);
+            CHECK(completed == 1);
         }
-        AND_WHEN("it lost them")
+        AND_WHEN("the engine lost what was staged")
         {
             stager.restart();
             CHECK(stager.staged_count() == 0);
             stager.advance();
-            THEN("it begins with the manifest")
+            THEN("staging starts with the manifest again")
             {
-                CHECK(engine.manifests.size() == 2);
+                CHECK(engine.manifest_callbacks.size() == 2);
             }
         }
     }
-    GIVEN("an engine that refuses a chunk")
+    GIVEN("an engine that rejects a chunk")
     {
-        engine.manifests[0](true);
-        engine.answers[0](false);
-        THEN("the next turn offers others, then that one")
+        engine.manifest_callbacks[0](true);
+        engine.chunk_callbacks[0](false);
+        THEN("the other chunks are staged first, then that one")
         {
             CHECK(engine.chunks.size() == 4);
             stager.advance();
             CHECK(engine.chunks.size() == 5);
-            engine.answers[1](true);
-            engine.answers[2](true);
+            engine.chunk_callbacks[1](true);
+            engine.chunk_callbacks[2](true);
             CHECK(engine.chunks.back() == engine.chunks.front());
         }
     }
-    GIVEN("answers that come after a new beginning")
+    GIVEN("responses that arrive after a restart or a stop are ignored")
     {
-        engine.manifests[0](true);
-        const auto late = engine.answers[0];
+        engine.manifest_callbacks[0](true);
+        const auto late = engine.chunk_callbacks[0];
         stager.restart();
         late(true);
         CHECK(stager.staged_count() == 0);
         stager.stop();
-        engine.answers[1](true);
+        engine.chunk_callbacks[1](true);
         CHECK(stager.staged_count() == 0);
-        CHECK(whole == 0);
+        CHECK(completed == 0);
     }
 }
--- a/tests/daemon/internal/event_framer.cpp
+++ b/tests/daemon/internal/event_framer.cpp
@@ -4,12 +4,12 @@
 
 namespace ci = coursejunction::internal;
 
-SCENARIO("only whole events are given out", "[daemon]")
+SCENARIO("an event framer passes on only whole events", "[daemon]")
 {
     ci::event_framer events;
     CHECK(events.at_boundary());
 
-    GIVEN("an event in two parts")
+    GIVEN("an event that arrives in two parts")
     {
         CHECK(events.feed("data: {\"a\"").empty());
         CHECK_FALSE(events.at_boundary());
@@ -17,10 +17,10 @@
         CHECK(events.feed(":1}\n\ndata: {") == "data: {\"a\":1}\n\n");
         CHECK(events.data_events() == 1);
         CHECK_FALSE(events.at_boundary());
-        WHEN("another attempt begins")
+        WHEN("another attempt starts")
         {
             events.discard_partial();
-            THEN("what was given out still counts")
+            THEN("the incomplete event is dropped and the count stays")
             {
                 CHECK(events.at_boundary());
                 CHECK(events.data_events() == 1);
@@ -29,14 +29,14 @@
             }
         }
     }
-    GIVEN("events without data among others")
+    GIVEN("a comment between events with data")
     {
-        const std::string all = "data: {}\n\n: quiet\n\ndata: {}\n\n";
-        CHECK(events.feed(all) == all);
+        const std::string stream = "data: {}\n\n: quiet\n\ndata: {}\n\n";
+        CHECK(events.feed(stream) == stream);
         CHECK(events.data_events() == 2);
         CHECK(events.at_boundary());
     }
-    GIVEN("an end cut in two")
+    GIVEN("the two line breaks of an event's end in separate parts")
     {
         CHECK(events.feed("data: {}\n").empty());
         CHECK(events.feed("\n") == "data: {}\n\n");
--- a/tests/daemon/internal/held_versions.cpp
+++ b/tests/daemon/internal/held_versions.cpp
@@ -7,7 +7,7 @@
 namespace cj = coursejunction;
 namespace ci = coursejunction::internal;
 
-SCENARIO("versions are held while they are wanted or served", "[daemon]")
+SCENARIO("versions are held while they are the target or served", "[daemon]")
 {
     const auto make = [](const std::string& bytes)
     { return std::make_shared<cj::staging>(fixtures::manifest_of(bytes)); };
@@ -17,21 +17,21 @@
     const auto second = make(bytes + fixtures::model_bytes(1, 'z'));
     const auto third = make(fixtures::model_bytes(1, 'y'));
     ci::held_versions held;
-    for (const auto& one : {first, second, third})
-        held.add(one->of().id(), one);
+    for (const auto& version : {first, second, third})
+        held.add(version->of().id(), version);
 
-    THEN("a later one takes over what is common")
+    THEN("a later version adopts the chunks that it shares with an earlier one")
     {
         CHECK(second->contains(0));
         CHECK(held.find(second->of().id(), 0) == first->find(0));
         CHECK(held.find(second->of().id(), 1) == nullptr);
         CHECK(held.find(cj::digest::of("none"), 0) == nullptr);
     }
-    WHEN("one is served and another wanted")
+    WHEN("one is served and another is the target")
     {
         held.set_served(first->of().id());
         held.release_unused(third->of().id());
-        THEN("only these stay")
+        THEN("only these two are kept")
         {
             CHECK(held.all().size() == 2);
             CHECK(held.find(second->of().id()) == nullptr);
--- a/tests/daemon/internal/instance_list.cpp
+++ b/tests/daemon/internal/instance_list.cpp
@@ -5,9 +5,9 @@
 namespace cj = coursejunction;
 namespace ci = coursejunction::internal;
 
-SCENARIO("the platform's list names the members", "[daemon]")
+SCENARIO("the platform's list of instances is parsed into members", "[daemon]")
 {
-    GIVEN("a whole entry and a side")
+    GIVEN("an entry with all fields and a sidecar")
     {
         const auto list = ci::parse_instance_list(R"([
             {"id": "e", "peer": "10.0.0.1:1", "http": "10.0.0.1:2",
@@ -30,7 +30,7 @@
         CHECK(side.leaving);
         CHECK(side.labels == std::vector<std::string>{"x", "y"});
     }
-    GIVEN("entries without id or address, and what is no entry")
+    GIVEN("items without id or address, and items that are not objects")
     {
         const auto list = ci::parse_instance_list(
             R"([{"id": "e"}, {"peer": "10.0.0.1:1"}, {"id": 3}, 7, null,
@@ -39,7 +39,7 @@
         REQUIRE(list->size() == 1);
         CHECK(list->at(0).labels.empty());
     }
-    GIVEN("what is no list")
+    GIVEN("text that is not a JSON array")
     {
         CHECK_FALSE(ci::parse_instance_list("{}"));
         CHECK_FALSE(ci::parse_instance_list("[{"));
--- a/tests/daemon/internal/live_upstreams.cpp
+++ b/tests/daemon/internal/live_upstreams.cpp
@@ -7,7 +7,7 @@
 namespace ci = coursejunction::internal;
 using namespace std::chrono_literals;
 
-SCENARIO("an entry routes to upstreams that have room", "[daemon]")
+SCENARIO("an entry routes only to upstreams with free slots", "[daemon]")
 {
     const cj::time_point now{100s};
     const cj::node_settings settings;
@@ -24,14 +24,14 @@
     report.serving = "w";
     report.slots = 2;
 
-    GIVEN("nobody")
+    GIVEN("no upstream")
     {
         CHECK_FALSE(upstreams.is_served(route, now));
         CHECK_FALSE(upstreams.has_reported_model("m"));
         CHECK_FALSE(upstreams.choose(route, now));
         CHECK(upstreams.served_version(side) == nullptr);
     }
-    GIVEN("a side that reports")
+    GIVEN("a sidecar that has reported")
     {
         upstreams.apply_report(report, now);
         CHECK(upstreams.is_served(route, now));
@@ -39,7 +39,7 @@
         CHECK(upstreams.choose(route, now) == side);
         CHECK(*upstreams.served_version(side) == "w");
 
-        WHEN("its slots are taken, and one is left again")
+        WHEN("its slots are taken, and one becomes free again")
         {
             upstreams.begin_request(side);
             upstreams.begin_request(side);
@@ -48,13 +48,13 @@
             CHECK(upstreams.choose(route, now) == side);
             CHECK(upstreams.dump().at(0).at("own") == 1);
         }
-        WHEN("it says that it is full")
+        WHEN("it refuses because it is full")
         {
             upstreams.record_failure(side, cj::refusal::busy, now);
             CHECK_FALSE(upstreams.choose(route, now));
             CHECK(upstreams.dump().at(0).at("failures") == 0);
         }
-        WHEN("it fails, then answers")
+        WHEN("it fails, then succeeds")
         {
             upstreams.record_failure(side, cj::refusal::unreachable, now);
             CHECK_FALSE(upstreams.choose(route, now));
@@ -62,7 +62,7 @@
             upstreams.record_success(side, 1s);
             CHECK(upstreams.dump().at(0).at("failures") == 0);
         }
-        WHEN("another has claimed the request")
+        WHEN("another sidecar has claimed the request")
         {
             upstreams.record_failure(side, cj::refusal::claim, now);
             CHECK(upstreams.choose(route, now) == side);
--- a/tests/daemon/internal/node_state.cpp
+++ b/tests/daemon/internal/node_state.cpp
@@ -7,7 +7,7 @@
 namespace ci = coursejunction::internal;
 using namespace std::chrono_literals;
 
-SCENARIO("a node shows its members and its traffic", "[daemon]")
+SCENARIO("a node's members and traffic are written as JSON", "[daemon]")
 {
     cj::member listed;
     listed.id = cj::instance_id("s");
@@ -18,14 +18,14 @@
     members.assign({listed});
     const cj::time_point now{100s};
 
-    const auto shown = ci::members_json(members, now);
+    const auto list = ci::members_json(members, now);
 
-    REQUIRE(shown.size() == 1);
-    CHECK(shown[0].at("id") == "s");
-    CHECK(shown[0].at("hall") == "a");
-    CHECK(shown[0].at("role") == "side");
-    CHECK(shown[0].at("peer") == "10.0.0.2:1");
-    CHECK(shown[0].at("usable") == members.usable(listed.id, now));
+    REQUIRE(list.size() == 1);
+    CHECK(list[0].at("id") == "s");
+    CHECK(list[0].at("hall") == "a");
+    CHECK(list[0].at("role") == "side");
+    CHECK(list[0].at("peer") == "10.0.0.2:1");
+    CHECK(list[0].at("usable") == members.usable(listed.id, now));
     CHECK(ci::members_json({}, now).is_array());
 
     cj::hub_counters counts;
--- a/tests/daemon/internal/peer_links.cpp
+++ b/tests/daemon/internal/peer_links.cpp
@@ -5,7 +5,8 @@
 namespace cj = coursejunction;
 namespace ci = coursejunction::internal;
 
-SCENARIO("connections to an instance and from it are kept apart", "[daemon]")
+SCENARIO("outgoing and incoming connections of an instance are kept apart",
+         "[daemon]")
 {
     ci::peer_links links;
     const cj::instance_id peer("p");
@@ -14,7 +15,7 @@
     links.add_outgoing(peer, out, "10.0.0.1:1");
     links.add_incoming(peer, in);
 
-    THEN("each is known")
+    THEN("each connection is found")
     {
         CHECK(links.outgoing(peer) == out);
         CHECK(links.incoming(peer) == in);
@@ -23,7 +24,7 @@
         CHECK_FALSE(links.peer_of(cj::connection_id(3)));
         CHECK(links.outgoing(cj::instance_id("q")).empty());
     }
-    WHEN("one is dropped")
+    WHEN("one is removed")
     {
         links.remove(out);
         CHECK(links.outgoing(peer).empty());
@@ -32,17 +33,17 @@
         links.remove(in);
         CHECK(links.incoming(peer).empty());
     }
-    WHEN("a later one has taken the place of an earlier")
+    WHEN("an incoming connection has been replaced by a later one")
     {
         const cj::connection_id later(4);
         links.add_incoming(peer, later);
         links.remove(in);
-        THEN("the later one stays")
+        THEN("removing the earlier one keeps the later one")
         {
             CHECK(links.incoming(peer) == later);
         }
     }
-    WHEN("the instance is listed at another address")
+    WHEN("the instance's listed address changes")
     {
         cj::member listed;
         listed.id = peer;
--- a/tests/daemon/internal/retry_policy.cpp
+++ b/tests/daemon/internal/retry_policy.cpp
@@ -6,66 +6,67 @@
 namespace ci = coursejunction::internal;
 using namespace std::chrono_literals;
 
-SCENARIO("a request is tried elsewhere when that is right and cheap",
-         "[daemon]")
+SCENARIO(
+    "a failed attempt is repeated elsewhere only if it is safe and in budget",
+    "[daemon]")
 {
     ci::retry_policy policy;
-    ci::live_request one;
-    one.attempt = 1;
-    ci::attempt_failure end;
-    end.result = cj::outcome::not_run;
-    const auto allows = [&] { return policy.allows(one, end, 1s); };
+    ci::live_request request;
+    request.attempt = 1;
+    ci::attempt_failure failure;
+    failure.result = cj::outcome::not_run;
+    const auto allows = [&] { return policy.allows(request, failure, 1s); };
 
-    GIVEN("a full side")
+    GIVEN("a full sidecar")
     {
-        end.refused = cj::refusal::busy;
-        THEN("it costs no budget")
+        failure.refused = cj::refusal::busy;
+        THEN("the next attempt costs no budget")
         {
             for (int at = 0; at < 100; ++at)
                 CHECK(allows());
         }
-        THEN("the last attempt and a passed deadline end it")
+        THEN("none follows the last attempt or the deadline")
         {
-            one.attempt = ci::retry_policy::max_attempts;
+            request.attempt = ci::retry_policy::max_attempts;
             CHECK_FALSE(allows());
-            one.attempt = 1;
-            CHECK_FALSE(policy.allows(one, end, 0ms));
+            request.attempt = 1;
+            CHECK_FALSE(policy.allows(request, failure, 0ms));
         }
-        THEN("a begun stream needs its weights and may be repeated")
+        THEN("a begun stream needs known weights and a repeatable request")
         {
-            one.stream_begun = true;
+            request.stream_begun = true;
             CHECK_FALSE(allows());
-            one.route.weights = "w";
+            request.route.weights = "w";
             CHECK(allows());
-            one.not_repeatable = true;
+            request.not_repeatable = true;
             CHECK_FALSE(allows());
         }
     }
-    GIVEN("an attempt that may have run")
+    GIVEN("an attempt that may have run is repeated only if the request allows")
     {
-        end.result = cj::outcome::unknown;
+        failure.result = cj::outcome::unknown;
         CHECK(allows());
-        one.not_repeatable = true;
+        request.not_repeatable = true;
         CHECK_FALSE(allows());
     }
-    GIVEN("failures of upstreams")
+    GIVEN("upstreams that are unreachable")
     {
-        end.refused = cj::refusal::unreachable;
-        int tried = 0;
+        failure.refused = cj::refusal::unreachable;
+        int attempts = 0;
         while (allows())
-            ++tried;
-        THEN("retries end until requests have earned more")
+            ++attempts;
+        THEN("the budget runs out until requests refill it")
         {
-            CHECK(tried == 20);
+            CHECK(attempts == 20);
             for (int at = 0; at < 11; ++at)
                 policy.record_request();
             CHECK(allows());
             CHECK_FALSE(allows());
         }
     }
-    GIVEN("a claim of another")
+    GIVEN("a request claimed by another sidecar")
     {
-        end.refused = cj::refusal::claim;
+        failure.refused = cj::refusal::claim;
         CHECK_FALSE(allows());
         CHECK_FALSE(ci::is_fault_of_upstream(cj::refusal::claim));
         CHECK(ci::is_fault_of_upstream(cj::refusal::unreachable));
--- a/tests/daemon/internal/service_times.cpp
+++ b/tests/daemon/internal/service_times.cpp
@@ -7,23 +7,24 @@
 namespace ci = coursejunction::internal;
 using namespace std::chrono_literals;
 
-SCENARIO("a request is given the time that others took", "[daemon]")
+SCENARIO("service times are estimated by mean and deviation", "[daemon]")
 {
     ci::service_times<std::string> times;
 
-    GIVEN("nothing known")
+    GIVEN("no sample")
     {
         CHECK(times["a"] == 0us);
     }
-    GIVEN("one that took a second")
+    GIVEN("a sample of one second")
     {
         times.add_sample("a", 1);
         CHECK(times["a"] == 1s);
         CHECK(times["b"] == 0us);
-        AND_WHEN("one takes two")
+        AND_WHEN("a sample of two seconds follows")
         {
             times.add_sample("a", 2);
-            THEN("a part of it counts, and twice a part of the deviation")
+            THEN("a tenth of the difference is added to the mean, and to the "
+                 "deviation")
             {
                 CHECK(times["a"] == 1300ms);
             }
--- a/tests/daemon/internal/token_record.cpp
+++ b/tests/daemon/internal/token_record.cpp
@@ -5,7 +5,7 @@
 namespace cj = coursejunction;
 namespace ci = coursejunction::internal;
 
-SCENARIO("a token's record names the process that took it", "[daemon]")
+SCENARIO("a token record names the process that acquired the token", "[daemon]")
 {
     GIVEN("a record")
     {
@@ -15,7 +15,7 @@
         CHECK(read.token == cj::fencing_token(12));
         CHECK(read.owner == "i/ab cd");
     }
-    GIVEN("what is none")
+    GIVEN("text that is not a record")
     {
         CHECK(ci::parse_token("").token.empty());
         CHECK(ci::parse_token("12").token.empty());
