--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -172,7 +172,7 @@
                               if (response.ok())
                                   return accept_manifest(response.body);
                               target->reason =
-                                  "origin does not give the manifest: " +
+                                  "the origin did not return the manifest: " +
                                   failure_text(response);
                           });
 }
@@ -192,7 +192,7 @@
     if (static_cast<double>(total_bytes) > settings().staged_limit)
     {
         target->reason = "the version has " + std::to_string(total_bytes) +
-                         " bytes, more than staged_limit";
+                         " bytes, which exceeds staged_limit";
         return;
     }
     target->reason.clear();
@@ -242,7 +242,8 @@
 void version_fetch::origin_failed(chunk_index chunk,
                                   const http_result& response)
 {
-    target->reason = "origin does not give a chunk: " + failure_text(response);
+    target->reason =
+        "the origin did not return a chunk: " + failure_text(response);
     with_planner([&](auto& planner) { planner.origin_failed(chunk, now()); });
 }
 
