--- a/src/coursejunction/daemon/internal/any_planner.cpp
+++ b/src/coursejunction/daemon/internal/any_planner.cpp
@@ -6,7 +6,7 @@
 {
 
 any_planner make_planner(const manifest& of, const node_settings& settings,
-                         weighting preference, time_point now)
+                         weighting objective, time_point now)
 {
     planner_limits limits;
     limits.seed =
@@ -26,7 +26,7 @@
         break;
     }
     const double origin_extra =
-        preference == weighting::time ? settings.origin_extra : 0;
+        objective == weighting::time ? settings.origin_extra : 0;
     return transfer_planner<swarm_policy>(of, own, limits,
                                           swarm_policy(origin_extra), now);
 }
--- a/src/coursejunction/daemon/internal/any_planner.hpp
+++ b/src/coursejunction/daemon/internal/any_planner.hpp
@@ -23,11 +23,11 @@
     transfer_planner<chain_policy>, transfer_planner<origin_policy>>;
 
 /*! @brief Makes the planner that the settings select.
- * @param preference Whether the deployment prefers a short transfer or few
- * origin bytes; only the swarm policy uses it. */
+ * @param objective Whether the deployment is to save time or origin bytes;
+ * only the swarm policy uses it. */
 [[nodiscard]] any_planner make_planner(const manifest& of,
                                        const node_settings& settings,
-                                       weighting preference, time_point now);
+                                       weighting objective, time_point now);
 
 } // namespace coursejunction::internal
 
--- a/src/coursejunction/daemon/internal/configuration_restorer.hpp
+++ b/src/coursejunction/daemon/internal/configuration_restorer.hpp
@@ -18,7 +18,7 @@
 {
 
 /*! @brief Compares the configuration stored in the service with those that were
- * acknowledged, and writes a missing one back by check-and-swap. Watchers
+ * acknowledged, and writes a missing one back by compare-and-swap. Watchers
  * wait in order of their rank, so that usually one of them writes and the
  * others find that nothing is missing any more. */
 class configuration_restorer
@@ -48,7 +48,7 @@
 private:
     void check();
     void restore();
-    void restored(const write_result& got);
+    void restored(const write_result& written);
     [[nodiscard]] const configuration* missing() const;
 
     event_loop& loop;
--- a/src/coursejunction/daemon/internal/configuration_watch.hpp
+++ b/src/coursejunction/daemon/internal/configuration_watch.hpp
@@ -39,7 +39,7 @@
 
 private:
     void watch();
-    void watch_returned(const result<stored_value>& got);
+    void watch_returned(const result<stored_value>& read);
     void accept(const stored_value& stored);
 
     event_loop& loop;
--- a/src/coursejunction/daemon/internal/crash_gossip.hpp
+++ b/src/coursejunction/daemon/internal/crash_gossip.hpp
@@ -35,6 +35,7 @@
 
     [[nodiscard]] const crash_ledger& records() const { return ledger; }
 
+    /*! @brief Returns whether a request is suspected or quarantined. */
     [[nodiscard]] crash_status status(const request_content& content,
                                       time_point now) const
     {
--- a/src/coursejunction/daemon/internal/fenced_commands.hpp
+++ b/src/coursejunction/daemon/internal/fenced_commands.hpp
@@ -34,7 +34,7 @@
                     decision_callback refused);
 
     /*! @brief Asks for permission to send a command; one of the callbacks
-     * follows. Retries while the key-value service does not answer. */
+     * follows. Retries as long as the key-value service does not answer. */
     void authorize();
 
     /*! @brief Called regularly.
--- a/src/coursejunction/daemon/internal/heartbeat_gossip.hpp
+++ b/src/coursejunction/daemon/internal/heartbeat_gossip.hpp
@@ -39,8 +39,8 @@
     using crashes_callback =
         std::function<void(const std::vector<message::crash_record>&)>;
 
-    /*! @param started Incarnation of this process: larger after each restart.
-     */
+    /*! @param started Start time of this process, which serves as its
+     * incarnation number. */
     heartbeat_gossip(const node_settings& set, const key_ring& keys,
                      member_table& all, const configuration_view& known,
                      metrics& counts, std::uint64_t started,
@@ -80,8 +80,8 @@
     newer_callback newer;
     crashes_callback crashes;
     std::unique_ptr<datagram_socket> socket;
-    std::map<instance_id, time_point>
-        last_reply; /*!< To neighbours that are behind. */
+    /*! @brief When a neighbour with an older configuration got a reply. */
+    std::map<instance_id, time_point> last_reply;
     std::uint64_t last_sequence{0};
     bool leaving{false};
 };
--- a/src/coursejunction/daemon/internal/held_versions.hpp
+++ b/src/coursejunction/daemon/internal/held_versions.hpp
@@ -15,7 +15,7 @@
 {
 
 /*! @brief Holds the target version, the served version, and a version whose
- * transfer was stopped, until the next one has adopted the chunks that both
+ * transfer was stopped, until the next one has copied the chunks that both
  * share. */
 class held_versions
 {
@@ -25,8 +25,8 @@
     /*! @brief Sets the version that the engine serves. */
     void set_served(const digest& version) { served = version; }
 
-    /*! @brief Adds a version, which adopts the chunks that it shares with those
-     * already held. */
+    /*! @brief Adds a version and copies into it the chunks that it shares with
+     * those already held. */
     void add(const digest& version, const value_type& chunks);
 
     /*! @brief Drops the versions that are neither the target nor served. */
--- a/src/coursejunction/daemon/internal/live_upstreams.hpp
+++ b/src/coursejunction/daemon/internal/live_upstreams.hpp
@@ -45,8 +45,9 @@
         table.record_success(at, took);
     }
 
-    /*! @brief Records an attempt that failed. A full upstream is marked full;
-     * only a refusal that counts as its fault is a failure of the upstream. */
+    /*! @brief Records an attempt that failed. An upstream that refused as busy
+     * is marked full; another refusal counts as its failure only if it is the
+     * fault of the upstream. */
     void record_failure(const instance_id& at, refusal why, time_point now);
 
     /*! @brief Chooses an upstream that has room.
@@ -54,9 +55,7 @@
     [[nodiscard]] std::optional<instance_id> choose(const route_request& route,
                                                     time_point now);
 
-    /*! @brief Returns whether any upstream serves the model, even if it is
-     * full.
-     */
+    /*! @brief Returns whether any upstream, full or not, serves the model. */
     [[nodiscard]] bool is_served(const route_request& route,
                                  time_point now) const
     {
--- a/src/coursejunction/daemon/internal/paced_downlink.cpp
+++ b/src/coursejunction/daemon/internal/paced_downlink.cpp
@@ -23,16 +23,16 @@
 void paced_downlink::enqueue(chunk_index chunk, std::string bytes,
                              const instance_id& from)
 {
-    const auto at =
+    const auto due_at =
         link.reserve(static_cast<double>(bytes.size()), event_loop::now());
-    queued.push_back({at, chunk, std::move(bytes), from});
+    queued.push_back({due_at, chunk, std::move(bytes), from});
     deliver_due();
 }
 
 void paced_downlink::deliver_due()
 {
     while (!queued.empty() &&
-           queued.front().at <= event_loop::now() + timer_resolution)
+           queued.front().due_at <= event_loop::now() + timer_resolution)
     {
         auto next = std::move(queued.front());
         queued.pop_front();
@@ -40,7 +40,7 @@
     }
     if (queued.empty())
         return;
-    due_timer = loop.after(queued.front().at - event_loop::now(),
+    due_timer = loop.after(queued.front().due_at - event_loop::now(),
                            [this] { deliver_due(); });
 }
 
--- a/src/coursejunction/daemon/internal/paced_downlink.hpp
+++ b/src/coursejunction/daemon/internal/paced_downlink.hpp
@@ -39,7 +39,7 @@
 private:
     struct queued_chunk
     {
-        time_point at;
+        time_point due_at;
         chunk_index chunk;
         std::string bytes;
         instance_id from;
--- a/src/coursejunction/daemon/internal/response_writer.hpp
+++ b/src/coursejunction/daemon/internal/response_writer.hpp
@@ -45,7 +45,7 @@
 
     /*! @brief Finishes a request that no upstream answered. The outcome is
      * "not run" only if no attempt may have run and, for a request that must
-     * not run twice, if no other sidecar has claimed its id. */
+     * not run twice, if no claim of its id is known. */
     void finish_failed(const live_request_pointer& request,
                        attempt_failure failure);
 
--- a/src/coursejunction/daemon/internal/retry_policy.hpp
+++ b/src/coursejunction/daemon/internal/retry_policy.hpp
@@ -40,7 +40,7 @@
 
 private:
     static constexpr double retry_ratio = 0.1; /*!< Attempts per request. */
-    static constexpr double max_budget = 20;   /*!< Largest budget. */
+    static constexpr double max_budget = 20;   /*!< In attempts. */
 
     retry_budget budget{retry_ratio, max_budget};
 };
--- a/src/coursejunction/daemon/internal/run_claims.hpp
+++ b/src/coursejunction/daemon/internal/run_claims.hpp
@@ -62,7 +62,7 @@
     void acquire(const claim_pointer& pending);
     void open_session(const claim_pointer& pending);
     void acquired(const claim_pointer& pending, const std::string& session_id,
-                  swap_outcome end);
+                  swap_outcome swapped);
     void acquire_later(const claim_pointer& pending);
     void record_at_voters(const claim_pointer& pending,
                           const std::string& session_id);
--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -41,18 +41,18 @@
     return host.settings();
 }
 
-void version_fetch::set_target(const digest& version, weighting preference)
+void version_fetch::set_target(const digest& version, weighting objective)
 {
     if (target && target->version == version)
     {
-        target->preference = preference;
+        target->objective = objective;
         return;
     }
     clear_target();
     origin.reset();
     target.emplace();
     target->version = version;
-    target->preference = preference;
+    target->objective = objective;
     target->started_at = now();
     if (auto chunks = held.find(version))
         start_transfer(std::move(chunks));
@@ -98,12 +98,12 @@
     auto& current = *target;
     current.chunks = std::move(chunks);
     current.planner.emplace(make_planner(current.chunks->of(), settings(),
-                                         current.preference, now()));
+                                         current.objective, now()));
     held.add(current.version, current.chunks);
     release_unused();
     assign_participants();
-    for (const auto at : current.chunks->held())
-        with_planner([&](auto& planner) { planner.held(at, now()); });
+    for (const auto chunk : current.chunks->held())
+        with_planner([&](auto& planner) { planner.held(chunk, now()); });
     stager.start(current.version, current.chunks);
     announcer.send_all_held(*current.chunks);
     log::state("transfer_started",
@@ -263,8 +263,8 @@
 void version_fetch::add_listener(const instance_id& peer)
 {
     const auto* found = host.members().find(peer);
-    const bool near = found != nullptr && found->hall == settings().hall;
-    announcer.add_listener(peer, near, *target->chunks);
+    const bool same_hall = found != nullptr && found->hall == settings().hall;
+    announcer.add_listener(peer, same_hall, *target->chunks);
 }
 
 void version_fetch::record_chunk_request(const instance_id& from,
--- a/src/coursejunction/daemon/internal/version_fetch.hpp
+++ b/src/coursejunction/daemon/internal/version_fetch.hpp
@@ -33,7 +33,7 @@
 struct target_version
 {
     digest version;
-    weighting preference{weighting::time};
+    weighting objective{weighting::time};
     std::shared_ptr<staging> chunks; /*!< Null until the manifest arrives. */
     std::optional<any_planner> planner;
     unsigned manifest_attempts{0};
@@ -56,13 +56,13 @@
                   held_versions& versions, chunk_uploader& sender);
 
     /*! @brief Sets the target version; a download of another one is stopped. */
-    void set_target(const digest& version, weighting preference);
+    void set_target(const digest& version, weighting objective);
 
     /*! @brief Stops the download; there is no target afterwards. */
     void clear_target();
 
     /*! @brief Drops the versions that are neither the target nor served, once
-     * the target has adopted the chunks that they share. Does nothing before
+     * the target has copied the chunks that they share. Does nothing before
      * the target's manifest is known. */
     void release_unused();
 
@@ -110,10 +110,10 @@
         return has_manifest() && target->chunks->complete();
     }
 
-    /*! @brief Returns how much of the target is held, and why it is not
-     * whole. */
+    /*! @brief Returns how much of the target is held and the last failure. */
     [[nodiscard]] transfer_progress progress() const;
     [[nodiscard]] const transfer_counters& counters() const { return counts; }
+    /*! @brief Returns the announcer, for the numbers of its peers. */
     [[nodiscard]] const have_announcer& announcements() const
     {
         return announcer;
--- a/tests/daemon/internal/held_versions.cpp
+++ b/tests/daemon/internal/held_versions.cpp
@@ -20,7 +20,7 @@
     for (const auto& version : {first, second, third})
         held.add(version->of().id(), version);
 
-    THEN("a later version adopts the chunks that it shares with an earlier one")
+    THEN("a later version gets the chunks that it shares with an earlier one")
     {
         CHECK(second->contains(0));
         CHECK(held.find(second->of().id(), 0) == first->find(0));
