--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -13,11 +13,12 @@
 namespace
 {
 
-/*! @brief Time between two requests for a manifest. */
+/*! @brief Interval between two requests for a manifest. */
 constexpr milliseconds manifest_interval{100};
 
-/*! @brief Requests for a manifest to one rank before the next stands in. */
-constexpr unsigned manifest_attempts_each = 5;
+/*! @brief Manifest requests sent to the peer of one rank before the request
+ * goes to the peer of the next rank. */
+constexpr unsigned manifest_attempts_per_rank = 5;
 
 } // namespace
 
@@ -28,9 +29,8 @@
       downlink(
           owner.loop(), owner.settings().download_rate,
           [this](chunk_index chunk, std::string bytes, const instance_id& from)
-          { arrive(chunk, std::move(bytes), from); }),
-      origin(owner.http(), owner.settings()),
-      hand_over(engine, std::move(staged)),
+          { accept_chunk(chunk, std::move(bytes), from); }),
+      origin(owner.http(), owner.settings()), stager(engine, std::move(staged)),
       announcer([this](const instance_id& to, std::vector<chunk_index> chunks)
                 { send_have(to, std::move(chunks)); })
 {
@@ -41,82 +41,82 @@
     return host.settings();
 }
 
-void version_fetch::want(const digest& version, weighting weigh)
+void version_fetch::set_target(const digest& version, weighting objective)
 {
-    if (wanted && wanted->version == version)
+    if (target && target->version == version)
     {
-        wanted->weigh = weigh;
+        target->objective = objective;
         return;
     }
-    stop();
-    origin.restart();
-    wanted.emplace();
-    wanted->version = version;
-    wanted->weigh = weigh;
-    wanted->began = now();
-    if (auto known = held.find(version))
-        begin(std::move(known));
+    clear_target();
+    origin.reset();
+    target.emplace();
+    target->version = version;
+    target->objective = objective;
+    target->started_at = now();
+    if (auto chunks = held.find(version))
+        start_transfer(std::move(chunks));
 }
 
-void version_fetch::stop()
+void version_fetch::clear_target()
 {
-    if (!wanted)
+    if (!target)
         return;
-    origin.stop();
-    uploads.drop_waiters(wanted->version);
-    wanted.reset();
-    downlink.drop();
-    hand_over.stop();
+    origin.cancel_all();
+    uploads.drop_waiters(target->version);
+    target.reset();
+    downlink.clear();
+    stager.stop();
     announcer.stop();
 }
 
-void version_fetch::release()
+void version_fetch::release_unused()
 {
-    if (wanted && wanted->chunks)
-        held.release_but(wanted->version);
+    if (target && target->chunks)
+        held.release_unused(target->version);
 }
 
-void version_fetch::hand_over_again()
+void version_fetch::restage()
 {
-    if (!wanted || !wanted->chunks)
+    if (!target || !target->chunks)
         return;
-    origin.stop();
-    downlink.drop();
-    hand_over.again();
+    origin.cancel_all();
+    downlink.clear();
+    stager.restart();
 }
 
-void version_fetch::participants(std::vector<participant> all)
+void version_fetch::set_participants(std::vector<participant> all)
 {
-    if (all == everybody)
+    if (all == participants)
         return;
-    everybody = std::move(all);
-    assign();
+    participants = std::move(all);
+    assign_participants();
 }
 
-void version_fetch::begin(std::shared_ptr<staging> chunks)
-{
-    auto& fetching = *wanted;
-    fetching.chunks = std::move(chunks);
-    fetching.planner.emplace(
-        make_planner(fetching.chunks->of(), settings(), fetching.weigh, now()));
-    held.hold(fetching.version, fetching.chunks);
-    release();
-    assign();
-    for (const auto at : fetching.chunks->held())
-        with_planner([&](auto& planner) { planner.held(at, now()); });
-    hand_over.begin(fetching.version, fetching.chunks);
-    announcer.greet(*fetching.chunks);
+void version_fetch::start_transfer(std::shared_ptr<staging> chunks)
+{
+    auto& current = *target;
+    current.chunks = std::move(chunks);
+    current.planner.emplace(make_planner(current.chunks->of(), settings(),
+                                         current.objective, now()));
+    held.add(current.version, current.chunks);
+    release_unused();
+    assign_participants();
+    for (const auto chunk : current.chunks->held())
+        with_planner([&](auto& planner) { planner.held(chunk, now()); });
+    stager.start(current.version, current.chunks);
+    announcer.send_all_held(*current.chunks);
     log::state("transfer_started",
-               {{"version", fetching.version.hex()},
-                {"chunks", std::to_string(fetching.chunks->of().size())},
-                {"held", std::to_string(fetching.chunks->size())}});
+               {{"version", current.version.hex()},
+                {"chunks", std::to_string(current.chunks->of().size())},
+                {"held", std::to_string(current.chunks->size())}});
 }
 
-void version_fetch::assign()
+void version_fetch::assign_participants()
 {
     with_planner([&](auto& planner)
-                 { planner.participants(everybody, now()); });
-    if (!wanted || !wanted->planner)
+                 { planner.participants(participants, now()); });
+    if (!target || !target->planner)
         return;
     choose_neighbours();
 }
@@ -124,176 +124,181 @@
 void version_fetch::choose_neighbours()
 {
     const auto chosen =
-        chosen_neighbours(wanted->version, everybody, settings().instance,
+        chosen_neighbours(target->version, participants, settings().instance,
                           settings().hall, settings().transfer_neighbours);
-    std::set<instance_id> all(chosen.begin(), chosen.end());
+    std::set<instance_id> neighbours(chosen.begin(), chosen.end());
     with_planner(
         [&](auto& planner)
         {
             for (const auto& id : planner.watched())
-                all.insert(id);
+                neighbours.insert(id);
         });
-    announcer.neighbours(std::move(all));
+    announcer.set_neighbours(std::move(neighbours));
 }
 
 void version_fetch::send_have(const instance_id& to,
                               std::vector<chunk_index> chunks)
 {
     message::have have;
-    have.manifest = wanted->version;
+    have.manifest = target->version;
     have.chunks = std::move(chunks);
     have.queue = static_cast<std::uint32_t>(uploads.size());
     host.send(to, have);
 }
 
-void version_fetch::ask_manifest()
+void version_fetch::request_manifest()
 {
-    auto& fetching = *wanted;
-    if (now() < fetching.manifest_after || everybody.empty())
+    auto& current = *target;
+    if (now() < current.next_manifest_request || participants.empty())
         return;
-    fetching.manifest_after = now() + manifest_interval;
+    current.next_manifest_request = now() + manifest_interval;
     const auto source = manifest_source(
-        fetching.version, everybody, settings().instance, settings().hall,
-        fetching.manifest_attempts / manifest_attempts_each);
-    ++fetching.manifest_attempts;
+        current.version, participants, settings().instance, settings().hall,
+        current.manifest_attempts / manifest_attempts_per_rank);
+    ++current.manifest_attempts;
     if (!source)
-        return ask_origin_manifest();
+        return request_origin_manifest();
     message::manifest_request request;
-    request.manifest = fetching.version;
+    request.manifest = current.version;
     host.send(*source, request);
 }
 
-void version_fetch::ask_origin_manifest()
-{
-    origin.ask_manifest(wanted->version,
-                        [this](weight_source, const http_result& end)
-                        {
-                            counts.origin_bytes += end.body.size();
-                            if (end.ok())
-                                return take_manifest(end.body);
-                            wanted->reason =
-                                "origin does not give the manifest: " +
-                                fault_text(end);
-                        });
+void version_fetch::request_origin_manifest()
+{
+    origin.fetch_manifest(target->version,
+                          [this](weight_source, const http_result& response)
+                          {
+                              counts.origin_bytes += response.body.size();
+                              if (response.ok())
+                                  return accept_manifest(response.body);
+                              target->reason =
+                                  "the origin did not return the manifest: " +
+                                  failure_text(response);
+                          });
 }
 
-void version_fetch::take_manifest(const std::string& text)
+void version_fetch::accept_manifest(const std::string& text)
 {
-    if (!wanted || wanted->chunks)
+    if (!target || target->chunks)
         return;
-    auto parsed = manifest::parse(text, wanted->version);
+    auto parsed = manifest::parse(text, target->version);
     if (!parsed)
     {
         ++counts.corrupt_chunks;
-        wanted->reason = parsed.error().message;
+        target->reason = parsed.error().message;
         return;
     }
-    const auto total = parsed.value().total_bytes();
-    if (static_cast<double>(total) > settings().staged_limit)
+    const auto total_bytes = parsed.value().total_bytes();
+    if (static_cast<double>(total_bytes) > settings().staged_limit)
     {
-        wanted->reason = "the version has " + std::to_string(total) +
-                         " bytes, more than staged_limit";
+        target->reason = "the version has " + std::to_string(total_bytes) +
+                         " bytes, which exceeds staged_limit";
         return;
     }
-    wanted->reason.clear();
-    begin(std::make_shared<staging>(std::move(parsed.value())));
+    target->reason.clear();
+    start_transfer(std::make_shared<staging>(std::move(parsed.value())));
 }
 
-void version_fetch::ask_chunks()
+void version_fetch::request_chunks()
 {
     std::vector<transfer_request> requests;
     with_planner([&](auto& planner) { requests = planner.next(now()); });
-    for (const auto& one : requests)
+    for (const auto& wanted : requests)
     {
-        if (one.how == transfer_request::kind::origin)
-            ask_origin(one.chunk);
+        if (wanted.how == transfer_request::kind::origin)
+            request_from_origin(wanted.chunk);
         else
-            ask_peer(one);
+            request_from_peer(wanted);
     }
 }
 
-void version_fetch::ask_peer(const transfer_request& one)
+void version_fetch::request_from_peer(const transfer_request& wanted)
 {
     message::chunk_request request;
-    request.manifest = wanted->version;
-    request.chunk = one.chunk;
-    request.wait = one.how == transfer_request::kind::waiting;
-    if (!host.send(one.peer, request))
-        with_planner([&](auto& planner)
-                     { planner.refused(one.chunk, one.peer, true, 0, now()); });
+    request.manifest = target->version;
+    request.chunk = wanted.chunk;
+    request.wait = wanted.how == transfer_request::kind::waiting;
+    if (!host.send(wanted.peer, request))
+        with_planner(
+            [&](auto& planner)
+            { planner.refused(wanted.chunk, wanted.peer, true, 0, now()); });
 }
 
-void version_fetch::ask_origin(chunk_index chunk)
-{
-    origin.ask_chunk(wanted->chunks->of(), chunk,
-                     [this, chunk](weight_source from, http_result end)
-                     {
-                         (from == weight_source::store
-                              ? counts.weight_store_bytes
-                              : counts.origin_bytes) += end.body.size();
-                         if (!end.ok())
-                             return origin_failed(chunk, end);
-                         arrive(chunk, std::move(end.body), instance_id());
-                     });
+void version_fetch::request_from_origin(chunk_index chunk)
+{
+    origin.fetch_chunk(target->chunks->of(), chunk,
+                       [this, chunk](weight_source from, http_result response)
+                       {
+                           (from == weight_source::store
+                                ? counts.weight_store_bytes
+                                : counts.origin_bytes) += response.body.size();
+                           if (!response.ok())
+                               return origin_failed(chunk, response);
+                           accept_chunk(chunk, std::move(response.body),
+                                        instance_id());
+                       });
 }
 
-void version_fetch::origin_failed(chunk_index chunk, const http_result& end)
+void version_fetch::origin_failed(chunk_index chunk,
+                                  const http_result& response)
 {
-    wanted->reason = "origin does not give a chunk: " + fault_text(end);
+    target->reason =
+        "the origin did not return a chunk: " + failure_text(response);
     with_planner([&](auto& planner) { planner.origin_failed(chunk, now()); });
 }
 
-void version_fetch::heard_have(const instance_id& from,
-                               const result<message::have>& have)
+void version_fetch::handle_have(const instance_id& from,
+                                const result<message::have>& have)
 {
-    if (!have || !wanted || !wanted->chunks ||
-        have.value().manifest != wanted->version)
+    if (!have || !target || !target->chunks ||
+        have.value().manifest != target->version)
         return;
     with_planner(
         [&](auto& planner) {
             planner.holds(from, have.value().chunks, have.value().queue, now());
         });
-    listen(from);
+    add_listener(from);
 }
 
-void version_fetch::listen(const instance_id& peer)
+void version_fetch::add_listener(const instance_id& peer)
 {
-    const auto* known = host.members().find(peer);
-    const bool near = known != nullptr && known->hall == settings().hall;
-    announcer.listen(peer, near, *wanted->chunks);
+    const auto* found = host.members().find(peer);
+    const bool same_hall = found != nullptr && found->hall == settings().hall;
+    announcer.add_listener(peer, same_hall, *target->chunks);
 }
 
-void version_fetch::asked(const instance_id& from, const digest& version)
+void version_fetch::record_chunk_request(const instance_id& from,
+                                         const digest& version)
 {
-    announcer.asked(now());
-    if (begun() && wants(version))
-        listen(from);
+    announcer.record_request(now());
+    if (has_manifest() && is_target(version))
+        add_listener(from);
 }
 
-void version_fetch::replied(const instance_id& from,
-                            const result<message::chunk_reply>& reply,
-                            std::string bytes)
+void version_fetch::handle_chunk_reply(
+    const instance_id& from, const result<message::chunk_reply>& reply,
+    std::string bytes)
 {
-    if (!reply || !wanted || !wanted->chunks ||
-        reply.value().manifest != wanted->version)
+    if (!reply || !target || !target->chunks ||
+        reply.value().manifest != target->version)
         return;
-    const auto& got = reply.value();
-    if (got.status != message::chunk_status::given)
+    const auto& response = reply.value();
+    if (response.status != message::chunk_status::given)
     {
         with_planner(
             [&](auto& planner)
             {
                 planner.heard(from, now());
-                planner.refused(got.chunk, from,
-                                got.status != message::chunk_status::busy,
-                                got.queue, now());
+                planner.refused(response.chunk, from,
+                                response.status != message::chunk_status::busy,
+                                response.queue, now());
             });
         return;
     }
     count_peer_bytes(from, bytes.size());
     with_planner([&](auto& planner)
-                 { planner.holds(from, {}, got.queue, now()); });
-    downlink.carry(got.chunk, std::move(bytes), from);
+                 { planner.holds(from, {}, response.queue, now()); });
+    downlink.enqueue(response.chunk, std::move(bytes), from);
 }
 
 void version_fetch::count_peer_bytes(const instance_id& from, std::size_t bytes)
@@ -306,48 +311,48 @@
     counts.cross_region_bytes += peer->region != settings().region ? bytes : 0;
 }
 
-void version_fetch::arrive(chunk_index chunk, std::string bytes,
-                           const instance_id& from)
+void version_fetch::accept_chunk(chunk_index chunk, std::string bytes,
+                                 const instance_id& from)
 {
-    auto& fetching = *wanted;
-    const auto end = fetching.chunks->add(chunk, std::move(bytes));
-    if (end == staging::addition::corrupt)
+    auto& current = *target;
+    const auto added = current.chunks->add(chunk, std::move(bytes));
+    if (added == staging::addition::corrupt)
     {
         ++counts.corrupt_chunks;
         host.counters().count("chunks_corrupt_total");
         with_planner([&](auto& planner) { planner.corrupt(chunk, from); });
-        return ask_chunks();
+        return request_chunks();
     }
-    if (end == staging::addition::already_held)
+    if (added == staging::addition::already_held)
     {
         ++counts.duplicate_chunks;
         return;
     }
     with_planner([&](auto& planner) { planner.held(chunk, now()); });
-    announcer.added(chunk);
-    hand_over.offer(chunk);
-    uploads.serve_waiters(fetching.version, chunk);
-    hand_over.move_on();
-    ask_chunks();
-    if (fetching.chunks->complete())
-        finished();
+    announcer.add_chunk(chunk);
+    stager.enqueue(chunk);
+    uploads.serve_waiters(current.version, chunk);
+    stager.advance();
+    request_chunks();
+    if (current.chunks->complete())
+        transfer_finished();
 }
 
-void version_fetch::finished()
+void version_fetch::transfer_finished()
 {
-    wanted->reason.clear();
+    target->reason.clear();
     log::state(
         "transfer_complete",
-        {{"version", wanted->version.hex()},
-         {"seconds", std::to_string(to_seconds(now() - wanted->began))}});
+        {{"version", target->version.hex()},
+         {"seconds", std::to_string(to_seconds(now() - target->started_at))}});
 }
 
-void version_fetch::replied_manifest(
+void version_fetch::handle_manifest_reply(
     const result<message::manifest_reply>& reply, const std::string& text)
 {
-    if (reply && wanted && reply.value().manifest == wanted->version &&
+    if (reply && target && reply.value().manifest == target->version &&
         !text.empty())
-        take_manifest(text);
+        accept_manifest(text);
 }
 
 void version_fetch::peer_lost(const instance_id& peer)
@@ -358,51 +363,51 @@
 
 void version_fetch::tick()
 {
-    if (!wanted)
+    if (!target)
         return;
-    if (!wanted->chunks)
-        return ask_manifest();
-    hand_over.move_on();
-    ask_chunks();
-    announcer.tell(*wanted->chunks, now());
+    if (!target->chunks)
+        return request_manifest();
+    stager.advance();
+    request_chunks();
+    announcer.announce(*target->chunks, now());
 }
 
-bool version_fetch::wants(const digest& version) const
+bool version_fetch::is_target(const digest& version) const
 {
-    return wanted && wanted->version == version;
+    return target && target->version == version;
 }
 
 transfer_progress version_fetch::progress() const
 {
-    if (!wanted)
+    if (!target)
         return {};
-    transfer_progress made;
-    made.reason = wanted->reason;
-    if (wanted->chunks)
+    transfer_progress progress;
+    progress.reason = target->reason;
+    if (target->chunks)
     {
-        made.bytes_done = wanted->chunks->bytes();
-        made.bytes_total = wanted->chunks->of().total_bytes();
+        progress.bytes_done = target->chunks->bytes();
+        progress.bytes_total = target->chunks->of().total_bytes();
     }
-    return made;
+    return progress;
 }
 
 nlohmann::json version_fetch::dump() const
 {
-    if (!wanted)
+    if (!target)
         return {};
-    nlohmann::json made = {{"version", wanted->version.hex()},
-                           {"reason", wanted->reason},
-                           {"handed_over", hand_over.size()}};
-    if (!wanted->planner)
-        return made;
+    nlohmann::json state = {{"version", target->version.hex()},
+                            {"reason", target->reason},
+                            {"handed_over", stager.staged_count()}};
+    if (!target->planner)
+        return state;
     std::visit(
         [&](const auto& planner)
         {
-            made["level"] = planner.level();
-            made["pending"] = planner.pending();
+            state["level"] = planner.level();
+            state["pending"] = planner.pending();
         },
-        *wanted->planner);
-    return made;
+        *target->planner);
+    return state;
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -11,11 +11,11 @@
 #include "coursejunction/core/log.hpp"
 #include "coursejunction/core/rendezvous.hpp"
 #include "coursejunction/daemon/entry_request.hpp"
-#include "coursejunction/daemon/internal/caller_answers.hpp"
-#include "coursejunction/daemon/internal/claim_notes.hpp"
 #include "coursejunction/daemon/internal/live_request.hpp"
 #include "coursejunction/daemon/internal/live_upstreams.hpp"
-#include "coursejunction/daemon/internal/retry_rule.hpp"
+#include "coursejunction/daemon/internal/replicated_claims.hpp"
+#include "coursejunction/daemon/internal/response_writer.hpp"
+#include "coursejunction/daemon/internal/retry_policy.hpp"
 #include "coursejunction/daemon/internal/service_times.hpp"
 #include "coursejunction/daemon/node.hpp"
 #include "coursejunction/route/fair_queue.hpp"
@@ -51,8 +51,8 @@
 {
     using queue_key = std::pair<std::string, std::string>;
     using live_request = internal::live_request;
-    using attempt_end = internal::attempt_end;
-    using request_pointer = internal::live_pointer;
+    using attempt_failure = internal::attempt_failure;
+    using request_pointer = internal::live_request_pointer;
 
     explicit implementation(node& owner)
         : host(owner), upstreams(owner.settings()), claims(owner),
@@ -70,15 +70,15 @@
         auto parsed =
             parse_entry_request(incoming, host.settings().default_deadline);
         if (!parsed)
-            return internal::caller_answers::refuse_input(
+            return internal::response_writer::reject_input(
                 reply, parsed.error().message);
         auto request = std::make_shared<live_request>();
         static_cast<entry_request&>(*request) = std::move(parsed.value());
         request->reply = reply;
         request->content = request_content::of(request->organisation.value(),
                                                request->path, request->body);
-        request->arrived = now();
-        request->deadline = request->arrived + request->timeout;
+        request->arrived_at = now();
+        request->deadline = request->arrived_at + request->timeout;
         if (host.is_leaving() && host.leaving_for() > accept_while_leaving)
             return refuse(request, 503, "this entry is shutting down",
                           milliseconds(100));
@@ -87,7 +87,7 @@
                           milliseconds(500));
         request->stream = ++last_stream;
         host.counters().count("requests_total");
-        retries.request();
+        retries.record_request();
         live_requests.emplace(request->stream, request);
         reply->on_abandoned(
             [this, stream = request->stream] {
@@ -121,7 +121,7 @@
             return;
         // Model names come from callers: a queue is created only for a model
         // that is served, so that requests cannot create queues without end.
-        if (!upstreams.served(request->route, now()))
+        if (!upstreams.is_served(request->route, now()))
             return refuse(request, unserved_status(*request),
                           "no upstream serves " + request->route.model,
                           internal::no_upstream_retry_after);
@@ -154,21 +154,21 @@
      * dispatched now. */
     bool withhold_suspect(const request_pointer& request)
     {
-        const auto status = host.crashes().standing(request->content, now());
+        const auto status = host.crashes().status(request->content, now());
         if (status == crash_status::clear)
             return false;
         const bool on_trial = status == crash_status::on_trial;
-        const auto max_running = host.crashes().most_running(
+        const auto max_running = host.crashes().max_running(
             request->content, on_trial && is_trial_owner(request->content),
             now());
         // A trial is a single attempt whose failure may already be its result:
         // a request on trial that may have run is not sent again.
-        if (max_running == 0 || (on_trial && request->maybe_ran))
+        if (max_running == 0 || (on_trial && request->may_have_run))
             refuse_quarantined(request);
         else if (running_copies(*request) < max_running)
             return false;
-        else if (now() - request->arrived < internal::suspect_wait ||
-                 request->maybe_ran)
+        else if (now() - request->arrived_at < internal::suspect_wait ||
+                 request->may_have_run)
             held_requests.push_back(request->stream);
         else
             refuse(request, 503, "another copy of the request is running",
@@ -193,13 +193,14 @@
 
     [[nodiscard]] std::size_t running_copies(const live_request& request) const
     {
-        return static_cast<std::size_t>(std::count_if(
-            live_requests.begin(), live_requests.end(),
-            [&](const auto& other)
-            {
-                return other.first != request.stream && other.second->running &&
-                       other.second->content == request.content;
-            }));
+        return static_cast<std::size_t>(
+            std::count_if(live_requests.begin(), live_requests.end(),
+                          [&](const auto& other)
+                          {
+                              return other.first != request.stream &&
+                                     other.second->attempt_running &&
+                                     other.second->content == request.content;
+                          }));
     }
 
     /*! @brief Sends held requests again where they may run now; those past
@@ -243,7 +244,8 @@
             std::any_of(specs.begin(), specs.end(),
                         [&](const auto& spec)
                         { return spec.second.model == request.route.model; });
-        return known || upstreams.knows(request.route.model) ? 503 : 404;
+        return known || upstreams.has_reported_model(request.route.model) ? 503
+                                                                          : 404;
     }
 
     void dispatch_queued()
@@ -292,14 +294,14 @@
     void dispatch(const request_pointer& request, const instance_id& to)
     {
         request->upstream = to;
-        request->running = true;
-        request->started = now();
+        request->attempt_running = true;
+        request->attempt_started_at = now();
         ++request->attempt;
-        request->parts = 0;
-        request->gathered.clear();
-        request->events.drop();
-        upstreams.entered(to);
-        if (!host.send(to, dispatch_of(*request, time_left(*request)),
+        request->received_parts = 0;
+        request->buffered_body.clear();
+        request->events.discard_partial();
+        upstreams.begin_request(to);
+        if (!host.send(to, make_dispatch(*request, time_left(*request)),
                        request->body))
             handle_failed_attempt(
                 request, {outcome::not_run, refusal::unreachable, 503,
@@ -314,10 +316,10 @@
 
     void release_upstream(const request_pointer& request)
     {
-        if (!request->running)
+        if (!request->attempt_running)
             return;
-        request->running = false;
-        upstreams.left(request->upstream);
+        request->attempt_running = false;
+        upstreams.end_request(request->upstream);
     }
 
     request_pointer find_attempt(const instance_id& from, std::uint64_t stream,
@@ -325,7 +327,7 @@
     {
         const auto found = live_requests.find(stream);
         if (found == live_requests.end() || found->second->attempt != attempt ||
-            found->second->upstream != from || !found->second->running)
+            found->second->upstream != from || !found->second->attempt_running)
         {
             // The frame belongs to an attempt that was cancelled or replaced.
             host.counters().count("late_frames_total");
@@ -340,19 +342,19 @@
         const auto request = find_attempt(from, head.stream, head.attempt);
         if (!request)
             return;
-        if (head.index != request->parts ||
-            request->gathered.size() + bytes.size() >
+        if (head.index != request->received_parts ||
+            request->buffered_body.size() + bytes.size() >
                 internal::max_buffered_response)
             return fail_attempt(
                 request,
                 "parts of the response are missing or it is too large");
-        ++request->parts;
+        ++request->received_parts;
         if (!request->streamed)
         {
-            request->gathered += bytes;
+            request->buffered_body += bytes;
             return;
         }
-        forward_events(request, request->events.take(bytes));
+        forward_events(request, request->events.feed(bytes));
     }
 
     void forward_events(const request_pointer& request,
@@ -360,14 +362,14 @@
     {
         if (whole_events.empty())
             return;
-        if (!request->begun)
+        if (!request->stream_begun)
         {
-            const auto* weights = upstreams.weights(request->upstream);
+            const auto* weights = upstreams.served_version(request->upstream);
             if (weights != nullptr)
                 request->route.weights = *weights;
-            responses.begin(*request);
+            responses.begin_stream(*request);
         }
-        responses.give(request, whole_events);
+        responses.write_events(request, whole_events);
     }
 
     void fail_attempt(const request_pointer& request, const std::string& reason)
@@ -391,7 +393,8 @@
         if (!request)
             return;
         if (head.result == outcome::answered &&
-            (head.parts != request->parts || !request->events.whole()))
+            (head.parts != request->received_parts ||
+             !request->events.at_boundary()))
             return fail_attempt(request, "parts of the response are missing");
         if (head.result == outcome::answered)
             return complete(request, head);
@@ -403,16 +406,16 @@
     void complete(const request_pointer& request,
                   const message::answer_end& head)
     {
-        const auto took = now() - request->started;
-        upstreams.succeeded(
+        const auto took = now() - request->attempt_started_at;
+        upstreams.record_success(
             request->upstream,
             std::chrono::duration_cast<std::chrono::microseconds>(took));
-        host.crashes().answered(request->content, now());
-        estimates.learn(key_of(request->route), to_seconds(took));
+        host.crashes().record_response(request->content, now());
+        estimates.add_sample(key_of(request->route), to_seconds(took));
         queue_of(request->route).record_completion(now());
         release_upstream(request);
         live_requests.erase(request->stream);
-        responses.answered(*request, head);
+        responses.finish_answered(*request, head);
         dispatch_queued();
     }
 
@@ -420,12 +423,12 @@
      * goes to another upstream where the retry policy allows it, else the
      * failure is its final response. */
     void handle_failed_attempt(const request_pointer& request,
-                               const attempt_end& end)
+                               const attempt_failure& end)
     {
         release_upstream(request);
-        request->maybe_ran =
-            request->maybe_ran || end.result == outcome::unknown;
-        upstreams.failed(request->upstream, end.refused, now());
+        request->may_have_run =
+            request->may_have_run || end.result == outcome::unknown;
+        upstreams.record_failure(request->upstream, end.refused, now());
         request->route.excluded.push_back(request->upstream);
         if (retries.allows(*request, end, time_left(*request)))
         {
@@ -433,7 +436,7 @@
             return resend(request);
         }
         live_requests.erase(request->stream);
-        responses.conclude(request, end);
+        responses.finish_failed(request, end);
         dispatch_queued();
     }
 
@@ -446,7 +449,7 @@
             return;
         if (const auto to = upstreams.choose(request->route, now()))
             return dispatch(request, *to);
-        if (request->begun)
+        if (request->stream_begun)
             return refuse(request, 502,
                           "no upstream available to resume the stream",
                           milliseconds(0));
@@ -461,8 +464,8 @@
                 const std::string& reason, milliseconds retry_after)
     {
         live_requests.erase(request->stream);
-        responses.conclude(request, {outcome::not_run, refusal::none, status,
-                                     reason, retry_after});
+        responses.finish_failed(request, {outcome::not_run, refusal::none,
+                                          status, reason, retry_after});
     }
 
     void handle_disconnect(std::uint64_t stream)
@@ -473,7 +476,7 @@
         const auto request = found->second;
         host.counters().count("callers_left_total");
         live_requests.erase(found);
-        if (request->running)
+        if (request->attempt_running)
         {
             cancel(request);
             release_upstream(request);
@@ -489,7 +492,7 @@
 
     void handle_report(const message::report& report)
     {
-        upstreams.reported(report, now());
+        upstreams.apply_report(report, now());
         dispatch_queued();
     }
 
@@ -500,7 +503,7 @@
         std::vector<request_pointer> affected;
         for (const auto& [stream, request] : live_requests)
         {
-            if (request->running && request->upstream == peer)
+            if (request->attempt_running && request->upstream == peer)
                 affected.push_back(request);
         }
         for (const auto& request : affected)
@@ -545,7 +548,7 @@
         std::vector<request_pointer> late;
         for (const auto& [stream, request] : live_requests)
         {
-            if (request->running && !request->begun &&
+            if (request->attempt_running && !request->stream_begun &&
                 request->deadline <= now())
                 late.push_back(request);
         }
@@ -554,9 +557,9 @@
             cancel(request);
             release_upstream(request);
             live_requests.erase(request->stream);
-            responses.conclude(request,
-                               {outcome::unknown, refusal::none, 504,
-                                "the deadline has passed", milliseconds(0)});
+            responses.finish_failed(request, {outcome::unknown, refusal::none,
+                                              504, "the deadline has passed",
+                                              milliseconds(0)});
         }
     }
 
@@ -566,9 +569,9 @@
 
     node& host;
     internal::live_upstreams upstreams;
-    internal::claim_notes claims;
-    internal::caller_answers responses;
-    internal::retry_rule retries;
+    internal::replicated_claims claims;
+    internal::response_writer responses;
+    internal::retry_policy retries;
     internal::service_times<queue_key> estimates;
     std::map<queue_key, fair_queue> queues;
     std::unordered_map<std::uint64_t, request_pointer> live_requests;
@@ -612,7 +615,7 @@
             self->handle_end(from, head.value());
         return true;
     }
-    return self->claims.received(from, received);
+    return self->claims.handle_frame(from, received);
 }
 
 void request_service::peer_lost(const instance_id& peer)
--- a/src/coursejunction/daemon/resource_api.cpp
+++ b/src/coursejunction/daemon/resource_api.cpp
@@ -215,8 +215,9 @@
         if (parts[0] == "quarantine")
             return handle_quarantine_request(
                 from, *reply, host.crashes().records(),
-                [this](const request_content& content)
-                { return host.crashes().lift(content, node::now()); },
+                [this](const request_content& content) {
+                    return host.crashes().lift_quarantine(content, node::now());
+                },
                 node::now());
         if (parts[0] == "leave" && from.method == "POST")
         {
--- a/src/coursejunction/daemon/run_service.cpp
+++ b/src/coursejunction/daemon/run_service.cpp
@@ -97,7 +97,7 @@
         run->entry = from;
         run->content =
             request_content::of(dispatch.organisation, dispatch.path, body);
-        run->on_trial = host.crashes().standing(run->content, now()) ==
+        run->on_trial = host.crashes().status(run->content, now()) ==
                         crash_status::on_trial;
         run->body = std::move(body);
         run->started_at = now();
@@ -177,25 +177,25 @@
     void request_claim(const run_pointer& run)
     {
         claims.claim(request_id(run->dispatch.request),
-                     [this, run](internal::claim_end result)
+                     [this, run](internal::claim_result result)
                      { handle_claim(run, result); });
     }
 
-    void handle_claim(const run_pointer& run, internal::claim_end result)
+    void handle_claim(const run_pointer& run, internal::claim_result result)
     {
         const request_id id(run->dispatch.request);
         switch (result)
         {
-        case internal::claim_end::won:
+        case internal::claim_result::won:
             run->claim_pending = false;
             if (registry.start_claimed(id))
                 return start(run);
             return refuse(run, refusal::cancelled, milliseconds(0));
-        case internal::claim_end::lost:
+        case internal::claim_result::lost:
             run->claim_pending = false;
             registry.claim_lost(id);
             return end_duplicate(run);
-        case internal::claim_end::unknown:
+        case internal::claim_result::unknown:
             return handle_unknown_claim(run);
         }
     }
@@ -374,7 +374,7 @@
         host.counters().count("upstreams_ended_under_requests_total");
         log::warning("upstream_ended",
                      {{"requests", std::to_string(reports.size())}});
-        host.crashes().accuse(reports, now());
+        host.crashes().record_crashes(reports, now());
     }
 
     /*! @brief Ends a run that did not start, as the upstream accepted no
@@ -513,7 +513,7 @@
             self->handle_cancel(from, cancel.value());
         return true;
     }
-    return self->claims.received(from, received);
+    return self->claims.handle_frame(from, received);
 }
 
 void run_service::peer_lost(const instance_id& peer)
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -6,8 +6,8 @@
 #include <nlohmann/json.hpp>
 
 #include "coursejunction/core/log.hpp"
-#include "coursejunction/daemon/internal/fenced_orders.hpp"
-#include "coursejunction/daemon/internal/side_reports.hpp"
+#include "coursejunction/daemon/internal/fenced_commands.hpp"
+#include "coursejunction/daemon/internal/report_publisher.hpp"
 #include "coursejunction/daemon/node.hpp"
 #include "coursejunction/daemon/run_service.hpp"
 #include "coursejunction/daemon/upstream_client.hpp"
@@ -78,7 +78,7 @@
         tick_timer =
             host.loop().every(internal::side_tick_interval, [this] { tick(); });
         report_timer = host.loop().every(host.settings().report_interval, [this]
-                                         { reports.tell_load(make_report()); });
+                                         { reports.send_load(make_report()); });
         if (!is_plain_service)
             poll_timer = host.loop().every(internal::engine_poll_interval,
                                            [this] { poll_engine(); });
@@ -208,7 +208,7 @@
         case replica_action::request_permit:
             return request_permit();
         case replica_action::send_load_command:
-            return commands.request();
+            return commands.authorize();
         case replica_action::stage:
         case replica_action::none:
             return;
@@ -238,7 +238,7 @@
     {
         cached_prefixes = state.cached_prefixes;
         engine_slots = state.slots;
-        commands.seen(state.newest_token);
+        commands.record_seen_token(state.newest_token);
         if (state.loading)
             return;
         const auto served_before = local_replica.serving_version();
@@ -306,7 +306,7 @@
         command.adapter = local_replica.target()->adapter;
         command.engine_role = target.engine_role;
         command.token = commands.token();
-        commands.ordered();
+        commands.command_sent();
         host.counters().count("load_orders_total");
         engine.load(command, [this](const load_response& response)
                     { load_ended(response); });
@@ -316,7 +316,7 @@
     {
         using kind = load_response::kind;
         if (response.outcome == kind::stale_token)
-            commands.refused();
+            commands.token_rejected();
         if (response.outcome == kind::chunks_missing)
             restage_version();
         if (response.outcome != kind::loaded)
@@ -413,7 +413,7 @@
         send_report();
     }
 
-    void send_report() { reports.tell(make_report()); }
+    void send_report() { reports.send_report(make_report()); }
 
     std::string dump() const
     {
@@ -438,8 +438,8 @@
     replica local_replica;
     transfer_service transfer;
     run_service runs;
-    internal::fenced_orders commands;
-    internal::side_reports reports;
+    internal::fenced_commands commands;
+    internal::report_publisher reports;
     deployment target;
     bool is_plain_service;
     bool read_pending{false};
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -29,22 +29,23 @@
         switch (received.type)
         {
         case frame_type::have:
-            fetch.heard_have(from, decode<message::have>(received.head));
+            fetch.handle_have(from, decode<message::have>(received.head));
             return true;
         case frame_type::chunk_request:
             handle_chunk_request(from,
                                  decode<message::chunk_request>(received.head));
             return true;
         case frame_type::chunk_reply:
-            fetch.replied(from, decode<message::chunk_reply>(received.head),
-                          std::move(received.payload));
+            fetch.handle_chunk_reply(
+                from, decode<message::chunk_reply>(received.head),
+                std::move(received.payload));
             return true;
         case frame_type::manifest_request:
             handle_manifest_request(
                 from, decode<message::manifest_request>(received.head));
             return true;
         case frame_type::manifest_reply:
-            fetch.replied_manifest(
+            fetch.handle_manifest_reply(
                 decode<message::manifest_reply>(received.head),
                 received.payload);
             return true;
@@ -59,13 +60,13 @@
         if (!decoded)
             return;
         const auto& request = decoded.value();
-        const bool wanted = fetch.wants(request.manifest);
+        const bool wanted = fetch.is_target(request.manifest);
         const auto found = held.find(request.manifest);
         if (!found)
             return refuse(from, request,
                           wanted ? message::chunk_status::absent
                                  : message::chunk_status::foreign);
-        fetch.asked(from, request.manifest);
+        fetch.record_chunk_request(from, request.manifest);
         const bool chunk_held = found->contains(request.chunk);
         if (!chunk_held && request.wait && wanted)
             return uploader.add_waiter({from, request.manifest, request.chunk});
@@ -105,7 +106,7 @@
 
     void tick()
     {
-        if (!fetch.active())
+        if (!fetch.has_target())
             return;
         uploader.set_link_fraction(governor.portion());
         fetch.tick();
@@ -129,28 +130,28 @@
 
 void transfer_service::set_target(const digest& version, weighting weigh)
 {
-    self->fetch.want(version, weigh);
+    self->fetch.set_target(version, weigh);
 }
 
 void transfer_service::clear_target()
 {
-    self->fetch.stop();
+    self->fetch.clear_target();
 }
 
 void transfer_service::set_served_version(const digest& version)
 {
-    self->held.serving(version);
-    self->fetch.release();
+    self->held.set_served(version);
+    self->fetch.release_unused();
 }
 
 void transfer_service::restage()
 {
-    self->fetch.hand_over_again();
+    self->fetch.restage();
 }
 
 void transfer_service::set_participants(std::vector<participant> all)
 {
-    self->fetch.participants(std::move(all));
+    self->fetch.set_participants(std::move(all));
 }
 
 bool transfer_service::handle_frame(const instance_id& from, frame& received)
@@ -171,8 +172,9 @@
 
 void transfer_service::record_first_token(std::chrono::microseconds took)
 {
-    const bool transferring = self->fetch.begun() && (!self->fetch.complete() ||
-                                                      !self->uploader.empty());
+    const bool transferring =
+        self->fetch.has_manifest() &&
+        (!self->fetch.complete() || !self->uploader.empty());
     self->governor.first_token(took, transferring);
 }
 
@@ -194,7 +196,7 @@
 std::string transfer_service::dump() const
 {
     const auto& counts = self->fetch.counters();
-    const auto& announced = self->fetch.announced();
+    const auto& announced = self->fetch.announcements();
     nlohmann::json held = nlohmann::json::array();
     for (const auto& [version, chunks] : self->held.all())
         held.push_back({{"version", version.hex()},
