--- a/tests/platform/catalogue.cpp
+++ b/tests/platform/catalogue.cpp
@@ -93,7 +93,7 @@
     // Our own keys are compared by revisions, and do not stand without them.
     CHECK(catalogue::order(cj::configuration_copy_key(), configuration_text) ==
           cj::item_order{});
-    CHECK_FALSE(catalogue::is_operators(cj::configuration_copy_key()));
+    CHECK_FALSE(catalogue::is_operator_key(cj::configuration_copy_key()));
 
     const auto one = catalogue::upstream(
         "servers/i-1",
--- a/tests/proxy/gateway.cpp
+++ b/tests/proxy/gateway.cpp
@@ -83,7 +83,7 @@
         return unordered ? cj::item_order{}
                          : cj::item_order{0, std::stoull(payload)};
     }
-    static bool is_operators(const std::string& key)
+    static bool is_operator_key(const std::string& key)
     {
         return kind(key) == cj::item_kind::configuration ||
                kind(key) == cj::item_kind::version;
@@ -119,7 +119,7 @@
                 peers.entry = true;
                 peers.seeds = {address};
                 peers.items = {plain_catalogue::order,
-                               plain_catalogue::is_operators};
+                               plain_catalogue::is_operator_key};
                 node = std::move(entry::node_type::create(running.loop, *store,
                                                           counters, peers)
                                      .value());
