--- a/tests/platform/catalogue.cpp
+++ b/tests/platform/catalogue.cpp
@@ -37,29 +37,29 @@
 
 } // namespace
 
-SCENARIO("a configuration is decoded into the product's types", "[platform]")
+SCENARIO("a configuration is decoded", "[platform]")
 {
     const auto read = catalogue::configuration(configuration_text);
     REQUIRE(read);
-    const auto& rules = read.value();
-    CHECK(rules.version == 7);
-    REQUIRE(rules.routes.size() == 2);
+    const auto& configuration = read.value();
+    CHECK(configuration.version == 7);
+    REQUIRE(configuration.routes.size() == 2);
 
-    THEN("routes say what may be repeated")
+    THEN("routes say which requests may run more than once")
     {
-        const auto& stream = rules.routes[0];
+        const auto& stream = configuration.routes[0];
         CHECK(stream.kind == cj::request_kind::stream);
         CHECK(stream.repeatable());
         CHECK(stream.timeout == 6000ms);
         CHECK(stream.max_attempts == 2);
-        CHECK(rules.routes[1].kind == cj::request_kind::at_most_once);
-        CHECK_FALSE(rules.routes[1].repeatable());
-        CHECK(rules.routes[1].keyless);
-        CHECK(rules.routes[1].services.size() == 2);
+        CHECK(configuration.routes[1].kind == cj::request_kind::at_most_once);
+        CHECK_FALSE(configuration.routes[1].repeatable());
+        CHECK(configuration.routes[1].keyless);
+        CHECK(configuration.routes[1].services.size() == 2);
     }
-    THEN("an engine's figures have their units")
+    THEN("an engine's profile is converted to the units used here")
     {
-        const auto* llm = rules.service(cj::service_name("llm"));
+        const auto* llm = configuration.service(cj::service_name("llm"));
         REQUIRE(llm != nullptr);
         REQUIRE(llm->engine);
         CHECK(llm->engine->prefill_tokens_per_ms == Approx(19.1));
@@ -67,17 +67,17 @@
         CHECK(llm->engine->models == std::vector<std::string>{"m"});
         CHECK(llm->engine->load_seconds == Approx(0.3));
     }
-    THEN("the origin is found with its rate in bytes")
+    THEN("the origin's rate is converted to bytes per second")
     {
-        REQUIRE(rules.origin() != nullptr);
-        CHECK(rules.origin()->origin == "172.20.0.3:8006");
-        CHECK(rules.origin()->origin_rate == Approx(9.9e6 / 8));
+        REQUIRE(configuration.origin() != nullptr);
+        CHECK(configuration.origin()->origin == "172.20.0.3:8006");
+        CHECK(configuration.origin()->origin_rate == Approx(9.9e6 / 8));
     }
-    THEN("keys have their owner")
+    THEN("API keys are assigned to their organisation")
     {
-        CHECK(rules.requires_key);
-        CHECK(rules.owner("k2")->id.value() == "t1");
-        CHECK(rules.owner("k3") == nullptr);
+        CHECK(configuration.requires_key);
+        CHECK(configuration.owner("k2")->id.value() == "t1");
+        CHECK(configuration.owner("k3") == nullptr);
     }
 }
 
@@ -90,84 +90,85 @@
     CHECK(catalogue::kind(cj::configuration_copy_key()) ==
           cj::item_kind::configuration_copy);
     CHECK(catalogue::order("op/config", configuration_text).count > 0);
-    // Our own keys are compared by revisions, and do not stand without them.
+    // Values of keys that this product writes have no order of their own; they
+    // are compared by the store's revisions.
     CHECK(catalogue::order(cj::configuration_copy_key(), configuration_text) ==
           cj::item_order{});
     CHECK_FALSE(catalogue::is_operator_key(cj::configuration_copy_key()));
 
-    const auto one = catalogue::upstream(
+    const auto decoded = catalogue::upstream(
         "servers/i-1",
         R"({"service":"llm","address":"10.0.0.9:80","zone":"z","version":"v1",
         "slots":16,"state":"draining","coldRemainingMs":5,
         "modelList":[{"name":"m","version":3,"loras":[]}],"sequence":4})");
-    REQUIRE(one);
-    CHECK(one.value().id.value() == "i-1");
-    CHECK(one.value().leaving);
-    CHECK(one.value().model_versions.at("m") == 3);
-    CHECK(one.value().cold_start_ms == 5);
-    CHECK(one.value().life.empty());
+    REQUIRE(decoded);
+    CHECK(decoded.value().id.value() == "i-1");
+    CHECK(decoded.value().leaving);
+    CHECK(decoded.value().model_versions.at("m") == 3);
+    CHECK(decoded.value().cold_start_ms == 5);
+    CHECK(decoded.value().life.empty());
 
-    const auto named = catalogue::version(R"({"modelId":"m","version":2})");
-    REQUIRE(named);
-    CHECK(named.value().model == "m");
-    CHECK(named.value().version == 2);
+    const auto target = catalogue::version(R"({"modelId":"m","version":2})");
+    REQUIRE(target);
+    CHECK(target.value().model == "m");
+    CHECK(target.value().version == 2);
 }
 
-SCENARIO("records of other writers name no upstream", "[platform]")
+SCENARIO("an upstream's record with an invalid field is rejected", "[platform]")
 {
-    const auto read = [](const nlohmann::json& from)
-    { return catalogue::upstream("servers/i-1", from.dump()); };
-    const auto whole = nlohmann::json::parse(
+    const auto read = [](const nlohmann::json& record)
+    { return catalogue::upstream("servers/i-1", record.dump()); };
+    const auto valid = nlohmann::json::parse(
         R"({"service":"llm","address":"10.0.0.9:80","zone":"z","version":"v1",
         "slots":16,"state":"ready","coldRemainingMs":0.5,"phase":"colocated",
         "modelList":[{"name":"m","version":3,"loras":[]}],"sequence":4,
         "born":1764720000123})");
-    REQUIRE(read(whole));
-    CHECK(read(whole).value().life.value() == 1764720000123);
+    REQUIRE(read(valid));
+    CHECK(read(valid).value().life.value() == 1764720000123);
 
-    THEN("a field that is missing")
+    THEN("a required field must not be missing")
     {
         for (const auto* name :
              {"service", "address", "zone", "version", "slots", "state",
               "coldRemainingMs", "sequence"})
         {
-            auto other = whole;
-            other.erase(name);
+            auto changed = valid;
+            changed.erase(name);
             INFO(name);
-            CHECK_FALSE(read(other));
+            CHECK_FALSE(read(changed));
         }
     }
-    THEN("a field of another type")
+    THEN("a field must not have another type")
     {
-        for (const auto& [name, value] : whole.items())
+        for (const auto& [name, value] : valid.items())
         {
             if (name == "phase")
                 continue;
-            for (const auto& wrong :
+            for (const auto& invalid :
                  {nlohmann::json(nullptr), nlohmann::json(true),
                   nlohmann::json(-1), nlohmann::json::object({{"a", 1}}),
                   nlohmann::json::array({5})})
             {
-                auto other = whole;
-                other[name] = wrong;
-                INFO(name << " as " << wrong);
-                CHECK_FALSE(read(other));
+                auto changed = valid;
+                changed[name] = invalid;
+                INFO(name << " as " << invalid);
+                CHECK_FALSE(read(changed));
             }
         }
     }
-    THEN("a life that is a fraction, or text")
+    THEN("an incarnation must be a whole number")
     {
-        for (const auto& wrong :
+        for (const auto& invalid :
              {nlohmann::json(1764720000123.5), nlohmann::json("1764720000123")})
         {
-            auto other = whole;
-            other["born"] = wrong;
-            CHECK_FALSE(read(other));
+            auto changed = valid;
+            changed["born"] = invalid;
+            CHECK_FALSE(read(changed));
         }
     }
-    THEN("figures, words and addresses that cannot be")
+    THEN("a value must be in the range of its field")
     {
-        const std::vector<std::pair<const char*, nlohmann::json>> wrong{
+        const std::vector<std::pair<const char*, nlohmann::json>> invalid{
             {"state", "asleep"},
             {"slots", 0},
             {"slots", 5000000000000ULL},
@@ -177,43 +178,45 @@
             {"address", "10.0.0.9:99999"},
             {"service", ""},
             {"modelList", {{{"name", 5}, {"version", 1}}}}};
-        for (const auto& [name, value] : wrong)
+        for (const auto& [name, value] : invalid)
         {
-            auto other = whole;
-            other[name] = value;
+            auto changed = valid;
+            changed[name] = value;
             INFO(name << " as " << value);
-            CHECK_FALSE(read(other));
+            CHECK_FALSE(read(changed));
         }
     }
-    THEN("a time that no whole number holds")
+    THEN("a time must fit a whole number")
     {
-        auto from = whole;
-        from["coldRemainingMs"] = 1e300;
-        CHECK_FALSE(read(from));
+        auto record = valid;
+        record["coldRemainingMs"] = 1e300;
+        CHECK_FALSE(read(record));
     }
-    THEN("no id, and megabytes")
+    THEN("the id must not be empty and the record not exceed its maximum size")
     {
-        CHECK_FALSE(catalogue::upstream("servers/", whole.dump()));
-        auto other = whole;
-        other["more"] = std::string(1 << 20, 'x');
-        CHECK_FALSE(read(other));
+        CHECK_FALSE(catalogue::upstream("servers/", valid.dump()));
+        auto changed = valid;
+        changed["more"] = std::string(1 << 20, 'x');
+        CHECK_FALSE(read(changed));
     }
-    rc::prop("bytes of a whole record that are changed never crash a reader",
-             [&]
-             {
-                 auto text = whole.dump();
-                 const auto times = *rc::gen::inRange(1, 6);
-                 for (int time = 0; time < times; ++time)
-                     text[*rc::gen::inRange<std::size_t>(0, text.size())] =
-                         *rc::gen::arbitrary<char>();
-                 const auto made = catalogue::upstream("servers/i-1", text);
-                 if (made)
-                     RC_ASSERT(made.value().slots > 0 &&
-                               !made.value().service.empty());
-             });
+    rc::prop(
+        "a record with corrupt bytes is rejected or decoded to an upstream "
+        "with slots and a service",
+        [&]
+        {
+            auto text = valid.dump();
+            const auto times = *rc::gen::inRange(1, 6);
+            for (int time = 0; time < times; ++time)
+                text[*rc::gen::inRange<std::size_t>(0, text.size())] =
+                    *rc::gen::arbitrary<char>();
+            const auto decoded = catalogue::upstream("servers/i-1", text);
+            if (decoded)
+                RC_ASSERT(decoded.value().slots > 0 &&
+                          !decoded.value().service.empty());
+        });
 }
 
-SCENARIO("items that cannot be read are errors, not crashes", "[platform]")
+SCENARIO("malformed items are errors and do not crash", "[platform]")
 {
     CHECK_FALSE(catalogue::configuration("nonsense"));
     CHECK_FALSE(catalogue::configuration("[]"));
@@ -221,7 +224,8 @@
     CHECK_FALSE(catalogue::configuration(
         R"({"version":"x","routes":[],"services":[]})"));
     CHECK_FALSE(catalogue::upstream("servers/i", R"({"service":5})"));
-    rc::prop("hostile bytes",
+    rc::prop("a truncated configuration followed by random bytes does not "
+             "crash a decoder",
              []
              {
                  const auto cut = *rc::gen::inRange<std::size_t>(
--- a/tests/platform/engine_client.cpp
+++ b/tests/platform/engine_client.cpp
@@ -21,26 +21,28 @@
 namespace
 {
 
-/*! @brief An origin whose link all open calls share evenly. */
+/*! @brief An origin whose link is shared evenly by all open calls. Each call
+ * gets a chunk, in parts of equal size. */
 class shared_origin
 {
 public:
-    /*! @brief Chunks that the link carries in a second: 32 KiB take 27 ms on
+    /*! @brief Chunks per second that the link carries: 32 KiB take 27 ms on
      * 9.9 Mbit/s. */
     static constexpr double link_rate = 37;
 
     static constexpr std::size_t chunk_bytes = 32768;
-    static constexpr std::size_t parts = 16;
+    static constexpr std::size_t parts_per_chunk = 16;
 
-    /*! @param gives Parts of a chunk before it falls silent. */
-    shared_origin(cj::event_loop& loop, std::size_t gives)
-        : link(loop, link_rate * parts), most(gives)
+    /*! @param parts Parts of a chunk that are sent; with fewer than
+     * `parts_per_chunk` each call stalls after them. */
+    shared_origin(cj::event_loop& loop, std::size_t parts)
+        : link(loop, link_rate * parts_per_chunk), max_parts(parts)
     {
-        auto made = cj::stream_server::create(
+        auto created = cj::stream_server::create(
             loop, "127.0.0.1", 0, {},
             [this](const cj::stream_request&, cj::stream_reply reply)
-            { give(std::move(reply)); });
-        server = std::move(made.value());
+            { respond(std::move(reply)); });
+        server = std::move(created.value());
     }
 
     [[nodiscard]] std::string address() const
@@ -49,106 +51,114 @@
     }
 
 private:
-    struct answer
+    struct response
     {
         cj::stream_reply reply;
-        std::size_t given{0};
-        bool left{false};
+        std::size_t sent_parts{0};
+        bool caller_left{false};
     };
 
-    void give(cj::stream_reply reply)
+    void respond(cj::stream_reply reply)
     {
-        const auto one = std::make_shared<answer>();
-        one->reply = std::move(reply);
-        one->reply.on_left([one] { one->left = true; });
-        one->reply.begin(200, {});
-        next(one);
+        const auto to = std::make_shared<response>();
+        to->reply = std::move(reply);
+        to->reply.on_left([to] { to->caller_left = true; });
+        to->reply.begin(200, {});
+        send_next_part(to);
     }
 
-    void next(const std::shared_ptr<answer>& one)
+    void send_next_part(const std::shared_ptr<response>& to)
     {
-        if (one->left || one->given == most)
+        if (to->caller_left || to->sent_parts == max_parts)
             return;
         link.carry(
-            [this, one]
+            [this, to]
             {
-                one->reply.write(std::string(chunk_bytes / parts, 'x'));
-                if (++one->given == parts)
-                    return one->reply.finish();
-                next(one);
+                to->reply.write(
+                    std::string(chunk_bytes / parts_per_chunk, 'x'));
+                if (++to->sent_parts == parts_per_chunk)
+                    return to->reply.finish();
+                send_next_part(to);
             });
     }
 
     loopback::narrow_link link;
-    std::size_t most;
+    std::size_t max_parts;
     std::unique_ptr<cj::stream_server> server;
 };
 
-/*! @brief Chunks that came whole, of some asked for at the same moment. */
-struct outcome
+struct fetch_counts
 {
-    std::size_t whole{0};
+    std::size_t completed{0};
     std::size_t failed{0};
 };
 
-outcome fetch(std::size_t count, std::size_t parts, cj::milliseconds patience)
+/*! @brief Requests chunks at the same moment and waits until all calls ended.
+ * @param parts Parts of each chunk that the origin sends.
+ * @param timeout Longest time to wait. */
+fetch_counts fetch_chunks(std::size_t count, std::size_t parts,
+                          cj::milliseconds timeout)
 {
     loopback::running_loop running;
-    std::optional<shared_origin> at;
-    std::optional<cj::stream_client> carrier;
+    std::optional<shared_origin> server;
+    std::optional<cj::stream_client> http;
     std::optional<cj::platform::origin_client> origin;
-    outcome seen;
+    fetch_counts counts;
     running.on_loop(
         [&]
         {
-            at.emplace(running.loop, parts);
-            carrier.emplace(running.loop);
-            origin.emplace(*carrier);
+            server.emplace(running.loop, parts);
+            http.emplace(running.loop);
+            origin.emplace(*http);
             for (cj::chunk_index chunk = 0; chunk < count; ++chunk)
-                origin->chunk(at->address(), {"tutor", 2}, chunk,
-                              [&](const cj::result<std::string>& bytes)
-                              { ++(bytes ? seen.whole : seen.failed); });
+                origin->chunk(server->address(), {"tutor", 2}, chunk,
+                              [&](const cj::result<std::string>& bytes) {
+                                  ++(bytes ? counts.completed : counts.failed);
+                              });
         });
-    const auto until = cj::event_loop::now() + patience;
-    for (std::size_t ended = 0; ended < count && cj::event_loop::now() < until;)
+    const auto give_up_at = cj::event_loop::now() + timeout;
+    for (std::size_t ended = 0;
+         ended < count && cj::event_loop::now() < give_up_at;)
     {
         std::this_thread::sleep_for(20ms);
-        running.on_loop([&] { ended = seen.whole + seen.failed; });
+        running.on_loop([&] { ended = counts.completed + counts.failed; });
     }
     running.on_loop(
         [&]
         {
-            carrier.reset();
-            at.reset();
+            http.reset();
+            server.reset();
         });
     running.stop();
-    return seen;
+    return counts;
 }
 
 } // namespace
 
-// Many sides ask the origin for a chunk each, at the same moment. Its link
-// carries them all in 4.3 s, a little of each at a time. If every call were
-// given up after 3 s, nearly whole, not one chunk would have come, and all
-// would begin again from nothing: the link full, and nobody any further.
-SCENARIO("a chunk that keeps coming is not given up", "[platform]")
+// 160 sidecars request a chunk each at the same moment. The origin's link
+// carries all of them in 4.3 s and is shared evenly. With a timeout of 3 s for
+// the whole call every call would fail before its end, and all would start over:
+// the link would stay full without any progress.
+SCENARIO("a chunk is not given up while it makes progress", "[platform]")
 {
     constexpr std::size_t count = 160;
-    GIVEN("more calls than the link can end in the time of one")
+    GIVEN("more calls than the link completes within the stall timeout")
     {
-        const auto seen = fetch(count, shared_origin::parts, 15'000ms);
-        THEN("every chunk comes whole")
+        const auto counts =
+            fetch_chunks(count, shared_origin::parts_per_chunk, 15'000ms);
+        THEN("every chunk completes")
         {
-            CHECK(seen.whole == count);
-            CHECK(seen.failed == 0);
+            CHECK(counts.completed == count);
+            CHECK(counts.failed == 0);
         }
     }
-    GIVEN("an origin that falls silent half-way")
+    GIVEN("an origin that stalls halfway")
     {
-        const auto seen = fetch(1, shared_origin::parts / 2, 6000ms);
-        THEN("the call ends all the same")
+        const auto counts =
+            fetch_chunks(1, shared_origin::parts_per_chunk / 2, 6000ms);
+        THEN("the call fails")
         {
-            CHECK(seen.failed == 1);
+            CHECK(counts.failed == 1);
         }
     }
 }
@@ -156,59 +166,60 @@
 namespace
 {
 
-/*! @brief Returns what an engine's report is read as. */
-cj::result<cj::engine_report> read_report_of(const std::string& body)
+/*! @brief Returns the decoded report of an engine that responds with this
+ * body. */
+cj::result<cj::engine_report> fetch_report(const std::string& body)
 {
     loopback::running_loop running;
     loopback::scripted_peer engine(
         {"HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body});
-    std::unique_ptr<cj::stream_client> client;
-    std::unique_ptr<cj::platform::engine_client> calls;
-    std::optional<cj::result<cj::engine_report>> told;
+    std::unique_ptr<cj::stream_client> http;
+    std::unique_ptr<cj::platform::engine_client> client;
+    std::optional<cj::result<cj::engine_report>> report;
     std::atomic<bool> done{false};
     running.on_loop(
         [&]
         {
-            client = std::make_unique<cj::stream_client>(running.loop);
-            calls = std::make_unique<cj::platform::engine_client>(
-                *client, engine.address);
-            calls->report(
+            http = std::make_unique<cj::stream_client>(running.loop);
+            client = std::make_unique<cj::platform::engine_client>(
+                *http, engine.address);
+            client->report(
                 [&](cj::result<cj::engine_report> read)
                 {
-                    told.emplace(std::move(read));
+                    report.emplace(std::move(read));
                     done = true;
                     done.notify_all();
                 });
         });
     done.wait(false);
-    running.on_loop([&] { client.reset(); });
-    return std::move(*told);
+    running.on_loop([&] { http.reset(); });
+    return std::move(*report);
 }
 
 } // namespace
 
-SCENARIO("an engine tells which life of it speaks", "[platform]")
+SCENARIO("an engine's report has its incarnation", "[platform]")
 {
-    const auto read = read_report_of(
+    const auto read = fetch_report(
         R"({"born":1764720000123,"sequence":2,"active":3,"queued":1})");
     REQUIRE(read);
     CHECK(read.value().life.value() == 1764720000123);
     CHECK(read.value().sequence == 2);
     CHECK(read.value().running == 3);
 
-    THEN("a report without one is read all the same")
+    THEN("a report without an incarnation is valid")
     {
-        CHECK(read_report_of(R"({"sequence":2})").value().life.empty());
+        CHECK(fetch_report(R"({"sequence":2})").value().life.empty());
     }
-    THEN("one that is no whole number, or no report at all, is not")
+    THEN("a malformed report is rejected")
     {
-        for (const auto* wrong :
+        for (const auto* invalid :
              {R"({"born":1.5})", R"({"born":-5})", R"({"born":"1764"})",
               R"({"born":null})", R"({"sequence":-1})", "[]", "what"})
         {
-            INFO(wrong);
-            CHECK_FALSE(read_report_of(wrong));
+            INFO(invalid);
+            CHECK_FALSE(fetch_report(invalid));
         }
     }
 }
@@ -216,54 +227,56 @@
 namespace
 {
 
-using offer = cj::result<cj::offered_version>;
+using offer_result = cj::result<cj::offered_version>;
 
-/*! @brief What an origin is asked, and what its answer is read as. */
-struct inquiry_outcome
+/*! @brief Requests that an origin received, and the decoded response. */
+struct poll_outcome
 {
-    std::optional<offer> read;
-    std::string question; /*!< The first, as it came. */
-    std::size_t questions{0};
+    std::optional<offer_result> offer;
+    std::string first_request; /*!< As received. */
+    std::size_t requests{0};
 };
 
-/*! @brief Asks an origin that gives these bytes for the newest version. */
-inquiry_outcome newest_of(const std::string& bytes)
+/*! @brief Polls an origin that responds with these bytes for the newest
+ * version. */
+poll_outcome poll_newest(const std::string& bytes)
 {
     loopback::running_loop running;
     loopback::scripted_peer origin({bytes});
-    std::unique_ptr<cj::stream_client> client;
-    std::unique_ptr<cj::platform::origin_client> calls;
-    inquiry_outcome made;
+    std::unique_ptr<cj::stream_client> http;
+    std::unique_ptr<cj::platform::origin_client> client;
+    poll_outcome outcome;
     std::atomic<bool> done{false};
     running.on_loop(
         [&]
         {
-            client = std::make_unique<cj::stream_client>(running.loop);
-            calls = std::make_unique<cj::platform::origin_client>(*client);
-            calls->newest(origin.address, "tutor",
-                          [&](offer told)
-                          {
-                              made.read.emplace(std::move(told));
-                              done = true;
-                              done.notify_all();
-                          });
+            http = std::make_unique<cj::stream_client>(running.loop);
+            client = std::make_unique<cj::platform::origin_client>(*http);
+            client->newest(origin.address, "tutor",
+                           [&](offer_result decoded)
+                           {
+                               outcome.offer.emplace(std::move(decoded));
+                               done = true;
+                               done.notify_all();
+                           });
         });
     done.wait(false);
-    running.on_loop([&] { client.reset(); });
+    running.on_loop([&] { http.reset(); });
     const auto arrivals = origin.arrivals();
-    made.questions = arrivals.size();
-    made.question = arrivals.empty() ? "" : arrivals.front();
-    return made;
+    outcome.requests = arrivals.size();
+    outcome.first_request = arrivals.empty() ? "" : arrivals.front();
+    return outcome;
 }
 
-std::string answer_of(const std::string& head, const std::string& body)
+std::string response_of(const std::string& head, const std::string& body)
 {
     return "HTTP/1.1 " + head +
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            body;
 }
 
-/*! @brief Returns an origin's manifest with one field in the place of its. */
+/*! @brief Returns a manifest with one field replaced, or removed if the value
+ * is empty. */
 std::string manifest_with(const std::string& field, const std::string& value)
 {
     std::map<std::string, std::string> fields{{"modelId", R"("tutor")"},
@@ -274,42 +287,44 @@
         fields.erase(field);
     else
         fields[field] = value;
-    std::string made;
+    std::string body;
     for (const auto& [name, text] : fields)
-        made += (made.empty() ? "{\"" : ",\"") + name + "\":" + text;
-    return made + "}";
+        body += (body.empty() ? "{\"" : ",\"") + name + "\":" + text;
+    return body + "}";
 }
 
 } // namespace
 
-SCENARIO("an origin tells the newest version that was named", "[platform]")
+SCENARIO("the newest published version is read from the origin's manifest",
+         "[platform]")
 {
     const auto body = manifest_with("version", "3");
-    const auto seen = newest_of(answer_of("200 OK", body));
-    REQUIRE(seen.read);
-    REQUIRE(*seen.read);
-    CHECK(seen.read->value().version == 3);
-    CHECK(seen.read->value().chunks == 2);
-    CHECK(seen.read->value().chunk_bytes == 32768);
-    CHECK(seen.read->value().answer_bytes == body.size());
-    THEN("it was asked for no version of its own")
+    const auto outcome = poll_newest(response_of("200 OK", body));
+    REQUIRE(outcome.offer);
+    REQUIRE(*outcome.offer);
+    CHECK(outcome.offer->value().version == 3);
+    CHECK(outcome.offer->value().chunks == 2);
+    CHECK(outcome.offer->value().chunk_bytes == 32768);
+    CHECK(outcome.offer->value().answer_bytes == body.size());
+    THEN("one request was sent, for no version in particular")
     {
-        CHECK(seen.question.starts_with("GET /manifest/tutor HTTP/1.1\r\n"));
-        CHECK(seen.questions == 1);
+        CHECK(outcome.first_request.starts_with(
+            "GET /manifest/tutor HTTP/1.1\r\n"));
+        CHECK(outcome.requests == 1);
     }
 }
 
-SCENARIO("an origin's answer that tells no version is none", "[platform]")
+SCENARIO("a response without a valid manifest is an error", "[platform]")
 {
-    const auto fails_as = [](const std::string& bytes)
+    const auto error_of = [](const std::string& bytes)
     {
-        const auto seen = newest_of(bytes);
-        REQUIRE(seen.read);
-        REQUIRE_FALSE(*seen.read);
-        CHECK_FALSE(seen.read->error().message.empty());
-        return seen.read->error().kind;
+        const auto outcome = poll_newest(bytes);
+        REQUIRE(outcome.offer);
+        REQUIRE_FALSE(*outcome.offer);
+        CHECK_FALSE(outcome.offer->error().message.empty());
+        return outcome.offer->error().kind;
     };
-    const auto whole = manifest_with("version", "3");
+    const auto valid = manifest_with("version", "3");
 
     SECTION("another status")
     {
@@ -317,56 +332,56 @@
                                  "503 Busy", "206 Partial Content"})
         {
             INFO(head);
-            CHECK(fails_as(answer_of(head, whole)) ==
+            CHECK(error_of(response_of(head, valid)) ==
                   cj::error_kind::unavailable);
         }
     }
     SECTION("a redirect, which is not followed")
     {
-        loopback::scripted_peer elsewhere({answer_of("200 OK", whole)});
-        CHECK(fails_as(answer_of("302 Found\r\nLocation: http://" +
-                                     elsewhere.address + "/manifest/tutor",
-                                 "")) == cj::error_kind::unavailable);
+        loopback::scripted_peer elsewhere({response_of("200 OK", valid)});
+        CHECK(error_of(response_of("302 Found\r\nLocation: http://" +
+                                       elsewhere.address + "/manifest/tutor",
+                                   "")) == cj::error_kind::unavailable);
         CHECK(elsewhere.arrivals().empty());
     }
-    SECTION("no answer, or half of one")
+    SECTION("no response, or a truncated one")
     {
-        CHECK(fails_as("") == cj::error_kind::unavailable);
-        auto half = answer_of("200 OK", whole);
-        half.resize(half.size() - 10);
-        CHECK(fails_as(half) == cj::error_kind::unavailable);
+        CHECK(error_of("") == cj::error_kind::unavailable);
+        auto truncated = response_of("200 OK", valid);
+        truncated.resize(truncated.size() - 10);
+        CHECK(error_of(truncated) == cj::error_kind::unavailable);
     }
-    SECTION("what is no manifest")
+    SECTION("a body that is not a manifest")
     {
-        for (const std::string wrong :
+        for (const std::string invalid :
              {"", "what", "{", "[]", "[3]", "3", "null", "{}", "\"tutor\""})
         {
-            INFO(wrong);
-            CHECK(fails_as(answer_of("200 OK", wrong)) ==
+            INFO(invalid);
+            CHECK(error_of(response_of("200 OK", invalid)) ==
                   cj::error_kind::refused);
         }
-        CHECK(fails_as(answer_of("200 OK", whole.substr(0, 20))) ==
+        CHECK(error_of(response_of("200 OK", valid.substr(0, 20))) ==
               cj::error_kind::refused);
-        CHECK(fails_as(answer_of("200 OK", std::string(5000, '['))) ==
+        CHECK(error_of(response_of("200 OK", std::string(5000, '['))) ==
               cj::error_kind::refused);
     }
-    SECTION("a field that is missing or cannot be")
+    SECTION("a field that is missing or invalid")
     {
         const std::vector<std::pair<std::string, std::vector<std::string>>>
-            wrong{{"modelId", {"", R"("other")", "3", "null"}},
-                  {"version",
-                   {"", "-1", "1.5", R"("3")", "null", "[]", "1e300", "true",
-                    "18446744073709551616"}},
-                  {"blockBytes",
-                   {"", "-32768", "32768.5", R"("32768")", "null", "1e300"}},
-                  {"hashes", {"", "null", "3", R"("ab")", "{}"}}};
-        for (const auto& [field, values] : wrong)
+            invalid{{"modelId", {"", R"("other")", "3", "null"}},
+                    {"version",
+                     {"", "-1", "1.5", R"("3")", "null", "[]", "1e300", "true",
+                      "18446744073709551616"}},
+                    {"blockBytes",
+                     {"", "-32768", "32768.5", R"("32768")", "null", "1e300"}},
+                    {"hashes", {"", "null", "3", R"("ab")", "{}"}}};
+        for (const auto& [field, values] : invalid)
         {
             for (const auto& value : values)
             {
                 INFO(field << ": " << value);
-                CHECK(fails_as(
-                          answer_of("200 OK", manifest_with(field, value))) ==
+                CHECK(error_of(
+                          response_of("200 OK", manifest_with(field, value))) ==
                       cj::error_kind::refused);
             }
         }
--- a/tests/platform/store_client.cpp
+++ b/tests/platform/store_client.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-std::string answered(const std::string& status, const std::string& body)
+std::string response_of(const std::string& status, const std::string& body)
 {
     return "HTTP/1.1 " + status +
            "\r\nContent-Type: application/json\r\nConnection: close\r\n"
@@ -21,44 +21,44 @@
            std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/*! @brief A client before a store that gives scripted answers. */
-struct client_of_store
+/*! @brief A store client whose store sends scripted responses. */
+struct scripted_store
 {
-    explicit client_of_store(std::vector<std::string> answers)
-        : peer(std::move(answers))
+    explicit scripted_store(std::vector<std::string> responses)
+        : peer(std::move(responses))
     {
         running.on_loop(
             [&]
             {
-                carrier = std::make_unique<http_client>(running.loop);
-                store = std::make_unique<platform::store_client>(*carrier,
+                http = std::make_unique<http_client>(running.loop);
+                store = std::make_unique<platform::store_client>(*http,
                                                                  peer.address);
             });
     }
 
-    ~client_of_store()
+    ~scripted_store()
     {
         running.on_loop(
             [&]
             {
                 store.reset();
-                carrier.reset();
+                http.reset();
             });
         running.stop();
     }
 
-    /*! @brief Runs one write to its end. */
+    /*! @brief Starts a write and waits for its result. */
     template <typename Call>
     result<bool> write(Call call)
     {
-        std::promise<result<bool>> told;
+        std::promise<result<bool>> promise;
         running.on_loop(
             [&]
             {
-                call(*store, [&](result<bool> answer)
-                     { told.set_value(std::move(answer)); });
+                call(*store, [&](result<bool> outcome)
+                     { promise.set_value(std::move(outcome)); });
             });
-        return told.get_future().get();
+        return promise.get_future().get();
     }
 
     result<bool> put()
@@ -69,7 +69,7 @@
 
     loopback::scripted_peer peer;
     loopback::running_loop running;
-    std::unique_ptr<http_client> carrier;
+    std::unique_ptr<http_client> http;
     std::unique_ptr<platform::store_client> store;
 };
 
@@ -78,71 +78,73 @@
 SCENARIO("keys are written to the platform's store", "[platform]")
 {
     const auto lease =
-        answered("200 OK", R"({"leaseId":77120,"ttlMs":600000})");
+        response_of("200 OK", R"({"leaseId":77120,"ttlMs":600000})");
 
-    SECTION("under a lease, while they are as they were seen")
+    SECTION("under a lease, if they are at the expected revision")
     {
-        client_of_store one({lease, answered("200 OK", R"({"revision":412})")});
-        const auto done = one.put();
-        REQUIRE(done);
-        CHECK(done.value());
-        const auto arrived = one.peer.arrivals();
-        REQUIRE(arrived.size() == 2);
-        CHECK(arrived[0].find("POST /kv-lease") == 0);
-        CHECK(arrived[0].find(R"("ttlMs":600000)") != std::string::npos);
-        CHECK(arrived[1].find("POST /kv-txn") == 0);
-        CHECK(arrived[1].find(R"("revision":41)") != std::string::npos);
-        CHECK(arrived[1].find(R"("leaseId":77120)") != std::string::npos);
-        CHECK(arrived[1].find(R"("payload":"Ynl0ZXM=")") != std::string::npos);
+        scripted_store fixture(
+            {lease, response_of("200 OK", R"({"revision":412})")});
+        const auto written = fixture.put();
+        REQUIRE(written);
+        CHECK(written.value());
+        const auto requests = fixture.peer.arrivals();
+        REQUIRE(requests.size() == 2);
+        CHECK(requests[0].find("POST /kv-lease") == 0);
+        CHECK(requests[0].find(R"("ttlMs":600000)") != std::string::npos);
+        CHECK(requests[1].find("POST /kv-txn") == 0);
+        CHECK(requests[1].find(R"("revision":41)") != std::string::npos);
+        CHECK(requests[1].find(R"("leaseId":77120)") != std::string::npos);
+        CHECK(requests[1].find(R"("payload":"Ynl0ZXM=")") != std::string::npos);
     }
-    SECTION("somebody else has written meanwhile")
+    SECTION("a write is rejected if another one came before it")
     {
-        client_of_store one(
-            {lease, answered("412 Precondition Failed", R"({"entries":[]})")});
-        const auto done = one.put();
-        REQUIRE(done);
-        CHECK_FALSE(done.value());
+        scripted_store fixture({lease, response_of("412 Precondition Failed",
+                                                   R"({"entries":[]})")});
+        const auto written = fixture.put();
+        REQUIRE(written);
+        CHECK_FALSE(written.value());
     }
-    SECTION("the store refuses the lease, or names none")
+    SECTION("a write fails if no lease is granted")
     {
-        for (const auto& answer :
-             {answered("503 Busy", ""), answered("200 OK", "[]"),
-              answered("200 OK", R"({"leaseId":"x"})")})
+        for (const auto& response :
+             {response_of("503 Busy", ""), response_of("200 OK", "[]"),
+              response_of("200 OK", R"({"leaseId":"x"})")})
         {
-            client_of_store one({answer});
-            const auto done = one.put();
-            REQUIRE_FALSE(done);
-            CHECK(done.error().kind == error_kind::unavailable);
-            CHECK(one.peer.arrivals().size() == 1);
+            scripted_store fixture({response});
+            const auto written = fixture.put();
+            REQUIRE_FALSE(written);
+            CHECK(written.error().kind == error_kind::unavailable);
+            CHECK(fixture.peer.arrivals().size() == 1);
         }
     }
-    SECTION("the lease is over when the key is written")
+    SECTION("a write fails if its lease has expired")
     {
-        client_of_store one({lease, answered("404 Gone", "")});
-        CHECK_FALSE(one.put());
+        scripted_store fixture({lease, response_of("404 Gone", "")});
+        CHECK_FALSE(fixture.put());
     }
-    SECTION("one that stays needs no lease")
+    SECTION("a permanent key has no lease")
     {
-        client_of_store one({answered("200 OK", R"({"revision":412})")});
-        const auto done =
-            one.write([](platform::store_client& to, auto call)
-                      { to.put_permanent("version/m", "b", 41, call); });
-        REQUIRE(done);
-        CHECK(done.value());
-        const auto arrived = one.peer.arrivals();
-        REQUIRE(arrived.size() == 1);
-        CHECK(arrived[0].find("POST /kv-txn") == 0);
-        CHECK(arrived[0].find(R"("revision":41)") != std::string::npos);
-        CHECK(arrived[0].find(R"("leaseId":0)") != std::string::npos);
+        scripted_store fixture({response_of("200 OK", R"({"revision":412})")});
+        const auto written =
+            fixture.write([](platform::store_client& to, auto done)
+                          { to.put_permanent("version/m", "b", 41, done); });
+        REQUIRE(written);
+        CHECK(written.value());
+        const auto requests = fixture.peer.arrivals();
+        REQUIRE(requests.size() == 1);
+        CHECK(requests[0].find("POST /kv-txn") == 0);
+        CHECK(requests[0].find(R"("revision":41)") != std::string::npos);
+        CHECK(requests[0].find(R"("leaseId":0)") != std::string::npos);
     }
-    SECTION("a key is removed while it is as it was seen")
+    SECTION("a key is removed if it is at the expected revision")
     {
-        client_of_store one({answered("200 OK", R"({"revision":413})")});
-        const auto done = one.write([](platform::store_client& to, auto call)
-                                    { to.remove("quarantine/a", 412, call); });
-        REQUIRE(done);
-        CHECK(done.value());
-        CHECK(one.peer.arrivals()[0].find(R"("remove":["quarantine/a"])") !=
+        scripted_store fixture({response_of("200 OK", R"({"revision":413})")});
+        const auto written =
+            fixture.write([](platform::store_client& to, auto done)
+                          { to.remove("quarantine/a", 412, done); });
+        REQUIRE(written);
+        CHECK(written.value());
+        CHECK(fixture.peer.arrivals()[0].find(R"("remove":["quarantine/a"])") !=
               std::string::npos);
     }
 }
