--- a/tests/platform/engine_client.cpp
+++ b/tests/platform/engine_client.cpp
@@ -137,8 +137,8 @@
 
 // 160 sidecars request a chunk each at the same moment. The origin's link
 // carries all of them in 4.3 s and is shared evenly. With a timeout of 3 s for
-// the whole call every call would fail before its end, and all would start over:
-// the link would stay full without any progress.
+// the whole call every call would fail before its end, and all would start
+// over: the link would stay full without any progress.
 SCENARIO("a chunk is not given up while it makes progress", "[platform]")
 {
     constexpr std::size_t count = 160;
