--- a/src/coursejunction/daemon/chunk_uploader.cpp
+++ b/src/coursejunction/daemon/chunk_uploader.cpp
@@ -29,13 +29,13 @@
 
 void chunk_uploader::urge(upload one)
 {
-    queue.urge(std::move(one));
+    queue.enqueue_first(std::move(one));
     send_due();
 }
 
 void chunk_uploader::release(const digest& manifest, chunk_index chunk)
 {
-    if (queue.release(manifest, chunk))
+    if (queue.serve_waiters(manifest, chunk))
         send_due();
 }
 
@@ -43,7 +43,7 @@
 {
     while (link.backlog(node::now()) <= internal::send_ahead)
     {
-        const auto next = queue.next();
+        const auto next = queue.take_next();
         if (!next)
             return;
         send(*next);
--- a/src/coursejunction/daemon/chunk_uploader.hpp
+++ b/src/coursejunction/daemon/chunk_uploader.hpp
@@ -44,16 +44,16 @@
     void urge(upload one);
 
     /*! @brief Notes that a peer waits for a chunk that is not held yet. */
-    void wait(upload one) { queue.wait(std::move(one)); }
+    void wait(upload one) { queue.add_waiter(std::move(one)); }
 
     /*! @brief Sends a chunk, now held, to those who wait for it. */
     void release(const digest& manifest, chunk_index chunk);
 
     /*! @brief Forgets who waits for chunks of a version. */
-    void give_up(const digest& manifest) { queue.give_up(manifest); }
+    void give_up(const digest& manifest) { queue.drop_waiters(manifest); }
 
     /*! @brief Forgets a peer that is gone. */
-    void drop(const instance_id& peer) { queue.drop(peer); }
+    void drop(const instance_id& peer) { queue.remove_peer(peer); }
 
     /*! @brief Sets the portion of the uplink that may be used. */
     void limit_to(double portion) { link.limit_to(portion); }
--- a/src/coursejunction/daemon/internal/any_planner.cpp
+++ b/src/coursejunction/daemon/internal/any_planner.cpp
@@ -15,10 +15,10 @@
     switch (settings.policy)
     {
     case transfer_policy::stripes:
-        limits.waiting = of.size();
+        limits.max_waiting_requests = of.size();
         return transfer_planner<stripe_policy>(of, own, limits, {}, now);
     case transfer_policy::chain:
-        limits.waiting = of.size();
+        limits.max_waiting_requests = of.size();
         return transfer_planner<chain_policy>(of, own, limits, {}, now);
     case transfer_policy::origin_only:
         return transfer_planner<origin_policy>(of, own, limits, {}, now);
--- a/src/coursejunction/daemon/internal/engine_hand_over.hpp
+++ b/src/coursejunction/daemon/internal/engine_hand_over.hpp
@@ -12,7 +12,7 @@
 #include <utility>
 
 #include "coursejunction/core/digest.hpp"
-#include "coursejunction/transfer/staging.hpp"
+#include "coursejunction/transfer/chunk_store.hpp"
 
 namespace coursejunction::internal
 {
@@ -37,7 +37,7 @@
     }
 
     /*! @brief Begins with a version; what it holds already is queued. */
-    void begin(const digest& of, std::shared_ptr<const staging> held)
+    void begin(const digest& of, std::shared_ptr<const chunk_store> held)
     {
         version = of;
         chunks = std::move(held);
@@ -48,7 +48,7 @@
     void again()
     {
         reset();
-        const auto all = chunks->held();
+        const auto all = chunks->held_chunks();
         waiting = {all.begin(), all.end()};
     }
 
@@ -97,7 +97,7 @@
         if (open > 0)
             return;
         ++open;
-        engine.stage_manifest(version, chunks->of().text(),
+        engine.stage_manifest(version, chunks->get_manifest().text(),
                               [this, of = serial](bool ok)
                               {
                                   if (of != serial)
@@ -117,7 +117,7 @@
         if (!ok)
             return waiting.push_back(chunk); // The next tick tries again.
         ++done;
-        if (done == chunks->of().size() && !told)
+        if (done == chunks->get_manifest().size() && !told)
         {
             told = true;
             return whole(version);
@@ -128,7 +128,7 @@
     Engine& engine;
     whole_callback whole;
     digest version;
-    std::shared_ptr<const staging> chunks;
+    std::shared_ptr<const chunk_store> chunks;
     std::deque<chunk_index> waiting;
     std::size_t open{0};
     std::size_t done{0};
--- a/src/coursejunction/daemon/internal/have_announcer.cpp
+++ b/src/coursejunction/daemon/internal/have_announcer.cpp
@@ -30,22 +30,22 @@
     known = std::move(chosen);
 }
 
-void have_announcer::greet(const staging& chunks) const
+void have_announcer::greet(const chunk_store& chunks) const
 {
     for (const auto& id : known)
-        send(id, chunks.held());
+        send(id, chunks.held_chunks());
 }
 
 void have_announcer::listen(const instance_id& peer, bool near,
-                            const staging& chunks)
+                            const chunk_store& chunks)
 {
     if (listeners.contains(peer) || listeners.size() >= max_listeners)
         return;
     listeners[peer] = near;
-    send(peer, chunks.held());
+    send(peer, chunks.held_chunks());
 }
 
-void have_announcer::tell(const staging& chunks, time_point now)
+void have_announcer::tell(const chunk_store& chunks, time_point now)
 {
     if (now - told_far >= have_interval)
         return tell_all(chunks, now);
@@ -66,7 +66,7 @@
     fresh.clear();
 }
 
-void have_announcer::tell_all(const staging& chunks, time_point now)
+void have_announcer::tell_all(const chunk_store& chunks, time_point now)
 {
     told_far = told_near = now;
     if (chunks.complete() && now - asked_at > quiet_after)
@@ -81,7 +81,7 @@
     for (const auto& id : known)
     {
         if (!listeners.contains(id))
-            send(id, chunks.held());
+            send(id, chunks.held_chunks());
     }
 }
 
--- a/src/coursejunction/daemon/internal/have_announcer.hpp
+++ b/src/coursejunction/daemon/internal/have_announcer.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "coursejunction/core/types.hpp"
-#include "coursejunction/transfer/staging.hpp"
+#include "coursejunction/transfer/chunk_store.hpp"
 
 namespace coursejunction::internal
 {
@@ -32,12 +32,12 @@
 
     /*! @brief Makes this instance known to its neighbours, with everything
      * it holds; they answer in kind. */
-    void greet(const staging& chunks) const;
+    void greet(const chunk_store& chunks) const;
 
     /*! @brief Counts a peer as one that wants to hear what is held here; a
      * new one is told everything.
      * @param near Whether it is in the own hall. */
-    void listen(const instance_id& peer, bool near, const staging& chunks);
+    void listen(const instance_id& peer, bool near, const chunk_store& chunks);
 
     /*! @brief Notes that a peer asked for a chunk. */
     void asked(time_point now) { asked_at = now; }
@@ -47,7 +47,7 @@
 
     /*! @brief Tells listeners of the own hall what is new, in small batches,
      * and those of other halls more slowly: they only need signs of life. */
-    void tell(const staging& chunks, time_point now);
+    void tell(const chunk_store& chunks, time_point now);
 
     /*! @brief Forgets a listener whose connection is gone. */
     void peer_lost(const instance_id& peer) { listeners.erase(peer); }
@@ -60,7 +60,7 @@
 
 private:
     void tell_near();
-    void tell_all(const staging& chunks, time_point now);
+    void tell_all(const chunk_store& chunks, time_point now);
     void note_unheard();
 
     send_callback send;
--- a/src/coursejunction/daemon/internal/held_versions.cpp
+++ b/src/coursejunction/daemon/internal/held_versions.cpp
@@ -8,7 +8,7 @@
     for (const auto& [name, other] : versions)
     {
         if (name != version)
-            chunks->adopt(*other);
+            chunks->copy_common_from(*other);
     }
     versions[version] = chunks;
 }
@@ -25,8 +25,8 @@
     return known == versions.end() ? nullptr : known->second;
 }
 
-staging::value_type held_versions::find(const digest& version,
-                                        chunk_index chunk) const
+chunk_store::value_type held_versions::find(const digest& version,
+                                            chunk_index chunk) const
 {
     const auto known = find(version);
     return known ? known->find(chunk) : nullptr;
--- a/src/coursejunction/daemon/internal/held_versions.hpp
+++ b/src/coursejunction/daemon/internal/held_versions.hpp
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "coursejunction/core/digest.hpp"
-#include "coursejunction/transfer/staging.hpp"
+#include "coursejunction/transfer/chunk_store.hpp"
 
 namespace coursejunction::internal
 {
@@ -19,7 +19,7 @@
 class held_versions
 {
 public:
-    using value_type = std::shared_ptr<staging>;
+    using value_type = std::shared_ptr<chunk_store>;
 
     /*! @brief Says which version the engine serves. */
     void serving(const digest& version) { served = version; }
@@ -35,8 +35,8 @@
     [[nodiscard]] value_type find(const digest& version) const;
 
     /*! @brief Returns a chunk of a version, or null. */
-    [[nodiscard]] staging::value_type find(const digest& version,
-                                           chunk_index chunk) const;
+    [[nodiscard]] chunk_store::value_type find(const digest& version,
+                                               chunk_index chunk) const;
 
     /*! @brief Returns all versions. */
     [[nodiscard]] const std::map<digest, value_type>& all() const noexcept
--- a/src/coursejunction/daemon/internal/origin_calls.cpp
+++ b/src/coursejunction/daemon/internal/origin_calls.cpp
@@ -93,7 +93,7 @@
 void origin_calls::note(weight_source from, const http_result& end)
 {
     if (!end.ok())
-        sources.failed(from);
+        sources.record_failure(from);
 }
 
 std::string fault_text(const http_result& end)
--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -93,29 +93,30 @@
     assign();
 }
 
-void version_fetch::begin(std::shared_ptr<staging> chunks)
+void version_fetch::begin(std::shared_ptr<chunk_store> chunks)
 {
     auto& fetching = *wanted;
     fetching.chunks = std::move(chunks);
-    fetching.planner.emplace(
-        make_planner(fetching.chunks->of(), settings(), fetching.weigh, now()));
+    fetching.planner.emplace(make_planner(fetching.chunks->get_manifest(),
+                                          settings(), fetching.weigh, now()));
     held.hold(fetching.version, fetching.chunks);
     release();
     assign();
-    for (const auto at : fetching.chunks->held())
-        with_planner([&](auto& planner) { planner.held(at, now()); });
+    for (const auto at : fetching.chunks->held_chunks())
+        with_planner([&](auto& planner) { planner.add_chunk(at, now()); });
     hand_over.begin(fetching.version, fetching.chunks);
     announcer.greet(*fetching.chunks);
-    log::state("transfer_started",
-               {{"version", fetching.version.hex()},
-                {"chunks", std::to_string(fetching.chunks->of().size())},
-                {"held", std::to_string(fetching.chunks->size())}});
+    log::state(
+        "transfer_started",
+        {{"version", fetching.version.hex()},
+         {"chunks", std::to_string(fetching.chunks->get_manifest().size())},
+         {"held", std::to_string(fetching.chunks->size())}});
 }
 
 void version_fetch::assign()
 {
     with_planner([&](auto& planner)
-                 { planner.participants(everybody, now()); });
+                 { planner.set_participants(everybody, now()); });
     if (!wanted || !wanted->planner)
         return;
     choose_neighbours();
@@ -196,16 +197,17 @@
         return;
     }
     wanted->reason.clear();
-    begin(std::make_shared<staging>(std::move(parsed.value())));
+    begin(std::make_shared<chunk_store>(std::move(parsed.value())));
 }
 
 void version_fetch::ask_chunks()
 {
     std::vector<transfer_request> requests;
-    with_planner([&](auto& planner) { requests = planner.next(now()); });
+    with_planner([&](auto& planner)
+                 { requests = planner.next_requests(now()); });
     for (const auto& one : requests)
     {
-        if (one.how == transfer_request::kind::origin)
+        if (one.source == transfer_request::source_kind::origin)
             ask_origin(one.chunk);
         else
             ask_peer(one);
@@ -217,15 +219,16 @@
     message::chunk_request request;
     request.manifest = wanted->version;
     request.chunk = one.chunk;
-    request.wait = one.how == transfer_request::kind::waiting;
+    request.wait = one.source == transfer_request::source_kind::future_holder;
     if (!host.send(one.peer, request))
-        with_planner([&](auto& planner)
-                     { planner.refused(one.chunk, one.peer, true, 0, now()); });
+        with_planner(
+            [&](auto& planner)
+            { planner.record_refusal(one.chunk, one.peer, true, 0, now()); });
 }
 
 void version_fetch::ask_origin(chunk_index chunk)
 {
-    origin.ask_chunk(wanted->chunks->of(), chunk,
+    origin.ask_chunk(wanted->chunks->get_manifest(), chunk,
                      [this, chunk](weight_source from, http_result end)
                      {
                          (from == weight_source::store
@@ -240,7 +243,8 @@
 void version_fetch::origin_failed(chunk_index chunk, const http_result& end)
 {
     wanted->reason = "origin does not give a chunk: " + fault_text(end);
-    with_planner([&](auto& planner) { planner.origin_failed(chunk, now()); });
+    with_planner([&](auto& planner)
+                 { planner.record_origin_failure(chunk, now()); });
 }
 
 void version_fetch::heard_have(const instance_id& from,
@@ -250,8 +254,10 @@
         have.value().manifest != wanted->version)
         return;
     with_planner(
-        [&](auto& planner) {
-            planner.holds(from, have.value().chunks, have.value().queue, now());
+        [&](auto& planner)
+        {
+            planner.add_peer_chunks(from, have.value().chunks,
+                                    have.value().queue, now());
         });
     listen(from);
 }
@@ -283,16 +289,16 @@
         with_planner(
             [&](auto& planner)
             {
-                planner.heard(from, now());
-                planner.refused(got.chunk, from,
-                                got.status != message::chunk_status::busy,
-                                got.queue, now());
+                planner.record_alive(from, now());
+                planner.record_refusal(
+                    got.chunk, from, got.status != message::chunk_status::busy,
+                    got.queue, now());
             });
         return;
     }
     count_peer_bytes(from, bytes.size());
     with_planner([&](auto& planner)
-                 { planner.holds(from, {}, got.queue, now()); });
+                 { planner.add_peer_chunks(from, {}, got.queue, now()); });
     downlink.carry(got.chunk, std::move(bytes), from);
 }
 
@@ -311,19 +317,20 @@
 {
     auto& fetching = *wanted;
     const auto end = fetching.chunks->add(chunk, std::move(bytes));
-    if (end == staging::addition::corrupt)
+    if (end == chunk_store::add_result::corrupt)
     {
         ++counts.corrupt;
         host.counters().count("chunks_corrupt_total");
-        with_planner([&](auto& planner) { planner.corrupt(chunk, from); });
+        with_planner([&](auto& planner)
+                     { planner.record_corrupt(chunk, from); });
         return ask_chunks();
     }
-    if (end == staging::addition::already_held)
+    if (end == chunk_store::add_result::already_held)
     {
         ++counts.duplicate;
         return;
     }
-    with_planner([&](auto& planner) { planner.held(chunk, now()); });
+    with_planner([&](auto& planner) { planner.add_chunk(chunk, now()); });
     announcer.added(chunk);
     hand_over.offer(chunk);
     uploads.release(fetching.version, chunk);
@@ -353,7 +360,7 @@
 void version_fetch::peer_lost(const instance_id& peer)
 {
     announcer.peer_lost(peer);
-    with_planner([&](auto& planner) { planner.gone(peer); });
+    with_planner([&](auto& planner) { planner.record_peer_loss(peer); });
 }
 
 void version_fetch::tick()
@@ -380,8 +387,8 @@
     made.reason = wanted->reason;
     if (wanted->chunks)
     {
-        made.done = wanted->chunks->bytes();
-        made.total = wanted->chunks->of().total_bytes();
+        made.done = wanted->chunks->memory_bytes();
+        made.total = wanted->chunks->get_manifest().total_bytes();
     }
     return made;
 }
@@ -398,8 +405,8 @@
     std::visit(
         [&](const auto& planner)
         {
-            made["level"] = planner.level();
-            made["pending"] = planner.pending();
+            made["level"] = planner.stall_level();
+            made["pending"] = planner.open_holder_requests();
         },
         *wanted->planner);
     return made;
--- a/src/coursejunction/daemon/internal/version_fetch.hpp
+++ b/src/coursejunction/daemon/internal/version_fetch.hpp
@@ -34,7 +34,7 @@
 {
     digest version;
     weighting weigh{weighting::time};
-    std::shared_ptr<staging> chunks;
+    std::shared_ptr<chunk_store> chunks;
     std::optional<any_planner> planner;
     unsigned manifest_attempts{0};
     time_point manifest_after{};
@@ -123,7 +123,7 @@
             std::visit(call, *wanted->planner);
     }
 
-    void begin(std::shared_ptr<staging> chunks);
+    void begin(std::shared_ptr<chunk_store> chunks);
     void assign();
     void choose_neighbours();
     void send_have(const instance_id& to, std::vector<chunk_index> chunks);
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -94,7 +94,7 @@
         reply.manifest = request.value().manifest;
         const auto found = held.find(reply.manifest);
         host.send(from, reply,
-                  found ? std::string_view(found->of().text())
+                  found ? std::string_view(found->get_manifest().text())
                         : std::string_view{});
     }
 
@@ -102,7 +102,7 @@
     {
         if (!fetching.active())
             return;
-        uploads.limit_to(governor.portion());
+        uploads.limit_to(governor.link_fraction());
         fetching.tick();
     }
 
@@ -168,7 +168,7 @@
 {
     const bool running = self->fetching.begun() &&
                          (!self->fetching.complete() || !self->uploads.empty());
-    self->governor.first_token(took, running);
+    self->governor.record_first_token(took, running);
 }
 
 bool transfer_service::idle() const
@@ -193,7 +193,7 @@
     nlohmann::json held = nlohmann::json::array();
     for (const auto& [version, chunks] : self->held.all())
         held.push_back({{"version", version.hex()},
-                        {"bytes", chunks->bytes()},
+                        {"bytes", chunks->memory_bytes()},
                         {"complete", chunks->complete()}});
     return nlohmann::json{{"held", std::move(held)},
                           {"wanted", self->fetching.dump()},
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -211,7 +211,7 @@
     [[nodiscard]] bool too_late(const transfer_type& one,
                                 std::uint64_t newest) const
     {
-        const auto needs = one.need();
+        const auto needs = one.remaining();
         if (!needs)
             return false;
         const auto used_until =
@@ -236,8 +236,8 @@
         {
             if (version <= serves)
                 continue;
-            one->fetch();
-            if (!one->complete() && !one->stands_still(now))
+            one->allow_fetching();
+            if (!one->complete() && !one->is_stalled(now))
                 return;
         }
     }
@@ -251,8 +251,7 @@
         const auto now = event_loop::now();
         std::vector<coming_version> coming;
         for (const auto& [version, one] : transfers)
-            coming.push_back(
-                {version, one->complete(), one->stands_still(now)});
+            coming.push_back({version, one->complete(), one->is_stalled(now)});
         const auto next = next_version(coming, serves, staged_version);
         if (next == staged_version)
             return next;
@@ -263,7 +262,7 @@
             transfers, [&](const auto& one)
             { return one.first < next || one.first == staged_version; });
         staged_version = next;
-        transfers.at(next)->stage();
+        transfers.at(next)->allow_staging();
         return next;
     }
 
@@ -282,10 +281,10 @@
         found->start();
     }
 
-    [[nodiscard]] typename transfer_type::surroundings surroundings()
+    [[nodiscard]] typename transfer_type::context surroundings()
     {
-        typename transfer_type::surroundings around;
-        around.origin = [this]
+        typename transfer_type::context around;
+        around.origin_address = [this]
         {
             const auto* rules = fleet.configuration();
             const auto* from = rules != nullptr ? rules->origin() : nullptr;
@@ -298,10 +297,10 @@
             return from != nullptr ? from->origin_rate : byte_rate{0};
         };
         around.participants = [this] { return participants(); };
-        around.peer_port = [this](const instance_id& id)
+        around.peer_endpoint = [this](const instance_id& id)
         { return node.peer_endpoint(id.value()); };
         around.uploads = &uploads;
-        around.window = window;
+        around.download_window = window;
         return around;
     }
 
@@ -447,10 +446,10 @@
     {
         const auto now = event_loop::now();
         const auto& next = transfers.at(version);
-        if (!verified.expired() || !next->staged() || !my_turn(*next, now))
+        if (!verified.expired() || !next->is_staged() || !my_turn(*next, now))
             return;
         verified = next;
-        next->verify(
+        next->verify_staged(
             [this, version](bool right)
             {
                 verified.reset();
@@ -473,7 +472,7 @@
             others.push_back(
                 {instance_id(address), !one.last_heartbeat.upstream.open,
                  one.last_heartbeat.upstream.version < wanted.version &&
-                     next.whole_at(one.last_heartbeat.chunks)});
+                     next.any_complete(one.last_heartbeat.chunks)});
         }
         const auto known =
             now - fleet.published_at(wanted.model, wanted.version);
@@ -583,7 +582,7 @@
             if (detail == chunk_detail::all ||
                 (detail == chunk_detail::in_transfer &&
                  (version > serves || lately_named(version))))
-                into.chunks.push_back(one->possession());
+                into.chunks.push_back(one->held_chunks());
         }
     }
 
@@ -597,12 +596,12 @@
             return;
         }
         for (const auto& [version, transfer] : transfers)
-            transfer->peer_lives(instance_id(from));
+            transfer->record_peer_alive(instance_id(from));
         for (const auto& told : one.chunks)
         {
             const auto found = transfers.find(told.version);
             if (found != transfers.end())
-                found->second->peer_holds(instance_id(from), told);
+                found->second->add_peer_chunks(instance_id(from), told);
         }
     }
 
@@ -644,10 +643,11 @@
             const auto text = transfer->manifest_lines();
             return reply.send(text.empty() ? 404 : 200, {}, text);
         }
-        transfer->give(static_cast<chunk_index>(
-                           number(parameter(request.target, "index"))),
-                       !parameter(request.target, "wait").empty(),
-                       parameter(request.target, "by"), std::move(reply));
+        transfer->serve_chunk(static_cast<chunk_index>(
+                                  number(parameter(request.target, "index"))),
+                              !parameter(request.target, "wait").empty(),
+                              parameter(request.target, "by"),
+                              std::move(reply));
     }
 
     event_loop& loop;
@@ -661,7 +661,7 @@
     paced_uploads uploads;
     chunk_transfer_options transfer_options;
     std::shared_ptr<call_window> window{std::make_shared<call_window>(
-        transfer_options.holder_calls, transfer_options.slow_chunk)};
+        transfer_options.max_holder_calls, transfer_options.slow_chunk_time)};
     std::map<std::uint64_t, std::shared_ptr<transfer_type>> transfers;
     std::optional<engine_report> last;
     std::uint64_t status_sequence{0};
--- a/src/coursejunction/transfer/call_window.hpp
+++ b/src/coursejunction/transfer/call_window.hpp
@@ -32,7 +32,7 @@
     }
 
     /*! @brief Notes how long a peer's chunk took from its call. */
-    void took(std::chrono::microseconds time) noexcept
+    void record_duration(std::chrono::microseconds time) noexcept
     {
         if (slow_chunk.count() == 0)
             return;
--- a/src/coursejunction/transfer/staging.hpp
+++ b/src/coursejunction/transfer/chunk_store.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief Verified chunks of one version in memory.
  */
-#ifndef COURSEJUNCTION_TRANSFER_STAGING_HPP
-#define COURSEJUNCTION_TRANSFER_STAGING_HPP
+#ifndef COURSEJUNCTION_TRANSFER_CHUNK_STORE_HPP
+#define COURSEJUNCTION_TRANSFER_CHUNK_STORE_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -19,42 +19,42 @@
 
 /*! @brief Holds only chunks whose hash is right, so nothing else can be
  * passed on or handed to an engine. */
-class staging
+class chunk_store
 {
 public:
     using value_type = std::shared_ptr<const std::string>;
     using size_type = std::size_t;
 
     /*! @brief What became of a chunk that came. */
-    enum class addition
+    enum class add_result
     {
         added,
         already_held,
         corrupt
     };
 
-    explicit staging(manifest of)
+    explicit chunk_store(manifest of)
         : plan(std::move(of)), chunks(plan.size()), elsewhere(plan.size())
     {
     }
 
     /*! @brief Verifies a chunk and keeps it when it is right. */
-    addition add(chunk_index at, std::string bytes)
+    add_result add(chunk_index at, std::string bytes)
     {
         if (at >= chunks.size())
-            return addition::corrupt;
+            return add_result::corrupt;
         if (contains(at))
-            return addition::already_held;
+            return add_result::already_held;
         if (bytes.size() != plan.chunk_bytes(at) ||
             digest::of(bytes) != plan[at])
-            return addition::corrupt;
+            return add_result::corrupt;
         keep(at, std::make_shared<const std::string>(std::move(bytes)));
-        return addition::added;
+        return add_result::added;
     }
 
     /*! @brief Takes over chunks that another version has in common.
      * @return The chunks taken over. */
-    std::vector<chunk_index> adopt(const staging& other)
+    std::vector<chunk_index> copy_common_from(const chunk_store& other)
     {
         std::unordered_map<digest, value_type> known;
         for (chunk_index at = 0; at < other.chunks.size(); ++at)
@@ -87,7 +87,7 @@
 
     /*! @brief Frees a chunk's bytes: it lies whole somewhere else, from where
      * the owner reads it when asked. */
-    void release(chunk_index at)
+    void release_bytes(chunk_index at)
     {
         if (!contains(at) || elsewhere[at])
             return;
@@ -97,7 +97,7 @@
     }
 
     /*! @brief Forgets a chunk: it must be fetched again. */
-    void lose(chunk_index at)
+    void discard(chunk_index at)
     {
         if (!contains(at))
             return;
@@ -117,10 +117,10 @@
     }
 
     /*! @brief Returns the bytes held. */
-    [[nodiscard]] std::uint64_t bytes() const noexcept { return total; }
+    [[nodiscard]] std::uint64_t memory_bytes() const noexcept { return total; }
 
     /*! @brief Returns the held chunks in order. */
-    [[nodiscard]] std::vector<chunk_index> held() const
+    [[nodiscard]] std::vector<chunk_index> held_chunks() const
     {
         std::vector<chunk_index> list;
         for (chunk_index at = 0; at < chunks.size(); ++at)
@@ -132,7 +132,7 @@
     }
 
     /*! @brief Returns the manifest. */
-    [[nodiscard]] const manifest& of() const noexcept { return plan; }
+    [[nodiscard]] const manifest& get_manifest() const noexcept { return plan; }
 
 private:
     void keep(chunk_index at, value_type bytes)
--- a/src/coursejunction/transfer/chunk_transfer.hpp
+++ b/src/coursejunction/transfer/chunk_transfer.hpp
@@ -27,13 +27,13 @@
 #include "coursejunction/rollout/agent_state.hpp"
 #include "coursejunction/rollout/upstream_engine.hpp"
 #include "coursejunction/rollout/version_order.hpp"
+#include "coursejunction/transfer/chunk_store.hpp"
 #include "coursejunction/transfer/chunk_transfer_options.hpp"
 #include "coursejunction/transfer/manifest_fetch.hpp"
 #include "coursejunction/transfer/paced_uploads.hpp"
-#include "coursejunction/transfer/staging.hpp"
+#include "coursejunction/transfer/transfer_context.hpp"
 #include "coursejunction/transfer/transfer_planner.hpp"
-#include "coursejunction/transfer/transfer_surroundings.hpp"
-#include "coursejunction/transfer/upload_order.hpp"
+#include "coursejunction/transfer/upload_priority.hpp"
 #include "coursejunction/wire/fleet_message.hpp"
 
 namespace coursejunction
@@ -47,12 +47,11 @@
     : public std::enable_shared_from_this<chunk_transfer<Engine, Origin>>
 {
 public:
-    using surroundings = transfer_surroundings;
+    using context = transfer_context;
 
     chunk_transfer(event_loop& owner, stream_client& carrier, Engine& beside,
                    Origin& from, metrics& counted, model_version wanted,
-                   instance_id self, surroundings around,
-                   chunk_transfer_options set)
+                   instance_id self, context around, chunk_transfer_options set)
         : loop(owner), client(carrier), engine(beside), origin(from),
           counters(counted), what(std::move(wanted)), own(std::move(self)),
           view(std::move(around)), options(set), began(event_loop::now()),
@@ -78,7 +77,7 @@
 
     /*! @brief Lets chunks be fetched from peers and the origin. Until then only
      * what the upstream has staged is read. */
-    void fetch()
+    void allow_fetching()
     {
         if (fetching)
             return;
@@ -91,7 +90,7 @@
 
     /*! @brief Lets chunks be put to the upstream, which has room for one
      * version only. */
-    void stage()
+    void allow_staging()
     {
         if (staging_allowed)
             return;
@@ -103,13 +102,13 @@
      * known. */
     [[nodiscard]] std::string manifest_lines() const
     {
-        return store ? store->of().lines() : std::string();
+        return store ? store->get_manifest().to_lines() : std::string();
     }
 
     /*! @brief Tells whether nothing came for long. */
-    [[nodiscard]] bool stands_still(time_point now) const
+    [[nodiscard]] bool is_stalled(time_point now) const
     {
-        return now - last_chunk > options.still;
+        return now - last_chunk > options.stall_time;
     }
 
     /*! @brief Tells whether every chunk is held here. */
@@ -117,34 +116,34 @@
 
     /*! @brief Returns what is missing until upstreams can serve this version;
      * nothing while too little is known to say. */
-    [[nodiscard]] std::optional<remaining_download> need() const
+    [[nodiscard]] std::optional<remaining_download> remaining() const
     {
         const auto rate = view.origin_rate();
         if (!planner || rate <= 0)
             return std::nullopt;
-        const auto& list = store->of();
+        const auto& list = store->get_manifest();
         const auto bytes = static_cast<double>(list.total_bytes()) /
                            static_cast<double>(list.size());
-        return remaining_download{planner->unseen(),
+        return remaining_download{planner->unseen_chunks(),
                                   from_seconds(bytes / rate)};
     }
 
     /*! @brief Tells whether every chunk is held and staged at the upstream. */
-    [[nodiscard]] bool staged() const
+    [[nodiscard]] bool is_staged() const
     {
         return store && store->complete() &&
-               put_chunks.size() == store->of().size();
+               put_chunks.size() == store->get_manifest().size();
     }
 
     /*! @brief Returns how far this version is. */
     [[nodiscard]] version_progress progress() const
     {
-        return {what.version, store ? store->of().size() : 0,
+        return {what.version, store ? store->get_manifest().size() : 0,
                 store ? store->size() : 0, put_chunks.size()};
     }
 
     /*! @brief Returns what others may be told. */
-    [[nodiscard]] message::chunk_possession possession() const
+    [[nodiscard]] message::chunk_possession held_chunks() const
     {
         message::chunk_possession made;
         made.model = what.model;
@@ -153,8 +152,8 @@
         if (!store)
             return made;
         constexpr std::size_t bits = 64;
-        made.held.assign((store->of().size() + bits - 1) / bits, 0);
-        for (const auto at : store->held())
+        made.held.assign((store->get_manifest().size() + bits - 1) / bits, 0);
+        for (const auto at : store->held_chunks())
             made.held[at / bits] |= std::uint64_t{1} << (at % bits);
         return made;
     }
@@ -162,7 +161,7 @@
     /*! @brief Tells whether a peer that tells of its chunks has all of this
      * version. */
     [[nodiscard]] bool
-    whole_at(const std::vector<message::chunk_possession>& told) const
+    any_complete(const std::vector<message::chunk_possession>& told) const
     {
         return std::any_of(
             told.begin(), told.end(),
@@ -172,26 +171,26 @@
                 for (const auto word : one.held)
                     count += static_cast<std::size_t>(std::popcount(word));
                 return one.model == what.model && one.version == what.version &&
-                       store && count == store->of().size();
+                       store && count == store->get_manifest().size();
             });
     }
 
     /*! @brief Notes a sign of life of a peer. */
-    void peer_lives(const instance_id& peer)
+    void record_peer_alive(const instance_id& peer)
     {
         if (planner)
-            planner->heard(peer, event_loop::now());
+            planner->record_alive(peer, event_loop::now());
     }
 
     /*! @brief Takes what a peer tells of its chunks. */
-    void peer_holds(const instance_id& peer,
-                    const message::chunk_possession& told)
+    void add_peer_chunks(const instance_id& peer,
+                         const message::chunk_possession& told)
     {
         if (!planner)
             return;
         const auto now = event_loop::now();
         if (told.model != what.model || told.version != what.version)
-            return planner->heard(peer, now);
+            return planner->record_alive(peer, now);
         constexpr std::size_t bits = 64;
         std::vector<chunk_index> held;
         for (std::size_t word = 0; word < told.held.size(); ++word)
@@ -202,27 +201,27 @@
                     held.push_back(static_cast<chunk_index>(word * bits + bit));
             }
         }
-        planner->holds(peer, held, told.queue, now);
+        planner->add_peer_chunks(peer, held, told.queue, now);
     }
 
     /*! @brief Answers a peer that asks for a chunk, now or once it is here.
      * @param peer Who asks; empty when it does not say. */
-    void give(chunk_index at, bool wait, std::string_view peer,
-              stream_reply reply)
+    void serve_chunk(chunk_index at, bool wait, std::string_view peer,
+                     stream_reply reply)
     {
         if (store && store->contains(at))
             return give_now(at, std::move(reply),
-                            wait ? upload_order::urgent
-                                 : order_of(what.rank_key(), peer));
+                            wait ? upload_priority::urgent
+                                 : upload_priority_of(what.rank_key(), peer));
         if (!wait)
             return reply.send(404, {}, "");
         waiters[at].push_back({std::move(reply), event_loop::now()});
     }
 
     /*! @brief Reads every staged chunk back and puts wrong ones anew.
-     * @param done Told whether all were right; when not, `staged` says when to
-     * try again. */
-    void verify(std::function<void(bool)> done)
+     * @param done Told whether all were right; when not, `is_staged` says when
+     * to try again. */
+    void verify_staged(std::function<void(bool)> done)
     {
         auto check = std::make_shared<verification>();
         check->done = std::move(done);
@@ -277,7 +276,7 @@
 
     void read_local()
     {
-        while (local_open < options.local_calls && !local_left.empty())
+        while (local_open < options.max_engine_calls && !local_left.empty())
         {
             const auto at = local_left.front();
             local_left.pop_front();
@@ -289,7 +288,7 @@
                     {
                         --local_open;
                         if (bytes && store->add(at, std::move(bytes.value())) ==
-                                         staging::addition::added)
+                                         chunk_store::add_result::added)
                         {
                             put(at);
                             chunk_here(at);
@@ -316,27 +315,27 @@
             return;
         planner_limits limits;
         constexpr milliseconds stall{700};
-        limits.stall_floor = stall;
-        limits.origin_pause = options.origin_pause;
-        limits.lonely = options.lonely;
-        limits.first_copy = first_copy_time(options, store->of().total_bytes(),
-                                            view.origin_rate());
-        limits.slow_chunk = options.slow_chunk;
-        limits.origin_ends = true;
-        limits.pending = options.holder_calls;
-        limits.origin_pending = 2;
-        limits.waiting = waiting_calls;
+        limits.min_stall_time = stall;
+        limits.max_origin_backoff = options.max_origin_backoff;
+        limits.single_copy_delay = options.single_copy_delay;
+        limits.first_copy_delay = first_copy_delay(
+            options, store->get_manifest().total_bytes(), view.origin_rate());
+        limits.slow_chunk_time = options.slow_chunk_time;
+        limits.origin_calls_time_out = true;
+        limits.max_holder_requests = options.max_holder_calls;
+        limits.max_origin_requests = 2;
+        limits.max_waiting_requests = waiting_calls;
         limits.seed =
             static_cast<std::uint32_t>(std::hash<std::string>{}(own.value()));
-        planner.emplace(store->of(), own, limits, swarm_policy(),
-                        event_loop::now(), view.window);
-        for (const auto at : store->held())
-            planner->held(at, event_loop::now());
+        planner.emplace(store->get_manifest(), own, limits, swarm_policy(),
+                        event_loop::now(), view.download_window);
+        for (const auto at : store->held_chunks())
+            planner->add_chunk(at, event_loop::now());
         // A new plan knows nobody, not even that it may ask the origin: after a
         // staged chunk turned bad its side would wait for ever.
         taking_part = view.participants();
-        planner->participants(taking_part, event_loop::now());
-        ticking = loop.every(options.tick, [this] { plan(); });
+        planner->set_participants(taking_part, event_loop::now());
+        ticking = loop.every(options.planning_interval, [this] { plan(); });
         plan();
     }
 
@@ -350,26 +349,26 @@
         if (all != taking_part)
         {
             taking_part = std::move(all);
-            planner->participants(taking_part, now);
+            planner->set_participants(taking_part, now);
         }
-        for (const auto& one : planner->next(now))
+        for (const auto& one : planner->next_requests(now))
             ask(one);
     }
 
     void ask(const transfer_request& one)
     {
-        if (one.how == transfer_request::kind::origin)
+        if (one.source == transfer_request::source_kind::origin)
             return ask_origin(one.chunk);
         stream_call call;
-        call.address = view.peer_port(one.peer);
+        call.address = view.peer_endpoint(one.peer);
         call.target = "/chunk?model=" + what.model +
                       "&version=" + std::to_string(what.version) +
                       "&index=" + std::to_string(one.chunk) +
                       "&by=" + own.value();
-        if (one.how == transfer_request::kind::waiting)
+        if (one.source == transfer_request::source_kind::future_holder)
             call.target += "&wait=1";
-        call.timeout = options.peer_time;
-        call.connect_time = options.connect_time;
+        call.timeout = options.peer_timeout;
+        call.connect_time = options.connect_timeout;
         call.repeatable = true;
         const auto id = std::make_shared<stream_client::call_id>();
         *id = client.gather(std::move(call),
@@ -391,12 +390,13 @@
         if (answer.end != stream_end::whole)
         {
             log_failed(one.chunk, one.peer.value(), answer.why);
-            planner->refused(one.chunk, one.peer, true, 0, now);
+            planner->record_refusal(one.chunk, one.peer, true, 0, now);
             return plan();
         }
         if (!answer.is(200))
         {
-            planner->refused(one.chunk, one.peer, answer.status == 404, 0, now);
+            planner->record_refusal(one.chunk, one.peer, answer.status == 404,
+                                    0, now);
             return plan();
         }
         counters.count("chunk_bytes_total",
@@ -407,9 +407,9 @@
 
     void ask_origin(chunk_index at)
     {
-        const auto address = view.origin();
+        const auto address = view.origin_address();
         if (address.empty())
-            return planner->origin_failed(at, event_loop::now());
+            return planner->record_origin_failure(at, event_loop::now());
         origin.chunk(
             address, what, at,
             guarded(
@@ -420,7 +420,7 @@
                     if (!bytes)
                     {
                         log_failed(at, "origin", bytes.error().message);
-                        planner->origin_failed(at, event_loop::now());
+                        planner->record_origin_failure(at, event_loop::now());
                         return;
                     }
                     counters.count("chunk_bytes_total",
@@ -444,7 +444,7 @@
     {
         switch (store->add(at, std::move(bytes)))
         {
-        case staging::addition::added:
+        case chunk_store::add_result::added:
             log::decision("chunk_received",
                           {{"version", std::to_string(what.version)},
                            {"chunk", std::to_string(at)},
@@ -454,10 +454,10 @@
             put_queue.push_back(at);
             put_more();
             break;
-        case staging::addition::already_held:
-            planner->held(at, event_loop::now());
+        case chunk_store::add_result::already_held:
+            planner->add_chunk(at, event_loop::now());
             break;
-        case staging::addition::corrupt:
+        case chunk_store::add_result::corrupt:
             chunk_corrupt(at, from);
             break;
         }
@@ -472,8 +472,8 @@
                       {"version", std::to_string(what.version)},
                       {"chunk", std::to_string(at)},
                       {"from", from.empty() ? "origin" : from.value()}});
-        planner->corrupt(at, from);
-        if (++corrupt[at] < options.most_corrupt)
+        planner->record_corrupt(at, from);
+        if (++corrupt[at] < options.max_corrupt)
             return;
         // The manifest itself may have come spoilt, from the origin or from a
         // side that took it so: the origin is asked again.
@@ -490,12 +490,12 @@
     {
         last_chunk = event_loop::now();
         if (planner)
-            planner->held(at, event_loop::now());
+            planner->add_chunk(at, event_loop::now());
         const auto found = waiters.find(at);
         if (found != waiters.end())
         {
             for (auto& one : found->second)
-                give_now(at, std::move(one.reply), upload_order::urgent);
+                give_now(at, std::move(one.reply), upload_priority::urgent);
             waiters.erase(found);
         }
         if (store->complete())
@@ -507,11 +507,11 @@
                              to_seconds(event_loop::now() - began) * 1000))}});
     }
 
-    void give_now(chunk_index at, stream_reply reply, upload_order order)
+    void give_now(chunk_index at, stream_reply reply, upload_priority order)
     {
         auto shared = std::make_shared<stream_reply>(std::move(reply));
         const bool taken = view.uploads->offer(
-            store->of().chunk_bytes(at), order,
+            store->get_manifest().chunk_bytes(at), order,
             guarded([this, at, shared] { upload(at, *shared); }));
         if (!taken)
             shared->send(503, {}, "");
@@ -537,7 +537,7 @@
                 {
                     const bool right =
                         bytes && store &&
-                        digest::of(bytes.value()) == store->of()[at];
+                        digest::of(bytes.value()) == store->get_manifest()[at];
                     if (!right)
                         return to->send(404, {}, "");
                     counters.count("chunks_given_total");
@@ -552,7 +552,7 @@
             std::erase_if(list,
                           [&](waiter& one)
                           {
-                              if (now - one.since < options.peer_wait)
+                              if (now - one.since < options.max_peer_wait)
                                   return false;
                               one.reply.send(404, {}, "");
                               return true;
@@ -570,13 +570,13 @@
             return;
         if (put_queue.empty() && putting.empty())
         {
-            for (const auto at : store->held())
+            for (const auto at : store->held_chunks())
             {
                 if (!put_chunks.contains(at))
                     put_queue.push_back(at);
             }
         }
-        while (putting.size() < options.local_calls && !put_queue.empty())
+        while (putting.size() < options.max_engine_calls && !put_queue.empty())
         {
             const auto at = put_queue.front();
             put_queue.pop_front();
@@ -591,9 +591,9 @@
                                  if (done && store)
                                      put(at);
                                  else
-                                     put_again =
-                                         loop.after(options.manifest_pause,
-                                                    [this] { put_more(); });
+                                     put_again = loop.after(
+                                         options.manifest_retry_delay,
+                                         [this] { put_more(); });
                                  if (done)
                                      put_more();
                              }));
@@ -604,15 +604,15 @@
     void put(chunk_index at)
     {
         put_chunks.insert(at);
-        store->release(at);
+        store->release_bytes(at);
     }
 
     // --- Reading back ----------------------------------------------------
 
     void verify_more(const std::shared_ptr<verification>& check)
     {
-        while (store && check->open < options.local_calls &&
-               check->next < store->of().size())
+        while (store && check->open < options.max_engine_calls &&
+               check->next < store->get_manifest().size())
         {
             const auto at = check->next++;
             ++check->open;
@@ -623,12 +623,12 @@
                                         --check->open;
                                         if (!bytes || !store ||
                                             digest::of(bytes.value()) !=
-                                                store->of()[at])
+                                                store->get_manifest()[at])
                                             chunk_turned_bad(at, *check);
                                         verify_more(check);
                                     }));
         }
-        const bool over = !store || check->next >= store->of().size();
+        const bool over = !store || check->next >= store->get_manifest().size();
         if (over && check->open == 0 && check->done)
         {
             const auto done = std::exchange(check->done, nullptr);
@@ -646,7 +646,7 @@
         put_chunks.erase(at);
         if (!store)
             return;
-        store->lose(at);
+        store->discard(at);
         // A new plan asks for what is missing now.
         planner.reset();
         ticking.stop();
@@ -661,11 +661,11 @@
     metrics& counters;
     model_version what;
     instance_id own;
-    surroundings view;
+    context view;
     chunk_transfer_options options;
     time_point began;
     time_point last_chunk;
-    std::optional<staging> store;
+    std::optional<chunk_store> store;
     std::optional<transfer_planner<swarm_policy>> planner;
     std::vector<participant> taking_part;
     std::set<stream_client::call_id> calls;
--- a/src/coursejunction/transfer/fwd.hpp
+++ b/src/coursejunction/transfer/fwd.hpp
@@ -10,7 +10,7 @@
 {
 
 class manifest;
-class staging;
+class chunk_store;
 class upload_queue;
 class transfer_governor;
 struct participant;
@@ -20,7 +20,7 @@
 class chain_policy;
 class origin_policy;
 class origin_fallback;
-class origin_turn;
+class origin_schedule;
 
 /*! @brief Place of a chunk in its manifest. */
 using chunk_index = std::uint32_t;
--- a/src/coursejunction/transfer/manifest.cpp
+++ b/src/coursejunction/transfer/manifest.cpp
@@ -90,7 +90,7 @@
     return assemble(bytes, std::move(hashes));
 }
 
-std::string manifest::lines() const
+std::string manifest::to_lines() const
 {
     std::string text = std::to_string(each) + "\n";
     for (const auto& one : chunks)
@@ -98,8 +98,9 @@
     return text;
 }
 
-std::string manifest::describe(const std::string& path, std::string_view bytes,
-                               std::size_t chunk_bytes)
+std::string manifest::build_json(const std::string& path,
+                                 std::string_view bytes,
+                                 std::size_t chunk_bytes)
 {
     auto list = nlohmann::json::array();
     for (std::size_t at = 0; at < bytes.size(); at += chunk_bytes)
--- a/src/coursejunction/transfer/manifest.hpp
+++ b/src/coursejunction/transfer/manifest.hpp
@@ -36,20 +36,20 @@
     [[nodiscard]] static result<manifest> assemble(std::size_t chunk_bytes,
                                                    std::vector<digest> hashes);
 
-    /*! @brief Reads what `lines` wrote.
+    /*! @brief Reads what `to_lines` wrote.
      * @return The manifest, or `refused`. */
     [[nodiscard]] static result<manifest> from_lines(const std::string& text);
 
     /*! @brief Returns the chunk size and the hashes, a line each. */
-    [[nodiscard]] std::string lines() const;
+    [[nodiscard]] std::string to_lines() const;
 
     /*! @brief Makes the text of a manifest.
      * @param path Path of the bytes at the origin.
      * @param bytes The whole model.
      * @param chunk_bytes Size of each chunk but the last. */
-    [[nodiscard]] static std::string describe(const std::string& path,
-                                              std::string_view bytes,
-                                              std::size_t chunk_bytes);
+    [[nodiscard]] static std::string build_json(const std::string& path,
+                                                std::string_view bytes,
+                                                std::size_t chunk_bytes);
 
     /*! @brief Returns the hash of the text: the version. */
     [[nodiscard]] const digest& id() const noexcept { return own; }
--- a/src/coursejunction/transfer/manifest_fetch.hpp
+++ b/src/coursejunction/transfer/manifest_fetch.hpp
@@ -22,8 +22,8 @@
 #include "coursejunction/transfer/chunk_transfer_options.hpp"
 #include "coursejunction/transfer/manifest.hpp"
 #include "coursejunction/transfer/manifest_route.hpp"
-#include "coursejunction/transfer/origin_turn.hpp"
-#include "coursejunction/transfer/transfer_surroundings.hpp"
+#include "coursejunction/transfer/origin_schedule.hpp"
+#include "coursejunction/transfer/transfer_context.hpp"
 
 namespace coursejunction
 {
@@ -39,13 +39,13 @@
     /*! @param told Given the manifest, each time one was asked for. */
     manifest_fetch(event_loop& owner, stream_client& carrier, Origin& from,
                    model_version wanted, instance_id self,
-                   transfer_surroundings around, chunk_transfer_options set,
+                   transfer_context around, chunk_transfer_options set,
                    std::function<void(manifest)> told)
         : loop(owner), client(carrier), origin(from), what(std::move(wanted)),
           own(std::move(self)), view(std::move(around)), options(set),
           known(std::move(told)), random(seed()),
-          turn(set.origin_gap, set.manifest_pause, seed()),
-          rest(set.manifest_pause, set.manifest_pause, seed())
+          turn(set.origin_call_interval, set.manifest_retry_delay, seed()),
+          rest(set.manifest_retry_delay, set.manifest_retry_delay, seed())
     {
     }
 
@@ -80,15 +80,17 @@
     {
         const auto all = view.participants();
         const auto before = manifest_sources(what.rank_key(), all, own);
-        const auto most = first_round ? options.tree_calls : 1;
+        const auto most = first_round ? options.max_tree_calls : 1;
         if (!distrusted && calls < most && !before.empty())
         {
-            const auto step = calls / options.calls_each;
+            const auto step = calls / options.calls_per_source;
             const auto& peer = before[std::min(step, before.size() - 1)];
             ++calls;
-            return ask_side(
-                peer, [this](const std::string&)
-                { retry = loop.after(options.tree_pause, [this] { ask(); }); });
+            return ask_side(peer,
+                            [this](const std::string&) {
+                                retry = loop.after(options.tree_retry_delay,
+                                                   [this] { ask(); });
+                            });
         }
         const auto root = first_of_hall(all, own, before);
         if (turn.due(root, all.size(), event_loop::now()))
@@ -100,7 +102,7 @@
 
     void ask_origin(std::size_t sides)
     {
-        const auto address = view.origin();
+        const auto address = view.origin_address();
         if (address.empty())
             return ask_later("no origin is configured");
         origin.chunks(address, what,
@@ -109,7 +111,7 @@
                           {
                               if (answer)
                                   return take(std::move(answer.value()));
-                              turn.failed(sides, event_loop::now());
+                              turn.record_failure(sides, event_loop::now());
                               ask_any(answer.error().message);
                           }));
     }
@@ -136,11 +138,11 @@
                   std::function<void(const std::string&)> failed)
     {
         stream_call call;
-        call.address = view.peer_port(peer);
+        call.address = view.peer_endpoint(peer);
         call.target = "/chunks?model=" + what.model +
                       "&version=" + std::to_string(what.version);
-        call.timeout = options.peer_time;
-        call.stall_time = options.manifest_time;
+        call.timeout = options.peer_timeout;
+        call.stall_time = options.manifest_stall_timeout;
         call.repeatable = true;
         client.gather(
             std::move(call),
@@ -174,11 +176,11 @@
     Origin& origin;
     model_version what;
     instance_id own;
-    transfer_surroundings view;
+    transfer_context view;
     chunk_transfer_options options;
     std::function<void(manifest)> known;
     std::minstd_rand random;
-    origin_turn turn;
+    origin_schedule turn;
     backoff rest;
     std::size_t calls{0}; /*!< Of sides before this one, in this round. */
     bool first_round{true};
--- a/src/coursejunction/transfer/origin_fallback.hpp
+++ b/src/coursejunction/transfer/origin_fallback.hpp
@@ -31,7 +31,7 @@
     [[nodiscard]] weight_source current() const noexcept { return now_asked; }
 
     /*! @brief Notes that a call to a source failed. */
-    void failed(weight_source at) noexcept
+    void record_failure(weight_source at) noexcept
     {
         if (!other_exists || at != now_asked)
             return;
--- a/src/coursejunction/transfer/origin_turn.hpp
+++ b/src/coursejunction/transfer/origin_schedule.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief When a side may ask the origin for a manifest; pure.
  */
-#ifndef COURSEJUNCTION_TRANSFER_ORIGIN_TURN_HPP
-#define COURSEJUNCTION_TRANSFER_ORIGIN_TURN_HPP
+#ifndef COURSEJUNCTION_TRANSFER_ORIGIN_SCHEDULE_HPP
+#define COURSEJUNCTION_TRANSFER_ORIGIN_SCHEDULE_HPP
 
 #include <algorithm>
 #include <cstddef>
@@ -18,13 +18,14 @@
 /*! @brief Spreads the calls of sides that cannot get a manifest from others, so
  * that all together ask at a rate that does not grow with their number. The
  * first side of each hall may ask at any time. */
-class origin_turn
+class origin_schedule
 {
 public:
     /*! @param between Mean time between two calls of all sides together.
      * @param least Mean time between two calls of one side.
      * @param seed Another one for every side. */
-    origin_turn(milliseconds between, milliseconds least, std::uint32_t seed)
+    origin_schedule(milliseconds between, milliseconds least,
+                    std::uint32_t seed)
         : gap(between), shortest(least), random(seed)
     {
     }
@@ -43,7 +44,7 @@
 
     /*! @brief The origin did not give it: each failure in a row doubles the
      * time to the next call, since manifests may be larger than foreseen. */
-    void failed(std::size_t sides, time_point now)
+    void record_failure(std::size_t sides, time_point now)
     {
         failures = std::min(failures + 1, most_doublings);
         next = now + drawn(spacing(sides), half);
--- a/src/coursejunction/transfer/paced_uploads.hpp
+++ b/src/coursejunction/transfer/paced_uploads.hpp
@@ -13,7 +13,7 @@
 
 #include "coursejunction/core/pacing.hpp"
 #include "coursejunction/net/event_loop.hpp"
-#include "coursejunction/transfer/upload_order.hpp"
+#include "coursejunction/transfer/upload_priority.hpp"
 
 namespace coursejunction
 {
@@ -24,27 +24,28 @@
 public:
     /*! @brief Part of the link that uploads may fill. One chunk of 32 KiB then
      * holds a live answer up by 35 ms at 7.6 Mbit/s. */
-    static constexpr double link_part = 0.95;
+    static constexpr double link_fraction = 0.95;
 
     /*! @brief Uploads that may wait; the last of them waits 0.5 s. */
-    static constexpr std::size_t most_waiting = 12;
+    static constexpr std::size_t max_waiting = 12;
 
     paced_uploads(event_loop& owner, byte_rate rate) : loop(owner), link(rate)
     {
-        link.limit_to(link_part);
+        link.limit_to(link_fraction);
     }
 
     /*! @brief Queues an upload.
      * @param order Lower ones go first; equal ones in the order they came.
      * @return False when too many wait. */
-    bool offer(std::size_t bytes, upload_order order,
+    bool offer(std::size_t bytes, upload_priority order,
                std::function<void()> send)
     {
-        if (order != upload_order::urgent && queue.size() >= most_waiting)
+        if (order != upload_priority::urgent && queue.size() >= max_waiting)
             return false;
-        const auto place = std::upper_bound(
-            queue.begin(), queue.end(), order,
-            [](upload_order of, const upload& one) { return of < one.order; });
+        const auto place =
+            std::upper_bound(queue.begin(), queue.end(), order,
+                             [](upload_priority of, const upload& one)
+                             { return of < one.order; });
         queue.insert(place, {bytes, order, std::move(send)});
         if (!running)
             next();
@@ -57,7 +58,7 @@
     struct upload
     {
         std::size_t bytes{0};
-        upload_order order{};
+        upload_priority order{};
         std::function<void()> send;
     };
 
--- a/src/coursejunction/transfer/source_policy.cpp
+++ b/src/coursejunction/transfer/source_policy.cpp
@@ -103,9 +103,9 @@
     {
         const auto key = internal::slot_key(of, at);
         slot made;
-        made.all = internal::ranked(key, all, ranks);
-        made.region = internal::ranked(key, same_region, ranks);
-        made.hall = internal::ranked(key, same_hall, ranks);
+        made.all = internal::ranked(key, all, max_ranks);
+        made.region = internal::ranked(key, same_region, max_ranks);
+        made.hall = internal::ranked(key, same_hall, max_ranks);
         made.fraction = static_cast<double>(stable_hash(key) >> 11U) /
                         static_cast<double>(std::uint64_t{1} << 53U);
         slots.push_back(std::move(made));
--- a/src/coursejunction/transfer/source_policy.hpp
+++ b/src/coursejunction/transfer/source_policy.hpp
@@ -29,23 +29,23 @@
 /*! @brief Where a chunk is to come from. */
 struct chunk_source
 {
-    enum class origin_kind : std::uint8_t
+    enum class source_kind : std::uint8_t
     {
         none,  /*!< From whoever is seen to hold it. */
         peer,  /*!< From this peer, waiting until it holds it. */
         origin /*!< From the origin. */
     };
 
-    origin_kind kind{origin_kind::none};
+    source_kind kind{source_kind::none};
     instance_id peer;
 
     [[nodiscard]] static chunk_source from_origin()
     {
-        return {origin_kind::origin, {}};
+        return {source_kind::origin, {}};
     }
     [[nodiscard]] static chunk_source from_peer(instance_id id)
     {
-        return {origin_kind::peer, std::move(id)};
+        return {source_kind::peer, std::move(id)};
     }
 };
 
@@ -84,7 +84,7 @@
     static constexpr bool uses_possession = true;
 
     /*! @brief How many ranks may stand in, one after another. */
-    static constexpr std::size_t ranks = 4;
+    static constexpr std::size_t max_ranks = 4;
 
     /*! @brief How many instances one watches at most. */
     static constexpr std::size_t max_watched = 24;
--- a/src/coursejunction/transfer/transfer_governor.hpp
+++ b/src/coursejunction/transfer/transfer_governor.hpp
@@ -24,12 +24,12 @@
     static constexpr double slow_floor_s = 0.02;
     static constexpr double decrease = 0.8;
     static constexpr double increase = 0.05;
-    static constexpr double least = 0.5;
+    static constexpr double min_fraction = 0.5;
     static constexpr std::size_t window = 16;
 
     /*! @brief Takes the time to a first token.
      * @param transferring Whether a transfer was running. */
-    void first_token(std::chrono::microseconds took, bool transferring)
+    void record_first_token(std::chrono::microseconds took, bool transferring)
     {
         const auto seconds = to_seconds(took);
         if (!transferring)
@@ -43,8 +43,8 @@
             judge();
     }
 
-    /*! @brief Returns the portion of the link, in [least, 1]. */
-    [[nodiscard]] double portion() const noexcept { return share; }
+    /*! @brief Returns the portion of the link, in [min_fraction, 1]. */
+    [[nodiscard]] double link_fraction() const noexcept { return share; }
 
 private:
     static constexpr double smoothing = 0.1;
@@ -59,7 +59,7 @@
         const bool slow = quiet > 0 && *middle > quiet * slow_ratio &&
                           *middle > quiet + slow_floor_s;
         share = slow ? share * decrease : share + increase;
-        share = std::clamp(share, least, 1.0);
+        share = std::clamp(share, min_fraction, 1.0);
     }
 
     double quiet{0};
--- a/src/coursejunction/transfer/transfer_planner.hpp
+++ b/src/coursejunction/transfer/transfer_planner.hpp
@@ -25,38 +25,44 @@
 /*! @brief Limits of a planner. */
 struct planner_limits
 {
-    std::size_t pending{4};        /*!< Chunks asked from holders at once. */
-    std::size_t origin_pending{2}; /*!< Chunks asked from the origin at once. */
-    std::size_t waiting{16};       /*!< Chunks waited for at first sources. */
-    std::size_t peer_queue{4}; /*!< Queue at a holder above which to skip. */
-    milliseconds origin_pause{3000};  /*!< Longest after failures in a row. */
-    milliseconds stall_floor{10'000}; /*!< Least time without any progress. */
+    std::size_t max_holder_requests{
+        4}; /*!< Chunks asked from holders at once. */
+    std::size_t max_origin_requests{
+        2}; /*!< Chunks asked from the origin at once. */
+    std::size_t max_waiting_requests{
+        16}; /*!< Chunks waited for at first sources. */
+    std::size_t max_peer_queue{
+        4}; /*!< Queue at a holder above which to skip. */
+    milliseconds max_origin_backoff{
+        3000}; /*!< Longest after failures in a row. */
+    milliseconds min_stall_time{
+        10'000}; /*!< Least time without any progress. */
     /*! @brief A chunk that one holder of the hall has had for this long and
      * that nobody got from it is asked of stand-ins; zero for never. */
-    milliseconds lonely{0};
+    milliseconds single_copy_delay{0};
     /*! @brief A chunk that nobody of the hall has this long after the beginning
      * is asked of stand-ins; zero for never. */
-    milliseconds first_copy{0};
+    milliseconds first_copy_delay{0};
     /*! @brief A peer's chunk that takes this long shows that the own link is
      * narrow: fewer are asked at once; zero for never. */
-    milliseconds slow_chunk{0};
+    milliseconds slow_chunk_time{0};
     /*! @brief A call of the origin ends by itself when nothing comes any more:
      * as long as it is open, the chunk is not asked of the origin again. */
-    bool origin_ends{false};
+    bool origin_calls_time_out{false};
     std::uint32_t seed{1};
 };
 
 /*! @brief One thing to do. */
 struct transfer_request
 {
-    enum class kind : std::uint8_t
+    enum class source_kind : std::uint8_t
     {
-        holder,  /*!< Ask a peer that holds the chunk. */
-        waiting, /*!< Ask a peer to send the chunk once it holds it. */
-        origin   /*!< Ask the origin. */
+        holder,        /*!< Ask a peer that holds the chunk. */
+        future_holder, /*!< Ask a peer to send the chunk once it holds it. */
+        origin         /*!< Ask the origin. */
     };
 
-    kind how{kind::holder};
+    source_kind source{source_kind::holder};
     chunk_index chunk{0};
     instance_id peer;
 };
@@ -72,7 +78,7 @@
     static constexpr std::size_t max_holders = 64;
 
     /*! @brief Peers that sent this many bad chunks are asked no more. */
-    static constexpr std::size_t max_bad = 2;
+    static constexpr std::size_t max_corrupt_chunks = 2;
 
     /*! @param link How narrow the own link was seen to be, shared by all
      * versions that come over it; none makes one for this plan alone. */
@@ -82,8 +88,8 @@
         : plan(std::move(of)), own(std::move(self)), limits(set),
           policy(std::move(how)), random(set.seed),
           window(link ? std::move(link)
-                      : std::make_shared<call_window>(set.pending,
-                                                      set.slow_chunk)),
+                      : std::make_shared<call_window>(set.max_holder_requests,
+                                                      set.slow_chunk_time)),
           chunks(plan.size()), missing(plan.size()), flow_began(now),
           last_news(now), last_arrival(now)
     {
@@ -94,7 +100,7 @@
     }
 
     /*! @brief Sets who takes part; called again when the list changes. */
-    void participants(const std::vector<participant>& all, time_point now)
+    void set_participants(const std::vector<participant>& all, time_point now)
     {
         hall_of.clear();
         for (const auto& one : all)
@@ -121,7 +127,7 @@
     }
 
     /*! @brief Notes a sign of life of a peer. */
-    void heard(const instance_id& peer, time_point now)
+    void record_alive(const instance_id& peer, time_point now)
     {
         const auto found = heard_at.find(peer);
         if (found != heard_at.end())
@@ -130,10 +136,11 @@
     }
 
     /*! @brief Notes chunks that a peer holds and the length of its queue. */
-    void holds(const instance_id& peer, const std::vector<chunk_index>& held,
-               std::uint32_t queue, time_point now)
+    void add_peer_chunks(const instance_id& peer,
+                         const std::vector<chunk_index>& held,
+                         std::uint32_t queue, time_point now)
     {
-        heard(peer, now);
+        record_alive(peer, now);
         const bool near = same_hall(peer);
         const auto number =
             near ? holder_number(peer) : std::optional<std::size_t>{};
@@ -154,7 +161,7 @@
     }
 
     /*! @brief Notes that this instance now holds a chunk. */
-    void held(chunk_index at, time_point now)
+    void add_chunk(chunk_index at, time_point now)
     {
         auto& one = chunks[at];
         if (one.held)
@@ -170,8 +177,8 @@
     }
 
     /*! @brief Notes that a request got no chunk. */
-    void refused(chunk_index at, const instance_id& peer, bool absent,
-                 std::uint32_t queue, time_point now)
+    void record_refusal(chunk_index at, const instance_id& peer, bool absent,
+                        std::uint32_t queue, time_point now)
     {
         if (at >= chunks.size())
             return;
@@ -188,33 +195,33 @@
     }
 
     /*! @brief Notes that the origin did not give a chunk. */
-    void origin_failed(chunk_index at, time_point now)
+    void record_origin_failure(chunk_index at, time_point now)
     {
-        if (chunks[at].how == transfer_request::kind::origin)
+        if (chunks[at].source == transfer_request::source_kind::origin)
             settle(at);
-        origin_backoff =
-            std::clamp(origin_backoff * 2, origin_least, limits.origin_pause);
+        origin_backoff = std::clamp(origin_backoff * 2, origin_least,
+                                    limits.max_origin_backoff);
         origin_after = now + origin_backoff;
     }
 
     /*! @brief Notes a chunk with a wrong hash. */
-    void corrupt(chunk_index at, const instance_id& peer)
+    void record_corrupt(chunk_index at, const instance_id& peer)
     {
-        if (!peer.empty() && ++bad[peer] >= max_bad)
+        if (!peer.empty() && ++bad[peer] >= max_corrupt_chunks)
             forget(peer);
         if (at < chunks.size() && !chunks[at].held)
             settle(at);
     }
 
     /*! @brief Notes that a peer cannot be reached. */
-    void gone(const instance_id& peer)
+    void record_peer_loss(const instance_id& peer)
     {
         lost.insert(peer);
         forget(peer);
     }
 
     /*! @brief Returns what to ask now. */
-    [[nodiscard]] std::vector<transfer_request> next(time_point now)
+    [[nodiscard]] std::vector<transfer_request> next_requests(time_point now)
     {
         std::vector<transfer_request> requests;
         if (complete())
@@ -234,7 +241,7 @@
     [[nodiscard]] bool complete() const noexcept { return missing == 0; }
 
     /*! @brief Returns how many chunks nobody is known to hold. */
-    [[nodiscard]] std::size_t unseen() const
+    [[nodiscard]] std::size_t unseen_chunks() const
     {
         return static_cast<std::size_t>(
             std::count_if(open.begin(), open.end(),
@@ -242,17 +249,17 @@
     }
 
     /*! @brief Returns how often first sources stalled. */
-    [[nodiscard]] std::size_t level() const noexcept { return stall_level; }
+    [[nodiscard]] std::size_t stall_level() const noexcept { return stalls; }
 
     /*! @brief Tells whether a peer has sent too many bad chunks. */
     [[nodiscard]] bool banned(const instance_id& peer) const
     {
         const auto found = bad.find(peer);
-        return found != bad.end() && found->second >= max_bad;
+        return found != bad.end() && found->second >= max_corrupt_chunks;
     }
 
     /*! @brief Returns how many requests are open, waits left out. */
-    [[nodiscard]] std::size_t pending() const noexcept
+    [[nodiscard]] std::size_t open_holder_requests() const noexcept
     {
         return holder_pending;
     }
@@ -281,7 +288,7 @@
         bool held{false};
         bool seen{false};
         bool asked{false};
-        transfer_request::kind how{};
+        transfer_request::source_kind source{};
         instance_id asked_peer;
         time_point asked_at{};
         time_point deadline{};
@@ -373,13 +380,13 @@
             interval == 0 ? gap : interval + (gap - interval) * smoothing;
         // Chunks come again: stand-ins asked while nothing came would now
         // only fetch the same ones more often.
-        if (now - last_arrival > limits.stall_floor)
+        if (now - last_arrival > limits.min_stall_time)
         {
-            stall_level = 0;
+            stalls = 0;
             flow_began = now;
         }
-        else if (stall_level > 0)
-            --stall_level;
+        else if (stalls > 0)
+            --stalls;
         last_arrival = now;
         last_news = now;
     }
@@ -390,13 +397,13 @@
         if (!one.asked)
             return;
         const auto took = now - one.asked_at;
-        if (one.how == transfer_request::kind::holder)
+        if (one.source == transfer_request::source_kind::holder)
         {
             chunk_seconds += (to_seconds(took) - chunk_seconds) * smoothing;
-            window->took(
+            window->record_duration(
                 std::chrono::duration_cast<std::chrono::microseconds>(took));
         }
-        if (one.how == transfer_request::kind::origin)
+        if (one.source == transfer_request::source_kind::origin)
             origin_backoff = milliseconds(0);
     }
 
@@ -407,9 +414,9 @@
         if (!one.asked)
             return;
         one.asked = false;
-        switch (one.how)
+        switch (one.source)
         {
-        case transfer_request::kind::holder:
+        case transfer_request::source_kind::holder:
             --holder_pending;
             for (auto& peer : holders)
             {
@@ -417,10 +424,10 @@
                     --peer.asked;
             }
             break;
-        case transfer_request::kind::waiting:
+        case transfer_request::source_kind::future_holder:
             --waiting_pending;
             break;
-        case transfer_request::kind::origin:
+        case transfer_request::source_kind::origin:
             --origin_pending;
             break;
         }
@@ -436,23 +443,23 @@
     }
 
     void ask(std::vector<transfer_request>& requests, chunk_index at,
-             transfer_request::kind how, instance_id peer, time_point now,
-             std::chrono::microseconds allowed)
+             transfer_request::source_kind source, instance_id peer,
+             time_point now, std::chrono::microseconds allowed)
     {
         auto& one = chunks[at];
         COURSEJUNCTION_ASSERT(!one.asked && !one.held, "asked twice");
         one.asked = true;
-        one.how = how;
+        one.source = source;
         one.asked_peer = peer;
         one.asked_at = now;
         one.deadline = now + allowed;
-        if (how == transfer_request::kind::holder)
+        if (source == transfer_request::source_kind::holder)
             ++holder_pending;
-        else if (how == transfer_request::kind::waiting)
+        else if (source == transfer_request::source_kind::future_holder)
             ++waiting_pending;
         else
             ++origin_pending;
-        requests.push_back({how, at, std::move(peer)});
+        requests.push_back({source, at, std::move(peer)});
     }
 
     /*! @brief Gives up requests whose deadline has passed. A late chunk is
@@ -468,12 +475,12 @@
                 !one.asked_peer.empty() && !alive(one.asked_peer, now);
             if (now < one.deadline && !silent)
                 continue;
-            if (one.how == transfer_request::kind::holder)
+            if (one.source == transfer_request::source_kind::holder)
             {
                 const auto number = holder_number(one.asked_peer);
                 if (number)
                     holders[*number].not_before = now + least_deadline;
-                window->took(
+                window->record_duration(
                     std::chrono::duration_cast<std::chrono::microseconds>(
                         now - one.asked_at));
             }
@@ -487,18 +494,19 @@
     void escalate(time_point now)
     {
         const auto least = std::max<std::chrono::microseconds>(
-            limits.stall_floor, from_seconds(interval * stall_intervals));
-        if (now - last_news < least * (1 << std::min(stall_level, most_levels)))
+            limits.min_stall_time, from_seconds(interval * stall_intervals));
+        if (now - last_news < least * (1 << std::min(stalls, most_levels)))
             return;
-        ++stall_level;
+        ++stalls;
         last_news = now;
         for (const auto at : open)
         {
             const auto& one = chunks[at];
             const bool goes_on =
-                one.how == transfer_request::kind::origin && limits.origin_ends;
-            if (one.asked && one.how != transfer_request::kind::holder &&
-                !goes_on)
+                one.source == transfer_request::source_kind::origin &&
+                limits.origin_calls_time_out;
+            if (one.asked &&
+                one.source != transfer_request::source_kind::holder && !goes_on)
                 settle(at);
         }
     }
@@ -507,13 +515,15 @@
      * the hall; the call of the origin goes on, and the first one counts. */
     void free_slow_origin_calls(time_point now)
     {
-        if (!limits.origin_ends)
+        if (!limits.origin_calls_time_out)
             return;
         for (const auto at : open)
         {
             const auto& one = chunks[at];
-            if (one.asked && one.how == transfer_request::kind::origin &&
-                one.holders != 0 && now - one.asked_at > limits.lonely)
+            if (one.asked &&
+                one.source == transfer_request::source_kind::origin &&
+                one.holders != 0 &&
+                now - one.asked_at > limits.single_copy_delay)
                 settle(at);
         }
     }
@@ -525,7 +535,7 @@
         return std::max<std::chrono::microseconds>(
             least_deadline,
             from_seconds(chunk_seconds * deadline_ratio *
-                         static_cast<double>(limits.peer_queue + 1)));
+                         static_cast<double>(limits.max_peer_queue + 1)));
     }
 
     /*! @brief Asks for chunks that this instance is the first source of, then
@@ -554,21 +564,22 @@
             const auto at = open[(start + step) % open.size()];
             auto& one = chunks[at];
             const auto late = late_level(one, now);
-            const auto stalled = std::max(stall_level, late);
+            const auto stalled = std::max(stalls, late);
             if (stand_in && stalled == 0)
                 continue;
-            const bool asked_long = one.asked && late > 0 &&
-                                    now - one.asked_at > limits.lonely &&
-                                    one.how != transfer_request::kind::origin;
+            const bool asked_long =
+                one.asked && late > 0 &&
+                now - one.asked_at > limits.single_copy_delay &&
+                one.source != transfer_request::source_kind::origin;
             if ((one.asked && !asked_long) ||
                 (Policy::uses_possession && one.holders != 0 && late == 0))
                 continue;
             ++examined;
             const auto from = policy.source(at, living, stand_in ? stalled : 0);
             // A peer that stalls is left for the one that stands in for it.
-            if (from.kind == chunk_source::origin_kind::none ||
+            if (from.kind == chunk_source::source_kind::none ||
                 (!stand_in && stalled > 0 &&
-                 from.kind == chunk_source::origin_kind::peer) ||
+                 from.kind == chunk_source::source_kind::peer) ||
                 (one.asked && from.peer == one.asked_peer))
                 continue;
             if (asked_long)
@@ -584,19 +595,20 @@
     [[nodiscard]] std::size_t late_level(const chunk_state& one,
                                          time_point now) const
     {
-        if (!Policy::uses_possession || limits.lonely.count() == 0)
+        if (!Policy::uses_possession || limits.single_copy_delay.count() == 0)
             return 0;
         const int count = __builtin_popcountll(one.holders);
         if (count > 1)
             return 0;
-        if (count == 0 && now - last_arrival > limits.stall_floor)
+        if (count == 0 && now - last_arrival > limits.min_stall_time)
             return 0;
-        const auto since = count == 1 ? one.near_since + limits.lonely
-                                      : flow_began + limits.first_copy;
+        const auto since = count == 1
+                               ? one.near_since + limits.single_copy_delay
+                               : flow_began + limits.first_copy_delay;
         if (now < since)
             return 0;
         const auto more =
-            static_cast<std::size_t>((now - since) / limits.lonely);
+            static_cast<std::size_t>((now - since) / limits.single_copy_delay);
         return std::min(more + 1, most_levels);
     }
 
@@ -604,23 +616,23 @@
                           chunk_index at, const chunk_source& from,
                           time_point now, bool stand_in)
     {
-        if (from.kind == chunk_source::origin_kind::origin &&
-            origin_pending < window->limit(limits.origin_pending) &&
+        if (from.kind == chunk_source::source_kind::origin &&
+            origin_pending < window->limit(limits.max_origin_requests) &&
             now >= origin_after +
                        (stand_in ? stand_in_pauses : 0) * origin_backoff)
-            ask(requests, at, transfer_request::kind::origin, {}, now,
+            ask(requests, at, transfer_request::source_kind::origin, {}, now,
                 longest_origin_request);
-        if (from.kind == chunk_source::origin_kind::peer &&
-            waiting_pending < window->limit(limits.waiting) &&
+        if (from.kind == chunk_source::source_kind::peer &&
+            waiting_pending < window->limit(limits.max_waiting_requests) &&
             !banned(from.peer) && from.peer != own &&
             now >= refused_until[from.peer])
-            ask(requests, at, transfer_request::kind::waiting, from.peer, now,
-                longest_origin_request);
+            ask(requests, at, transfer_request::source_kind::future_holder,
+                from.peer, now, longest_origin_request);
     }
 
     void ask_holders(std::vector<transfer_request>& requests, time_point now)
     {
-        while (holder_pending < window->limit(limits.pending))
+        while (holder_pending < window->limit(limits.max_holder_requests))
         {
             if (!ask_best_holder(requests, now))
                 return;
@@ -636,7 +648,7 @@
         {
             const auto& one = holders[at];
             const auto load = one.queue + one.asked;
-            if (one.id.empty() || load > limits.peer_queue ||
+            if (one.id.empty() || load > limits.max_peer_queue ||
                 now < one.not_before)
                 continue;
             order.emplace_back((std::uint64_t{load} << 32U) | random(), at);
@@ -648,7 +660,7 @@
             if (!at)
                 continue;
             ++holders[number].asked;
-            ask(requests, *at, transfer_request::kind::holder,
+            ask(requests, *at, transfer_request::source_kind::holder,
                 holders[number].id, now, allowance());
             return true;
         }
@@ -692,7 +704,7 @@
     std::size_t holder_pending{0};
     std::size_t waiting_pending{0};
     std::size_t origin_pending{0};
-    std::size_t stall_level{0};
+    std::size_t stalls{0};
     milliseconds origin_backoff{0};
     time_point origin_after{};
     time_point flow_began; /*!< Since when chunks have come steadily. */
--- a/src/coursejunction/transfer/upload_queue.hpp
+++ b/src/coursejunction/transfer/upload_queue.hpp
@@ -52,17 +52,17 @@
     }
 
     /*! @brief Notes that a peer waits for a chunk that is not yet held. */
-    void wait(upload one)
+    void add_waiter(upload one)
     {
         waiting[{one.manifest, one.chunk}].insert(std::move(one.to));
     }
 
     /*! @brief Queues a chunk before all plain requests. */
-    void urge(upload one) { urgent.push_back(std::move(one)); }
+    void enqueue_first(upload one) { urgent.push_back(std::move(one)); }
 
     /*! @brief Moves those that wait for a chunk to the front.
      * @return Whether any did. */
-    bool release(const digest& manifest, chunk_index chunk)
+    bool serve_waiters(const digest& manifest, chunk_index chunk)
     {
         const auto found = waiting.find({manifest, chunk});
         if (found == waiting.end())
@@ -74,7 +74,7 @@
     }
 
     /*! @brief Takes the next upload. */
-    [[nodiscard]] std::optional<upload> next()
+    [[nodiscard]] std::optional<upload> take_next()
     {
         auto& from = urgent.empty() ? plain : urgent;
         if (from.empty())
@@ -85,7 +85,7 @@
     }
 
     /*! @brief Forgets a peer that is gone. */
-    void drop(const instance_id& peer)
+    void remove_peer(const instance_id& peer)
     {
         const auto same = [&](const upload& one) { return one.to == peer; };
         std::erase_if(plain, same);
@@ -95,7 +95,7 @@
     }
 
     /*! @brief Forgets who waits for chunks of a version that is given up. */
-    void give_up(const digest& manifest)
+    void drop_waiters(const digest& manifest)
     {
         std::erase_if(waiting, [&](const auto& one)
                       { return one.first.first == manifest; });
--- a/standin/origin.cpp
+++ b/standin/origin.cpp
@@ -79,7 +79,7 @@
                 static_cast<double>(size) * body.value("shared", 0.5));
             made.replace(0, shared, other, 0, shared);
         }
-        const auto manifest = coursejunction::manifest::describe(
+        const auto manifest = coursejunction::manifest::build_json(
             "/models/" + name, made,
             body.value("chunk_bytes", std::size_t{1} << 17U));
         const auto version = coursejunction::digest::of(manifest).hex();
--- a/tests/daemon/internal/engine_hand_over.cpp
+++ b/tests/daemon/internal/engine_hand_over.cpp
@@ -41,7 +41,7 @@
 {
     const auto bytes = fixtures::model_bytes(6);
     const auto chunks =
-        std::make_shared<cj::staging>(fixtures::manifest_of(bytes));
+        std::make_shared<cj::chunk_store>(fixtures::manifest_of(bytes));
     for (cj::chunk_index at = 0; at < 6; ++at)
         chunks->add(at, bytes.substr(at * fixtures::chunk_bytes,
                                      fixtures::chunk_bytes));
@@ -49,7 +49,7 @@
     int whole = 0;
     ci::engine_hand_over<waiting_engine> hand_over(
         engine, [&](const cj::digest&) { ++whole; });
-    hand_over.begin(chunks->of().id(), chunks);
+    hand_over.begin(chunks->get_manifest().id(), chunks);
     hand_over.move_on();
     hand_over.move_on();
     REQUIRE(engine.manifests.size() == 1);
--- a/tests/daemon/internal/have_announcer.cpp
+++ b/tests/daemon/internal/have_announcer.cpp
@@ -19,7 +19,7 @@
         [&](const cj::instance_id& to, chunk_list chunks)
         { sent.emplace_back(to, std::move(chunks)); });
     const auto bytes = fixtures::model_bytes(3);
-    cj::staging chunks(fixtures::manifest_of(bytes));
+    cj::chunk_store chunks(fixtures::manifest_of(bytes));
     const auto add = [&](cj::chunk_index at)
     {
         chunks.add(at, bytes.substr(at * fixtures::chunk_bytes,
--- a/tests/daemon/internal/held_versions.cpp
+++ b/tests/daemon/internal/held_versions.cpp
@@ -10,7 +10,7 @@
 SCENARIO("versions are held while they are wanted or served", "[daemon]")
 {
     const auto make = [](const std::string& bytes)
-    { return std::make_shared<cj::staging>(fixtures::manifest_of(bytes)); };
+    { return std::make_shared<cj::chunk_store>(fixtures::manifest_of(bytes)); };
     const auto bytes = fixtures::model_bytes(2);
     const auto first = make(bytes);
     first->add(0, bytes.substr(0, fixtures::chunk_bytes));
@@ -18,24 +18,24 @@
     const auto third = make(fixtures::model_bytes(1, 'y'));
     ci::held_versions held;
     for (const auto& one : {first, second, third})
-        held.hold(one->of().id(), one);
+        held.hold(one->get_manifest().id(), one);
 
     THEN("a later one takes over what is common")
     {
         CHECK(second->contains(0));
-        CHECK(held.find(second->of().id(), 0) == first->find(0));
-        CHECK(held.find(second->of().id(), 1) == nullptr);
+        CHECK(held.find(second->get_manifest().id(), 0) == first->find(0));
+        CHECK(held.find(second->get_manifest().id(), 1) == nullptr);
         CHECK(held.find(cj::digest::of("none"), 0) == nullptr);
     }
     WHEN("one is served and another wanted")
     {
-        held.serving(first->of().id());
-        held.release_but(third->of().id());
+        held.serving(first->get_manifest().id());
+        held.release_but(third->get_manifest().id());
         THEN("only these stay")
         {
             CHECK(held.all().size() == 2);
-            CHECK(held.find(second->of().id()) == nullptr);
-            CHECK(held.find(first->of().id()) == first);
+            CHECK(held.find(second->get_manifest().id()) == nullptr);
+            CHECK(held.find(first->get_manifest().id()) == first);
         }
     }
 }
--- a/tests/transfer/call_window.cpp
+++ b/tests/transfer/call_window.cpp
@@ -16,29 +16,29 @@
     }
     GIVEN("chunks that take long")
     {
-        window.took(900ms);
+        window.record_duration(900ms);
         CHECK(window.limit(8) == 2);
-        window.took(2s);
-        window.took(2s);
+        window.record_duration(2s);
+        window.record_duration(2s);
         CHECK(window.limit(8) == 1);
         THEN("those that take neither long nor little change nothing")
         {
-            window.took(600ms);
+            window.record_duration(600ms);
             CHECK(window.limit(8) == 1);
         }
         THEN("it opens step by step when they come soon")
         {
-            window.took(100ms);
+            window.record_duration(100ms);
             CHECK(window.limit(8) == 2);
-            window.took(100ms);
-            window.took(100ms);
+            window.record_duration(100ms);
+            window.record_duration(100ms);
             CHECK(window.limit(8) == 8);
         }
     }
     GIVEN("a window that does not look at times")
     {
         cj::call_window open(4, 0ms);
-        open.took(60s);
+        open.record_duration(60s);
         CHECK(open.limit(16) == 16);
     }
 }
--- a/tests/transfer/fixtures.hpp
+++ b/tests/transfer/fixtures.hpp
@@ -32,7 +32,7 @@
 
 inline cj::manifest manifest_of(const std::string& bytes)
 {
-    const auto text = cj::manifest::describe("/m", bytes, chunk_bytes);
+    const auto text = cj::manifest::build_json("/m", bytes, chunk_bytes);
     return cj::manifest::parse(text, cj::digest::of(text)).value();
 }
 
--- a/tests/transfer/manifest.cpp
+++ b/tests/transfer/manifest.cpp
@@ -10,7 +10,7 @@
 SCENARIO("a manifest is what its hash names", "[transfer]")
 {
     const auto bytes = fixtures::model_bytes(3) + "tail";
-    const auto text = cj::manifest::describe("/m", bytes, 16);
+    const auto text = cj::manifest::build_json("/m", bytes, 16);
     GIVEN("the right text")
     {
         const auto read = cj::manifest::parse(text, cj::digest::of(text));
@@ -48,7 +48,7 @@
     CHECK(made.value().total_bytes() == 32);
     CHECK(made.value().chunk_bytes(1) == 16);
 
-    const auto read = cj::manifest::from_lines(made.value().lines());
+    const auto read = cj::manifest::from_lines(made.value().to_lines());
     REQUIRE(read);
     CHECK(read.value().id() == made.value().id());
     CHECK(read.value()[1] == cj::digest::of("b"));
--- a/tests/transfer/manifest_fetch.cpp
+++ b/tests/transfer/manifest_fetch.cpp
@@ -214,9 +214,9 @@
                 if (found == holders.end())
                     return reply.send(404, {}, "");
                 if (!slow.contains(id))
-                    return reply.send(200, {}, found->second.lines());
+                    return reply.send(200, {}, found->second.to_lines());
                 reply.begin(200, {});
-                trickle(id, found->second.lines(), std::move(reply));
+                trickle(id, found->second.to_lines(), std::move(reply));
             });
         addresses[id] = "127.0.0.1:" + std::to_string(made.value()->port());
         servers[id] = std::move(made.value());
@@ -236,10 +236,10 @@
 
     void fetch(const cj::instance_id& id)
     {
-        cj::transfer_surroundings around;
-        around.origin = [] { return std::string("origin"); };
+        cj::transfer_context around;
+        around.origin_address = [] { return std::string("origin"); };
         around.participants = [this] { return all; };
-        around.peer_port = [this](const cj::instance_id& peer)
+        around.peer_endpoint = [this](const cj::instance_id& peer)
         { return addresses.at(peer); };
         auto made = std::make_shared<cj::manifest_fetch<narrow_origin>>(
             loop.loop, *client, *origin, wanted, id, around,
--- a/tests/transfer/origin_replay.cpp
+++ b/tests/transfer/origin_replay.cpp
@@ -24,16 +24,16 @@
     constexpr double bits = 8;
     pattern made;
     made.origin_chunk = chunk_bits / rate * ms;
-    made.limits.stall_floor = options.still;
-    made.limits.origin_pause = options.origin_pause;
-    made.limits.lonely = options.lonely;
-    made.limits.first_copy = cj::first_copy_time(
+    made.limits.min_stall_time = options.stall_time;
+    made.limits.max_origin_backoff = options.max_origin_backoff;
+    made.limits.single_copy_delay = options.single_copy_delay;
+    made.limits.first_copy_delay = cj::first_copy_delay(
         options, static_cast<std::uint64_t>(made.chunks) * 32'768, rate / bits);
-    made.limits.slow_chunk = options.slow_chunk;
-    made.limits.origin_ends = true;
-    made.limits.pending = options.holder_calls;
-    made.limits.origin_pending = 2;
-    made.limits.waiting = 8;
+    made.limits.slow_chunk_time = options.slow_chunk_time;
+    made.limits.origin_calls_time_out = true;
+    made.limits.max_holder_requests = options.max_holder_calls;
+    made.limits.max_origin_requests = 2;
+    made.limits.max_waiting_requests = 8;
     return made;
 }
 
--- a/tests/transfer/origin_replay.hpp
+++ b/tests/transfer/origin_replay.hpp
@@ -62,7 +62,7 @@
                                      cj::swarm_policy(), moment(0)),
                              std::vector<bool>(played.chunks),
                              {}});
-            sides.back().plan.participants(all, moment(0));
+            sides.back().plan.set_participants(all, moment(0));
         }
     }
 
@@ -149,7 +149,8 @@
         if (away(now))
         {
             for (const auto& one : calls)
-                sides[one.by].plan.origin_failed(one.chunk, moment(now));
+                sides[one.by].plan.record_origin_failure(one.chunk,
+                                                         moment(now));
             calls.clear();
             return;
         }
@@ -178,7 +179,7 @@
     void take(std::size_t by, cj::chunk_index chunk, double now)
     {
         auto& one = sides[by];
-        one.plan.held(chunk, moment(now));
+        one.plan.add_chunk(chunk, moment(now));
         if (one.held[chunk])
             return;
         one.held[chunk] = true;
@@ -215,15 +216,16 @@
             static_cast<std::uint32_t>(sides[from].uploads.size());
         for (std::size_t to = 0; to < sides.size(); ++to)
             if (to != from && (far || hall_of(to) == hall_of(from)))
-                sides[to].plan.holds(sides[from].id, held, queue, moment(now));
+                sides[to].plan.add_peer_chunks(sides[from].id, held, queue,
+                                               moment(now));
     }
 
     void ask(std::size_t by, double now)
     {
-        using kind = cj::transfer_request::kind;
-        for (const auto& one : sides[by].plan.next(moment(now)))
+        using kind = cj::transfer_request::source_kind;
+        for (const auto& one : sides[by].plan.next_requests(moment(now)))
         {
-            if (one.how == kind::origin)
+            if (one.source == kind::origin)
             {
                 calls.push_back({by, one.chunk, played.origin_chunk});
                 continue;
@@ -231,11 +233,11 @@
             const auto peer = std::stoul(one.peer.value().substr(1));
             if (sides[peer].held[one.chunk])
                 give(peer, by, one.chunk, now);
-            else if (one.how == kind::waiting)
+            else if (one.source == kind::future_holder)
                 waiting.push_back({peer, by, one.chunk});
             else
-                sides[by].plan.refused(one.chunk, one.peer, true, 0,
-                                       moment(now));
+                sides[by].plan.record_refusal(one.chunk, one.peer, true, 0,
+                                              moment(now));
         }
     }
 
--- a/tests/transfer/origin_turn.cpp
+++ b/tests/transfer/origin_schedule.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/transfer/origin_turn.hpp"
+#include "coursejunction/transfer/origin_schedule.hpp"
 
 #include <vector>
 
@@ -16,7 +16,7 @@
 /*! @brief Counts the calls of sides that are all refused, each 10 ms. */
 std::size_t calls(std::size_t sides, milliseconds from, milliseconds until)
 {
-    std::vector<origin_turn> turns;
+    std::vector<origin_schedule> turns;
     for (std::uint32_t seed = 1; seed <= sides; ++seed)
         turns.emplace_back(gap, least, seed * 7919);
     std::size_t made = 0;
@@ -27,7 +27,7 @@
         {
             if (!one.due(false, sides, now))
                 continue;
-            one.failed(sides, now);
+            one.record_failure(sides, now);
             made += at >= from ? 1 : 0;
         }
     }
@@ -43,10 +43,10 @@
 {
     SECTION("the first of a hall asks at any time")
     {
-        origin_turn turn(gap, least, 1);
+        origin_schedule turn(gap, least, 1);
         const time_point now{1s};
         CHECK(turn.due(true, 2500, now));
-        turn.failed(2500, now);
+        turn.record_failure(2500, now);
         CHECK(turn.due(true, 2500, now));
     }
     SECTION("all others together ask a hundred times a second at most")
@@ -66,7 +66,7 @@
     {
         for (std::uint32_t seed = 1; seed <= 20; ++seed)
         {
-            origin_turn turn(gap, least, seed);
+            origin_schedule turn(gap, least, seed);
             const time_point now{1s};
             static_cast<void>(turn.due(false, 20, now));
             CHECK(turn.due(false, 20, now + least));
@@ -74,10 +74,10 @@
     }
     SECTION("after a wrong manifest turns begin anew")
     {
-        origin_turn turn(gap, least, 3);
+        origin_schedule turn(gap, least, 3);
         const time_point now{1s};
         for (int times = 0; times < 6; ++times)
-            turn.failed(20, now);
+            turn.record_failure(20, now);
         CHECK_FALSE(turn.due(false, 20, now + 1s));
         turn.reset();
         static_cast<void>(turn.due(false, 20, now + 1s));
--- a/tests/transfer/source_policy.cpp
+++ b/tests/transfer/source_policy.cpp
@@ -8,7 +8,7 @@
 #include "transfer/fixtures.hpp"
 
 namespace cj = coursejunction;
-using kind = cj::chunk_source::origin_kind;
+using kind = cj::chunk_source::source_kind;
 
 namespace
 {
--- a/tests/transfer/transfer_governor.cpp
+++ b/tests/transfer/transfer_governor.cpp
@@ -9,24 +9,24 @@
 {
     cj::transfer_governor governor;
     for (int at = 0; at < 50; ++at)
-        governor.first_token(50ms, false);
+        governor.record_first_token(50ms, false);
     GIVEN("first tokens that slow down during a transfer")
     {
         for (int at = 0; at < 64; ++at)
-            governor.first_token(200ms, true);
-        CHECK(governor.portion() < 0.6);
-        CHECK(governor.portion() >= cj::transfer_governor::least);
+            governor.record_first_token(200ms, true);
+        CHECK(governor.link_fraction() < 0.6);
+        CHECK(governor.link_fraction() >= cj::transfer_governor::min_fraction);
         THEN("the link is taken back when they are fast again")
         {
             for (int at = 0; at < 300; ++at)
-                governor.first_token(50ms, true);
-            CHECK(governor.portion() == 1.0);
+                governor.record_first_token(50ms, true);
+            CHECK(governor.link_fraction() == 1.0);
         }
     }
     GIVEN("first tokens that stay as they were")
     {
         for (int at = 0; at < 64; ++at)
-            governor.first_token(55ms, true);
-        CHECK(governor.portion() == 1.0);
+            governor.record_first_token(55ms, true);
+        CHECK(governor.link_fraction() == 1.0);
     }
 }
--- a/tests/transfer/upload_order.cpp
+++ b/tests/transfer/upload_priority.cpp
@@ -1,4 +1,4 @@
-#include "coursejunction/transfer/upload_order.hpp"
+#include "coursejunction/transfer/upload_priority.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -25,10 +25,10 @@
                       { return other.id == one.id; });
         const bool closes =
             may_close(close_limits{}, one.id, others, version, 1s);
-        const auto order = order_of(version, one.id.value());
+        const auto order = upload_priority_of(version, one.id.value());
         if (closes)
-            REQUIRE(order == upload_order::first);
-        first += order == upload_order::first ? 1 : 0;
+            REQUIRE(order == upload_priority::early);
+        first += order == upload_priority::early ? 1 : 0;
     }
     REQUIRE(first > 6);
     REQUIRE(first < 18);
--- a/tests/transfer/upload_queue.cpp
+++ b/tests/transfer/upload_queue.cpp
@@ -18,24 +18,24 @@
         CHECK_FALSE(queue.offer({q, one, 3}));
         THEN("a chunk that another hall waits for goes first")
         {
-            queue.wait({q, one, 9});
-            CHECK_FALSE(queue.release(one, 8));
-            CHECK_FALSE(queue.release(two, 9));
-            CHECK(queue.release(one, 9));
-            CHECK(queue.next() == cj::upload_queue::upload{q, one, 9});
-            CHECK(queue.next() == cj::upload_queue::upload{p, one, 1});
+            queue.add_waiter({q, one, 9});
+            CHECK_FALSE(queue.serve_waiters(one, 8));
+            CHECK_FALSE(queue.serve_waiters(two, 9));
+            CHECK(queue.serve_waiters(one, 9));
+            CHECK(queue.take_next() == cj::upload_queue::upload{q, one, 9});
+            CHECK(queue.take_next() == cj::upload_queue::upload{p, one, 1});
         }
         THEN("nobody waits for a version that is given up")
         {
-            queue.wait({q, one, 9});
-            queue.give_up(one);
-            CHECK_FALSE(queue.release(one, 9));
+            queue.add_waiter({q, one, 9});
+            queue.drop_waiters(one);
+            CHECK_FALSE(queue.serve_waiters(one, 9));
         }
         THEN("a peer that is gone is forgotten")
         {
-            queue.drop(p);
+            queue.remove_peer(p);
             CHECK(queue.empty());
-            CHECK_FALSE(queue.next());
+            CHECK_FALSE(queue.take_next());
         }
     }
 }
