--- a/src/coursejunction/transfer/call_window.hpp
+++ b/src/coursejunction/transfer/call_window.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief How many chunks may be on their way to an instance at once; pure.
+ * @brief Limits the chunks that are being downloaded at once. Does no I/O.
  */
 #ifndef COURSEJUNCTION_TRANSFER_CALL_WINDOW_HPP
 #define COURSEJUNCTION_TRANSFER_CALL_WINDOW_HPP
@@ -12,47 +12,49 @@
 namespace coursejunction
 {
 
-/*! @brief Closes when chunks take long and opens again when they come soon.
+/*! @brief Halves the limit when a chunk takes long, and raises it by one when a
+ * chunk arrives soon.
  *
- * What is on its way to an instance waits in front of its link together with
- * live requests. On a link that is ten times narrower than it should be, the
- * chunks that a whole link takes in half a second hold a request up for 4 s:
- * it then begins on weights whose time is over. */
+ * Chunks that are being downloaded queue in front of the link of the instance
+ * together with live requests. On a link with a tenth of its usual rate, the
+ * chunks that usually take half a second delay a request by 4 s: it then
+ * begins on old weights after their grace time. */
 class call_window
 {
 public:
     using size_type = std::size_t;
 
-    /*! @param largest Chunks at once on a whole link.
-     * @param slow A chunk that takes this long shows a narrow link; zero when
-     * none does. */
-    call_window(size_type largest, milliseconds slow)
-        : most(std::max<size_type>(largest, 1)), slow_chunk(slow), open(most)
+    /*! @param max_calls Concurrent chunks on a link with its full rate.
+     * @param slow A chunk that takes this long indicates a narrow link; zero
+     * disables the limit. */
+    call_window(size_type max_calls, milliseconds slow)
+        : largest(std::max<size_type>(max_calls, 1)), slow_chunk_time(slow),
+          current(largest)
     {
     }
 
-    /*! @brief Notes how long a peer's chunk took from its call. */
-    void record_duration(std::chrono::microseconds time) noexcept
+    /*! @brief Records how long a request for a chunk to a peer took. */
+    void record_duration(std::chrono::microseconds duration) noexcept
     {
-        if (slow_chunk.count() == 0)
+        if (slow_chunk_time.count() == 0)
             return;
-        if (time >= slow_chunk)
-            open = std::max<size_type>(open / 2, 1);
-        else if (time < slow_chunk / 2)
-            open = std::min(open + 1, most);
+        if (duration >= slow_chunk_time)
+            current = std::max<size_type>(current / 2, 1);
+        else if (duration < slow_chunk_time / 2)
+            current = std::min(current + 1, largest);
     }
 
-    /*! @brief Returns how many of some calls may be open now.
-     * @param usual Their number on a whole link. */
-    [[nodiscard]] size_type limit(size_type usual) const noexcept
+    /*! @brief Returns how many calls of one kind may be open now.
+     * @param full_limit Their number on a link with its full rate. */
+    [[nodiscard]] size_type limit(size_type full_limit) const noexcept
     {
-        return open == most ? usual : std::min(usual, open);
+        return current == largest ? full_limit : std::min(full_limit, current);
     }
 
 private:
-    size_type most;
-    milliseconds slow_chunk;
-    size_type open;
+    size_type largest;
+    milliseconds slow_chunk_time;
+    size_type current;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/transfer/chunk_store.hpp
+++ b/src/coursejunction/transfer/chunk_store.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Verified chunks of one version in memory.
+ * @brief Holds the verified chunks of one version in memory.
  */
 #ifndef COURSEJUNCTION_TRANSFER_CHUNK_STORE_HPP
 #define COURSEJUNCTION_TRANSFER_CHUNK_STORE_HPP
@@ -17,15 +17,15 @@
 namespace coursejunction
 {
 
-/*! @brief Holds only chunks whose hash is right, so nothing else can be
- * passed on or handed to an engine. */
+/*! @brief Holds only chunks whose hash matches the manifest, so that no other
+ * bytes can be sent to a peer or staged at an engine. */
 class chunk_store
 {
 public:
     using value_type = std::shared_ptr<const std::string>;
     using size_type = std::size_t;
 
-    /*! @brief What became of a chunk that came. */
+    /*! @brief Result of adding a chunk. */
     enum class add_result
     {
         added,
@@ -33,120 +33,129 @@
         corrupt
     };
 
-    explicit chunk_store(manifest of)
-        : plan(std::move(of)), chunks(plan.size()), elsewhere(plan.size())
+    explicit chunk_store(manifest list)
+        : content(std::move(list)), chunks(content.size()),
+          released(content.size())
     {
     }
 
-    /*! @brief Verifies a chunk and keeps it when it is right. */
-    add_result add(chunk_index at, std::string bytes)
+    /*! @brief Verifies a chunk and stores it if its size and hash match. */
+    add_result add(chunk_index chunk, std::string bytes)
     {
-        if (at >= chunks.size())
+        if (chunk >= chunks.size())
             return add_result::corrupt;
-        if (contains(at))
+        if (contains(chunk))
             return add_result::already_held;
-        if (bytes.size() != plan.chunk_bytes(at) ||
-            digest::of(bytes) != plan[at])
+        if (bytes.size() != content.chunk_bytes(chunk) ||
+            digest::of(bytes) != content[chunk])
             return add_result::corrupt;
-        keep(at, std::make_shared<const std::string>(std::move(bytes)));
+        insert(chunk, std::make_shared<const std::string>(std::move(bytes)));
         return add_result::added;
     }
 
-    /*! @brief Takes over chunks that another version has in common.
-     * @return The chunks taken over. */
+    /*! @brief Adds the chunks that this version has in common with another one
+     * and that are in memory there; the bytes are shared.
+     * @return The chunks added. */
     std::vector<chunk_index> copy_common_from(const chunk_store& other)
     {
-        std::unordered_map<digest, value_type> known;
-        for (chunk_index at = 0; at < other.chunks.size(); ++at)
+        std::unordered_map<digest, value_type> available;
+        for (chunk_index chunk = 0; chunk < other.chunks.size(); ++chunk)
         {
-            if (other.chunks[at])
-                known.emplace(other.plan[at], other.chunks[at]);
+            if (other.chunks[chunk])
+                available.emplace(other.content[chunk], other.chunks[chunk]);
         }
-        std::vector<chunk_index> taken;
-        for (chunk_index at = 0; at < chunks.size(); ++at)
+        std::vector<chunk_index> added_chunks;
+        for (chunk_index chunk = 0; chunk < chunks.size(); ++chunk)
         {
-            const auto found = known.find(plan[at]);
-            if (chunks[at] || found == known.end())
+            const auto found = available.find(content[chunk]);
+            if (chunks[chunk] || found == available.end())
                 continue;
-            keep(at, found->second);
-            taken.push_back(at);
+            insert(chunk, found->second);
+            added_chunks.push_back(chunk);
         }
-        return taken;
+        return added_chunks;
     }
 
-    /*! @brief Returns a chunk, or null when its bytes are not held here. */
-    [[nodiscard]] value_type find(chunk_index at) const
+    /*! @brief Returns a chunk, or null when its bytes are not in memory. */
+    [[nodiscard]] value_type find(chunk_index chunk) const
     {
-        return at < chunks.size() ? chunks[at] : nullptr;
+        return chunk < chunks.size() ? chunks[chunk] : nullptr;
     }
 
-    [[nodiscard]] bool contains(chunk_index at) const
+    /*! @brief Returns whether a chunk is held, in memory or released. */
+    [[nodiscard]] bool contains(chunk_index chunk) const
     {
-        return at < chunks.size() && (chunks[at] != nullptr || elsewhere[at]);
+        return chunk < chunks.size() &&
+               (chunks[chunk] != nullptr || released[chunk]);
     }
 
-    /*! @brief Frees a chunk's bytes: it lies whole somewhere else, from where
-     * the owner reads it when asked. */
-    void release_bytes(chunk_index at)
+    /*! @brief Frees the bytes of a held chunk, of which the owner can read
+     * another copy. It still counts as held. */
+    void release_bytes(chunk_index chunk)
     {
-        if (!contains(at) || elsewhere[at])
+        if (!contains(chunk) || released[chunk])
             return;
-        total -= chunks[at]->size();
-        chunks[at].reset();
-        elsewhere[at] = true;
+        held_bytes -= chunks[chunk]->size();
+        chunks[chunk].reset();
+        released[chunk] = true;
     }
 
-    /*! @brief Forgets a chunk: it must be fetched again. */
-    void discard(chunk_index at)
+    /*! @brief Removes a chunk, which must be fetched again. */
+    void discard(chunk_index chunk)
     {
-        if (!contains(at))
+        if (!contains(chunk))
             return;
-        total -= chunks[at] ? chunks[at]->size() : 0;
-        chunks[at].reset();
-        elsewhere[at] = false;
+        held_bytes -= chunks[chunk] ? chunks[chunk]->size() : 0;
+        chunks[chunk].reset();
+        released[chunk] = false;
         --count;
     }
 
-    /*! @brief Returns how many chunks are held. */
+    /*! @brief Returns the number of held chunks. */
     [[nodiscard]] size_type size() const noexcept { return count; }
 
-    /*! @brief Tells whether every chunk is held. */
+    /*! @brief Returns whether every chunk is held. */
     [[nodiscard]] bool complete() const noexcept
     {
         return count == chunks.size();
     }
 
-    /*! @brief Returns the bytes held. */
-    [[nodiscard]] std::uint64_t memory_bytes() const noexcept { return total; }
+    /*! @brief Returns the number of bytes in memory. */
+    [[nodiscard]] std::uint64_t memory_bytes() const noexcept
+    {
+        return held_bytes;
+    }
 
-    /*! @brief Returns the held chunks in order. */
+    /*! @brief Returns the held chunks in ascending order. */
     [[nodiscard]] std::vector<chunk_index> held_chunks() const
     {
         std::vector<chunk_index> list;
-        for (chunk_index at = 0; at < chunks.size(); ++at)
+        for (chunk_index chunk = 0; chunk < chunks.size(); ++chunk)
         {
-            if (contains(at))
-                list.push_back(at);
+            if (contains(chunk))
+                list.push_back(chunk);
         }
         return list;
     }
 
-    /*! @brief Returns the manifest. */
-    [[nodiscard]] const manifest& get_manifest() const noexcept { return plan; }
+    [[nodiscard]] const manifest& get_manifest() const noexcept
+    {
+        return content;
+    }
 
 private:
-    void keep(chunk_index at, value_type bytes)
+    void insert(chunk_index chunk, value_type bytes)
     {
-        total += bytes->size();
+        held_bytes += bytes->size();
         ++count;
-        chunks[at] = std::move(bytes);
+        chunks[chunk] = std::move(bytes);
     }
 
-    manifest plan;
+    manifest content;
     std::vector<value_type> chunks;
-    std::vector<bool> elsewhere; /*!< Held, but not in memory. */
+    std::vector<bool> released; /*!< Held, but not in memory. */
     size_type count{0};
-    std::uint64_t total{0};
+    std::uint64_t held_bytes{0};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/transfer/chunk_transfer.hpp
+++ b/src/coursejunction/transfer/chunk_transfer.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Brings one version of a model to one instance: from what its upstream
+ * @brief Fetches one version of a model for one upstream: from what its engine
  * still has staged, from peers, and from the origin.
  */
 #ifndef COURSEJUNCTION_TRANSFER_CHUNK_TRANSFER_HPP
@@ -39,7 +39,7 @@
 namespace coursejunction
 {
 
-/*! @brief One version on its way to one upstream.
+/*! @brief Transfers one version to one upstream and serves its chunks to peers.
  * @tparam Engine A `Staging_engine`.
  * @tparam Origin A `Weight_origin`. */
 template <typename Engine, typename Origin>
@@ -49,73 +49,77 @@
 public:
     using context = transfer_context;
 
-    chunk_transfer(event_loop& owner, stream_client& carrier, Engine& beside,
-                   Origin& from, metrics& counted, model_version wanted,
-                   instance_id self, context around, chunk_transfer_options set)
-        : loop(owner), client(carrier), engine(beside), origin(from),
-          counters(counted), what(std::move(wanted)), own(std::move(self)),
-          view(std::move(around)), options(set), began(event_loop::now()),
-          last_chunk(began)
+    chunk_transfer(event_loop& events, stream_client& http_client,
+                   Engine& upstream, Origin& weight_origin,
+                   metrics& metric_registry, model_version wanted,
+                   instance_id self, context shared_context,
+                   chunk_transfer_options chosen_options)
+        : loop(events), client(http_client), engine(upstream),
+          origin(weight_origin), counters(metric_registry),
+          target(std::move(wanted)), own(std::move(self)),
+          view(std::move(shared_context)), options(chosen_options),
+          started_at(event_loop::now()), last_chunk_at(started_at)
     {
     }
 
     ~chunk_transfer()
     {
-        for (const auto id : calls)
+        for (const auto id : open_calls)
             client.cancel(id);
     }
 
-    /*! @brief Begins; the object is held by a shared pointer. */
+    /*! @brief Starts to fetch the manifest. The object must be owned by a
+     * shared pointer. */
     void start()
     {
-        manifests = std::make_shared<manifest_fetch<Origin>>(
-            loop, client, origin, what, own, view, options,
-            guarded([this](manifest list)
-                    { manifest_known(std::move(list)); }));
-        manifests->start();
+        manifest_fetcher = std::make_shared<manifest_fetch<Origin>>(
+            loop, client, origin, target, own, view, options,
+            guarded([this](manifest list) { set_manifest(std::move(list)); }));
+        manifest_fetcher->start();
     }
 
-    /*! @brief Lets chunks be fetched from peers and the origin. Until then only
-     * what the upstream has staged is read. */
+    /*! @brief Allows chunks to be fetched from peers and the origin. Until then
+     * only those staged at the upstream are read. */
     void allow_fetching()
     {
-        if (fetching)
+        if (fetching_allowed)
             return;
-        fetching = true;
+        fetching_allowed = true;
         if (store)
             start_planner();
     }
 
-    [[nodiscard]] const model_version& version() const { return what; }
+    [[nodiscard]] const model_version& version() const { return target; }
 
-    /*! @brief Lets chunks be put to the upstream, which has room for one
-     * version only. */
+    /*! @brief Allows chunks to be staged at the upstream, which has room for
+     * one version only. */
     void allow_staging()
     {
         if (staging_allowed)
             return;
         staging_allowed = true;
-        put_more();
+        stage_more();
     }
 
-    /*! @brief Returns the manifest as lines for a peer; empty when it is not
-     * known. */
+    /*! @brief Returns the manifest as lines for a peer; empty while it is
+     * unknown. */
     [[nodiscard]] std::string manifest_lines() const
     {
         return store ? store->get_manifest().to_lines() : std::string();
     }
 
-    /*! @brief Tells whether nothing came for long. */
+    /*! @brief Returns whether no chunk has arrived for `stall_time`. */
     [[nodiscard]] bool is_stalled(time_point now) const
     {
-        return now - last_chunk > options.stall_time;
+        return now - last_chunk_at > options.stall_time;
     }
 
-    /*! @brief Tells whether every chunk is held here. */
+    /*! @brief Returns whether every chunk is held here. */
     [[nodiscard]] bool complete() const { return store && store->complete(); }
 
-    /*! @brief Returns what is missing until upstreams can serve this version;
-     * nothing while too little is known to say. */
+    /*! @brief Returns what is still to be downloaded before upstreams can serve
+     * this version; nothing while the plan or the rate of the origin is
+     * unknown. */
     [[nodiscard]] std::optional<remaining_download> remaining() const
     {
         const auto rate = view.origin_rate();
@@ -128,116 +132,124 @@
                                   from_seconds(bytes / rate)};
     }
 
-    /*! @brief Tells whether every chunk is held and staged at the upstream. */
+    /*! @brief Returns whether every chunk is held and staged at the
+     * upstream. */
     [[nodiscard]] bool is_staged() const
     {
         return store && store->complete() &&
-               put_chunks.size() == store->get_manifest().size();
+               staged_chunks.size() == store->get_manifest().size();
     }
 
-    /*! @brief Returns how far this version is. */
+    /*! @brief Returns the progress of this version. */
     [[nodiscard]] version_progress progress() const
     {
-        return {what.version, store ? store->get_manifest().size() : 0,
-                store ? store->size() : 0, put_chunks.size()};
+        return {target.version, store ? store->get_manifest().size() : 0,
+                store ? store->size() : 0, staged_chunks.size()};
     }
 
-    /*! @brief Returns what others may be told. */
+    /*! @brief Returns the held chunks as a bit mask, for heartbeats to
+     * peers. */
     [[nodiscard]] message::chunk_possession held_chunks() const
     {
         message::chunk_possession made;
-        made.model = what.model;
-        made.version = what.version;
+        made.model = target.model;
+        made.version = target.version;
         made.queue = static_cast<std::uint32_t>(view.uploads->size());
         if (!store)
             return made;
         constexpr std::size_t bits = 64;
         made.held.assign((store->get_manifest().size() + bits - 1) / bits, 0);
-        for (const auto at : store->held_chunks())
-            made.held[at / bits] |= std::uint64_t{1} << (at % bits);
+        for (const auto chunk : store->held_chunks())
+            made.held[chunk / bits] |= std::uint64_t{1} << (chunk % bits);
         return made;
     }
 
-    /*! @brief Tells whether a peer that tells of its chunks has all of this
-     * version. */
+    /*! @brief Returns whether a peer reports to hold this version
+     * completely. */
     [[nodiscard]] bool
-    any_complete(const std::vector<message::chunk_possession>& told) const
-    {
-        return std::any_of(
-            told.begin(), told.end(),
-            [&](const message::chunk_possession& one)
-            {
-                std::size_t count = 0;
-                for (const auto word : one.held)
-                    count += static_cast<std::size_t>(std::popcount(word));
-                return one.model == what.model && one.version == what.version &&
-                       store && count == store->get_manifest().size();
-            });
-    }
-
-    /*! @brief Notes a sign of life of a peer. */
+    any_complete(const std::vector<message::chunk_possession>& reported) const
+    {
+        return std::any_of(reported.begin(), reported.end(),
+                           [&](const message::chunk_possession& one)
+                           {
+                               std::size_t count = 0;
+                               for (const auto word : one.held)
+                                   count += static_cast<std::size_t>(
+                                       std::popcount(word));
+                               return one.model == target.model &&
+                                      one.version == target.version && store &&
+                                      count == store->get_manifest().size();
+                           });
+    }
+
+    /*! @brief Records that a peer is alive. */
     void record_peer_alive(const instance_id& peer)
     {
         if (planner)
             planner->record_alive(peer, event_loop::now());
     }
 
-    /*! @brief Takes what a peer tells of its chunks. */
+    /*! @brief Records the chunks that a peer reports to hold. */
     void add_peer_chunks(const instance_id& peer,
-                         const message::chunk_possession& told)
+                         const message::chunk_possession& reported)
     {
         if (!planner)
             return;
         const auto now = event_loop::now();
-        if (told.model != what.model || told.version != what.version)
+        if (reported.model != target.model ||
+            reported.version != target.version)
             return planner->record_alive(peer, now);
         constexpr std::size_t bits = 64;
         std::vector<chunk_index> held;
-        for (std::size_t word = 0; word < told.held.size(); ++word)
+        for (std::size_t word = 0; word < reported.held.size(); ++word)
         {
             for (std::size_t bit = 0; bit < bits; ++bit)
             {
-                if ((told.held[word] >> bit & 1U) != 0)
+                if ((reported.held[word] >> bit & 1U) != 0)
                     held.push_back(static_cast<chunk_index>(word * bits + bit));
             }
         }
-        planner->add_peer_chunks(peer, held, told.queue, now);
+        planner->add_peer_chunks(peer, held, reported.queue, now);
     }
 
-    /*! @brief Answers a peer that asks for a chunk, now or once it is here.
-     * @param peer Who asks; empty when it does not say. */
-    void serve_chunk(chunk_index at, bool wait, std::string_view peer,
+    /*! @brief Responds to a request for a chunk, now or once the chunk is held.
+     * @param wait Whether the peer waits for a chunk that is not held yet; it
+     * brings the first copy to another hall, so its upload is urgent.
+     * @param peer The requesting peer; empty when it did not say. */
+    void serve_chunk(chunk_index chunk, bool wait, std::string_view peer,
                      stream_reply reply)
     {
-        if (store && store->contains(at))
-            return give_now(at, std::move(reply),
-                            wait ? upload_priority::urgent
-                                 : upload_priority_of(what.rank_key(), peer));
+        if (store && store->contains(chunk))
+            return enqueue_upload(
+                chunk, std::move(reply),
+                wait ? upload_priority::urgent
+                     : upload_priority_of(target.rank_key(), peer));
         if (!wait)
             return reply.send(404, {}, "");
-        waiters[at].push_back({std::move(reply), event_loop::now()});
+        waiters[chunk].push_back({std::move(reply), event_loop::now()});
     }
 
-    /*! @brief Reads every staged chunk back and puts wrong ones anew.
-     * @param done Told whether all were right; when not, `is_staged` says when
-     * to try again. */
+    /*! @brief Reads every staged chunk back and fetches those again that do not
+     * match the manifest.
+     * @param done Called with whether all matched; if not, try again once
+     * `is_staged` returns true. */
     void verify_staged(std::function<void(bool)> done)
     {
         auto check = std::make_shared<verification>();
         check->done = std::move(done);
-        verify_more(check);
+        verify_next(check);
     }
 
 private:
-    /*! @brief Chunks waited for at first sources of other halls. */
-    static constexpr std::size_t waiting_calls = 8;
+    /*! @brief Open requests to future holders in other halls. */
+    static constexpr std::size_t max_waiting_calls = 8;
 
     struct verification
     {
         std::function<void(bool)> done;
         chunk_index next{0};
-        std::size_t open{0};
-        std::size_t wrong{0};
+        std::size_t open_reads{0};
+        std::size_t mismatches{0};
     };
 
     struct waiter
@@ -254,56 +266,59 @@
 
     // --- Manifest --------------------------------------------------------
 
-    void manifest_known(manifest list)
+    void set_manifest(manifest list)
     {
-        log::state("manifest_known", {{"model", what.model},
-                                      {"version", std::to_string(what.version)},
-                                      {"chunks", std::to_string(list.size())}});
+        log::state("manifest_known",
+                   {{"model", target.model},
+                    {"version", std::to_string(target.version)},
+                    {"chunks", std::to_string(list.size())}});
         store.emplace(std::move(list));
-        corrupt.clear();
-        engine.staged(
-            what.model,
-            guarded(
-                [this](result<std::vector<chunk_index>> held)
-                {
-                    if (held)
-                        local_left = {held.value().begin(), held.value().end()};
-                    read_local();
-                }));
+        corrupt_counts.clear();
+        engine.staged(target.model,
+                      guarded(
+                          [this](result<std::vector<chunk_index>> held)
+                          {
+                              if (held)
+                                  staged_to_read = {held.value().begin(),
+                                                    held.value().end()};
+                              read_staged();
+                          }));
     }
 
-    // --- What the upstream has staged ------------------------------------
+    // --- Chunks already staged at the upstream -------------------------------
 
-    void read_local()
+    void read_staged()
     {
-        while (local_open < options.max_engine_calls && !local_left.empty())
+        while (open_staged_reads < options.max_engine_calls &&
+               !staged_to_read.empty())
         {
-            const auto at = local_left.front();
-            local_left.pop_front();
-            ++local_open;
+            const auto chunk = staged_to_read.front();
+            staged_to_read.pop_front();
+            ++open_staged_reads;
             engine.staged_chunk(
-                what.model, at,
+                target.model, chunk,
                 guarded(
-                    [this, at](result<std::string> bytes)
+                    [this, chunk](result<std::string> bytes)
                     {
-                        --local_open;
-                        if (bytes && store->add(at, std::move(bytes.value())) ==
-                                         chunk_store::add_result::added)
+                        --open_staged_reads;
+                        if (bytes &&
+                            store->add(chunk, std::move(bytes.value())) ==
+                                chunk_store::add_result::added)
                         {
-                            put(at);
-                            chunk_here(at);
+                            mark_staged(chunk);
+                            handle_held_chunk(chunk);
                         }
-                        read_local();
+                        read_staged();
                     }));
         }
-        if (local_open > 0 || local_read)
+        if (open_staged_reads > 0 || staged_reads_done)
             return;
-        local_read = true;
+        staged_reads_done = true;
         log::state("staged_chunks_read",
-                   {{"model", what.model},
-                    {"version", std::to_string(what.version)},
+                   {{"model", target.model},
+                    {"version", std::to_string(target.version)},
                     {"right", std::to_string(store->size())}});
-        if (fetching)
+        if (fetching_allowed)
             start_planner();
     }
 
@@ -311,11 +326,11 @@
 
     void start_planner()
     {
-        if (planner || !local_read)
+        if (planner || !staged_reads_done)
             return;
         planner_limits limits;
-        constexpr milliseconds stall{700};
-        limits.min_stall_time = stall;
+        constexpr milliseconds min_stall_time{700};
+        limits.min_stall_time = min_stall_time;
         limits.max_origin_backoff = options.max_origin_backoff;
         limits.single_copy_delay = options.single_copy_delay;
         limits.first_copy_delay = first_copy_delay(
@@ -324,18 +339,20 @@
         limits.origin_calls_time_out = true;
         limits.max_holder_requests = options.max_holder_calls;
         limits.max_origin_requests = 2;
-        limits.max_waiting_requests = waiting_calls;
+        limits.max_waiting_requests = max_waiting_calls;
         limits.seed =
             static_cast<std::uint32_t>(std::hash<std::string>{}(own.value()));
         planner.emplace(store->get_manifest(), own, limits, swarm_policy(),
                         event_loop::now(), view.download_window);
-        for (const auto at : store->held_chunks())
-            planner->add_chunk(at, event_loop::now());
-        // A new plan knows nobody, not even that it may ask the origin: after a
-        // staged chunk turned bad its side would wait for ever.
-        taking_part = view.participants();
-        planner->set_participants(taking_part, event_loop::now());
-        ticking = loop.every(options.planning_interval, [this] { plan(); });
+        for (const auto chunk : store->held_chunks())
+            planner->add_chunk(chunk, event_loop::now());
+        // A new planner has no participants and would not even ask the origin:
+        // without this call the transfer hung after a staged chunk turned out
+        // to be corrupt.
+        current_participants = view.participants();
+        planner->set_participants(current_participants, event_loop::now());
+        planning_timer =
+            loop.every(options.planning_interval, [this] { plan(); });
         plan();
     }
 
@@ -346,23 +363,23 @@
         if (!planner || planner->complete())
             return;
         auto all = view.participants();
-        if (all != taking_part)
+        if (all != current_participants)
         {
-            taking_part = std::move(all);
-            planner->set_participants(taking_part, now);
+            current_participants = std::move(all);
+            planner->set_participants(current_participants, now);
         }
         for (const auto& one : planner->next_requests(now))
-            ask(one);
+            send_request(one);
     }
 
-    void ask(const transfer_request& one)
+    void send_request(const transfer_request& one)
     {
         if (one.source == transfer_request::source_kind::origin)
-            return ask_origin(one.chunk);
+            return request_from_origin(one.chunk);
         stream_call call;
         call.address = view.peer_endpoint(one.peer);
-        call.target = "/chunk?model=" + what.model +
-                      "&version=" + std::to_string(what.version) +
+        call.target = "/chunk?model=" + target.model +
+                      "&version=" + std::to_string(target.version) +
                       "&index=" + std::to_string(one.chunk) +
                       "&by=" + own.value();
         if (one.source == transfer_request::source_kind::future_holder)
@@ -371,25 +388,26 @@
         call.connect_time = options.connect_timeout;
         call.repeatable = true;
         const auto id = std::make_shared<stream_client::call_id>();
-        *id = client.gather(std::move(call),
-                            guarded(
-                                [this, one, id](stream_client::answer answer)
-                                {
-                                    calls.erase(*id);
-                                    peer_answered(one, std::move(answer));
-                                }));
-        calls.insert(*id);
+        *id =
+            client.gather(std::move(call),
+                          guarded(
+                              [this, one, id](stream_client::answer answer)
+                              {
+                                  open_calls.erase(*id);
+                                  handle_peer_response(one, std::move(answer));
+                              }));
+        open_calls.insert(*id);
     }
 
-    void peer_answered(const transfer_request& one,
-                       stream_client::answer answer)
+    void handle_peer_response(const transfer_request& one,
+                              stream_client::answer answer)
     {
         if (!planner)
             return;
         const auto now = event_loop::now();
         if (answer.end != stream_end::whole)
         {
-            log_failed(one.chunk, one.peer.value(), answer.why);
+            log_failure(one.chunk, one.peer.value(), answer.why);
             planner->record_refusal(one.chunk, one.peer, true, 0, now);
             return plan();
         }
@@ -402,143 +420,149 @@
         counters.count("chunk_bytes_total",
                        static_cast<double>(answer.body.size()),
                        {{"from", "peer"}});
-        took(one.chunk, std::move(answer.body), one.peer);
+        handle_chunk(one.chunk, std::move(answer.body), one.peer);
     }
 
-    void ask_origin(chunk_index at)
+    void request_from_origin(chunk_index chunk)
     {
         const auto address = view.origin_address();
         if (address.empty())
-            return planner->record_origin_failure(at, event_loop::now());
+            return planner->record_origin_failure(chunk, event_loop::now());
         origin.chunk(
-            address, what, at,
+            address, target, chunk,
             guarded(
-                [this, at](result<std::string> bytes)
+                [this, chunk](result<std::string> bytes)
                 {
                     if (!planner)
                         return;
                     if (!bytes)
                     {
-                        log_failed(at, "origin", bytes.error().message);
-                        planner->record_origin_failure(at, event_loop::now());
+                        log_failure(chunk, "origin", bytes.error().message);
+                        planner->record_origin_failure(chunk,
+                                                       event_loop::now());
                         return;
                     }
                     counters.count("chunk_bytes_total",
                                    static_cast<double>(bytes.value().size()),
                                    {{"from", "origin"}});
-                    took(at, std::move(bytes.value()), {});
+                    handle_chunk(chunk, std::move(bytes.value()), {});
                 }));
     }
 
-    void log_failed(chunk_index at, const std::string& from,
-                    const std::string& why)
+    void log_failure(chunk_index chunk, const std::string& from,
+                     const std::string& reason)
     {
-        log::problem("chunk_failed", {{"model", what.model},
-                                      {"version", std::to_string(what.version)},
-                                      {"chunk", std::to_string(at)},
-                                      {"from", from},
-                                      {"why", why}});
+        log::problem("chunk_failed",
+                     {{"model", target.model},
+                      {"version", std::to_string(target.version)},
+                      {"chunk", std::to_string(chunk)},
+                      {"from", from},
+                      {"why", reason}});
     }
 
-    void took(chunk_index at, std::string bytes, const instance_id& from)
+    void handle_chunk(chunk_index chunk, std::string bytes,
+                      const instance_id& from)
     {
-        switch (store->add(at, std::move(bytes)))
+        switch (store->add(chunk, std::move(bytes)))
         {
         case chunk_store::add_result::added:
             log::decision("chunk_received",
-                          {{"version", std::to_string(what.version)},
-                           {"chunk", std::to_string(at)},
+                          {{"version", std::to_string(target.version)},
+                           {"chunk", std::to_string(chunk)},
                            {"from", from.empty() ? "origin" : from.value()},
                            {"held", std::to_string(store->size())}});
-            chunk_here(at);
-            put_queue.push_back(at);
-            put_more();
+            handle_held_chunk(chunk);
+            staging_queue.push_back(chunk);
+            stage_more();
             break;
         case chunk_store::add_result::already_held:
-            planner->add_chunk(at, event_loop::now());
+            planner->add_chunk(chunk, event_loop::now());
             break;
         case chunk_store::add_result::corrupt:
-            chunk_corrupt(at, from);
+            handle_corrupt_chunk(chunk, from);
             break;
         }
         plan();
     }
 
-    void chunk_corrupt(chunk_index at, const instance_id& from)
+    void handle_corrupt_chunk(chunk_index chunk, const instance_id& from)
     {
         counters.count("chunks_corrupt_total");
         log::warning("chunk_corrupt",
-                     {{"model", what.model},
-                      {"version", std::to_string(what.version)},
-                      {"chunk", std::to_string(at)},
+                     {{"model", target.model},
+                      {"version", std::to_string(target.version)},
+                      {"chunk", std::to_string(chunk)},
                       {"from", from.empty() ? "origin" : from.value()}});
-        planner->record_corrupt(at, from);
-        if (++corrupt[at] < options.max_corrupt)
+        planner->record_corrupt(chunk, from);
+        if (++corrupt_counts[chunk] < options.max_corrupt)
             return;
-        // The manifest itself may have come spoilt, from the origin or from a
-        // side that took it so: the origin is asked again.
+        // The manifest itself may be corrupt, from the origin or from the
+        // sidecar that passed it on: the origin is asked for it again.
         planner.reset();
-        ticking.stop();
+        planning_timer.stop();
         store.reset();
-        put_chunks.clear();
-        put_queue.clear();
-        local_read = false;
-        manifests->distrust("chunks do not match the manifest");
+        staged_chunks.clear();
+        staging_queue.clear();
+        staged_reads_done = false;
+        manifest_fetcher->reject("chunks do not match the manifest");
     }
 
-    void chunk_here(chunk_index at)
+    void handle_held_chunk(chunk_index chunk)
     {
-        last_chunk = event_loop::now();
+        last_chunk_at = event_loop::now();
         if (planner)
-            planner->add_chunk(at, event_loop::now());
-        const auto found = waiters.find(at);
+            planner->add_chunk(chunk, event_loop::now());
+        const auto found = waiters.find(chunk);
         if (found != waiters.end())
         {
             for (auto& one : found->second)
-                give_now(at, std::move(one.reply), upload_priority::urgent);
+                enqueue_upload(chunk, std::move(one.reply),
+                               upload_priority::urgent);
             waiters.erase(found);
         }
         if (store->complete())
-            log::state("chunks_complete",
-                       {{"model", what.model},
-                        {"version", std::to_string(what.version)},
-                        {"took_ms",
-                         std::to_string(static_cast<std::int64_t>(
-                             to_seconds(event_loop::now() - began) * 1000))}});
+            log::state(
+                "chunks_complete",
+                {{"model", target.model},
+                 {"version", std::to_string(target.version)},
+                 {"took_ms",
+                  std::to_string(static_cast<std::int64_t>(
+                      to_seconds(event_loop::now() - started_at) * 1000))}});
     }
 
-    void give_now(chunk_index at, stream_reply reply, upload_priority order)
+    void enqueue_upload(chunk_index chunk, stream_reply reply,
+                        upload_priority priority)
     {
         auto shared = std::make_shared<stream_reply>(std::move(reply));
-        const bool taken = view.uploads->offer(
-            store->get_manifest().chunk_bytes(at), order,
-            guarded([this, at, shared] { upload(at, *shared); }));
-        if (!taken)
+        const bool accepted = view.uploads->offer(
+            store->get_manifest().chunk_bytes(chunk), priority,
+            guarded([this, chunk, shared] { send_chunk(chunk, *shared); }));
+        if (!accepted)
             shared->send(503, {}, "");
     }
 
-    /*! @brief Sends a chunk, read back from the upstream when its bytes are
-     * not in memory any more. */
-    void upload(chunk_index at, stream_reply reply)
+    /*! @brief Sends a chunk; it is read back from the upstream when its bytes
+     * are no longer in memory. */
+    void send_chunk(chunk_index chunk, stream_reply reply)
     {
-        if (!store || !store->contains(at))
+        if (!store || !store->contains(chunk))
             return reply.send(404, {}, "");
-        if (const auto bytes = store->find(at))
+        if (const auto bytes = store->find(chunk))
         {
             counters.count("chunks_given_total");
             return reply.send(200, {}, *bytes);
         }
         engine.staged_chunk(
-            what.model, at,
+            target.model, chunk,
             guarded(
-                [this, at,
+                [this, chunk,
                  to = std::make_shared<stream_reply>(std::move(reply))](
                     result<std::string> bytes)
                 {
-                    const bool right =
-                        bytes && store &&
-                        digest::of(bytes.value()) == store->get_manifest()[at];
-                    if (!right)
+                    const bool matches = bytes && store &&
+                                         digest::of(bytes.value()) ==
+                                             store->get_manifest()[chunk];
+                    if (!matches)
                         return to->send(404, {}, "");
                     counters.count("chunks_given_total");
                     to->send(200, {}, bytes.value());
@@ -547,7 +571,7 @@
 
     void expire_waiters(time_point now)
     {
-        for (auto& [at, list] : waiters)
+        for (auto& [chunk, list] : waiters)
         {
             std::erase_if(list,
                           [&](waiter& one)
@@ -562,95 +586,98 @@
                       [](const auto& one) { return one.second.empty(); });
     }
 
-    // --- Putting chunks to the upstream ----------------------------------
+    // --- Staging chunks at the upstream --------------------------------------
 
-    void put_more()
+    void stage_more()
     {
         if (!store || !staging_allowed)
             return;
-        if (put_queue.empty() && putting.empty())
+        if (staging_queue.empty() && open_staging_calls.empty())
         {
-            for (const auto at : store->held_chunks())
+            for (const auto chunk : store->held_chunks())
             {
-                if (!put_chunks.contains(at))
-                    put_queue.push_back(at);
+                if (!staged_chunks.contains(chunk))
+                    staging_queue.push_back(chunk);
             }
         }
-        while (putting.size() < options.max_engine_calls && !put_queue.empty())
+        while (open_staging_calls.size() < options.max_engine_calls &&
+               !staging_queue.empty())
         {
-            const auto at = put_queue.front();
-            put_queue.pop_front();
-            const auto bytes = store->find(at);
-            if (!bytes || !putting.insert(at).second)
+            const auto chunk = staging_queue.front();
+            staging_queue.pop_front();
+            const auto bytes = store->find(chunk);
+            if (!bytes || !open_staging_calls.insert(chunk).second)
                 continue;
-            engine.stage(what.model, at, *bytes,
+            engine.stage(target.model, chunk, *bytes,
                          guarded(
-                             [this, at](bool done)
+                             [this, chunk](bool succeeded)
                              {
-                                 putting.erase(at);
-                                 if (done && store)
-                                     put(at);
+                                 open_staging_calls.erase(chunk);
+                                 if (succeeded && store)
+                                     mark_staged(chunk);
                                  else
-                                     put_again = loop.after(
+                                     staging_retry = loop.after(
                                          options.manifest_retry_delay,
-                                         [this] { put_more(); });
-                                 if (done)
-                                     put_more();
+                                         [this] { stage_more(); });
+                                 if (succeeded)
+                                     stage_more();
                              }));
         }
     }
 
-    /*! @brief The upstream has a chunk: it need not lie in memory as well. */
-    void put(chunk_index at)
+    /*! @brief Records that a chunk is staged and frees its copy in memory. */
+    void mark_staged(chunk_index chunk)
     {
-        put_chunks.insert(at);
-        store->release_bytes(at);
+        staged_chunks.insert(chunk);
+        store->release_bytes(chunk);
     }
 
-    // --- Reading back ----------------------------------------------------
+    // --- Verification of staged chunks ---------------------------------------
 
-    void verify_more(const std::shared_ptr<verification>& check)
+    void verify_next(const std::shared_ptr<verification>& check)
     {
-        while (store && check->open < options.max_engine_calls &&
+        while (store && check->open_reads < options.max_engine_calls &&
                check->next < store->get_manifest().size())
         {
-            const auto at = check->next++;
-            ++check->open;
-            engine.staged_chunk(what.model, at,
-                                guarded(
-                                    [this, check, at](result<std::string> bytes)
-                                    {
-                                        --check->open;
-                                        if (!bytes || !store ||
-                                            digest::of(bytes.value()) !=
-                                                store->get_manifest()[at])
-                                            chunk_turned_bad(at, *check);
-                                        verify_more(check);
-                                    }));
+            const auto chunk = check->next++;
+            ++check->open_reads;
+            engine.staged_chunk(
+                target.model, chunk,
+                guarded(
+                    [this, check, chunk](result<std::string> bytes)
+                    {
+                        --check->open_reads;
+                        if (!bytes || !store ||
+                            digest::of(bytes.value()) !=
+                                store->get_manifest()[chunk])
+                            handle_staged_mismatch(chunk, *check);
+                        verify_next(check);
+                    }));
         }
-        const bool over = !store || check->next >= store->get_manifest().size();
-        if (over && check->open == 0 && check->done)
+        const bool all_started =
+            !store || check->next >= store->get_manifest().size();
+        if (all_started && check->open_reads == 0 && check->done)
         {
             const auto done = std::exchange(check->done, nullptr);
-            done(store && check->wrong == 0);
+            done(store && check->mismatches == 0);
         }
     }
 
-    void chunk_turned_bad(chunk_index at, verification& check)
+    void handle_staged_mismatch(chunk_index chunk, verification& check)
     {
-        ++check.wrong;
+        ++check.mismatches;
         log::warning("staged_chunk_wrong",
-                     {{"model", what.model},
-                      {"version", std::to_string(what.version)},
-                      {"chunk", std::to_string(at)}});
-        put_chunks.erase(at);
+                     {{"model", target.model},
+                      {"version", std::to_string(target.version)},
+                      {"chunk", std::to_string(chunk)}});
+        staged_chunks.erase(chunk);
         if (!store)
             return;
-        store->discard(at);
-        // A new plan asks for what is missing now.
+        store->discard(chunk);
+        // A new planner requests the chunks that are missing now.
         planner.reset();
-        ticking.stop();
-        if (fetching)
+        planning_timer.stop();
+        if (fetching_allowed)
             start_planner();
     }
 
@@ -659,29 +686,29 @@
     Engine& engine;
     Origin& origin;
     metrics& counters;
-    model_version what;
+    model_version target;
     instance_id own;
     context view;
     chunk_transfer_options options;
-    time_point began;
-    time_point last_chunk;
+    time_point started_at;
+    time_point last_chunk_at;
     std::optional<chunk_store> store;
     std::optional<transfer_planner<swarm_policy>> planner;
-    std::vector<participant> taking_part;
-    std::set<stream_client::call_id> calls;
+    std::vector<participant> current_participants;
+    std::set<stream_client::call_id> open_calls;
     std::map<chunk_index, std::vector<waiter>> waiters;
-    std::map<chunk_index, std::size_t> corrupt;
-    std::deque<chunk_index> local_left;
-    std::size_t local_open{0};
-    std::set<chunk_index> put_chunks;
-    std::set<chunk_index> putting;
-    std::deque<chunk_index> put_queue;
-    std::shared_ptr<manifest_fetch<Origin>> manifests;
-    bool local_read{false};
-    bool fetching{false};
+    std::map<chunk_index, std::size_t> corrupt_counts;
+    std::deque<chunk_index> staged_to_read;
+    std::size_t open_staged_reads{0};
+    std::set<chunk_index> staged_chunks;
+    std::set<chunk_index> open_staging_calls;
+    std::deque<chunk_index> staging_queue;
+    std::shared_ptr<manifest_fetch<Origin>> manifest_fetcher;
+    bool staged_reads_done{false};
+    bool fetching_allowed{false};
     bool staging_allowed{false};
-    timer ticking;
-    timer put_again;
+    timer planning_timer;
+    timer staging_retry;
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/transfer/chunk_transfer_options.hpp
+++ b/src/coursejunction/transfer/chunk_transfer_options.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Times and numbers of a transfer on an installation.
+ * @brief Timeouts, delays and limits of a transfer.
  */
 #ifndef COURSEJUNCTION_TRANSFER_CHUNK_TRANSFER_OPTIONS_HPP
 #define COURSEJUNCTION_TRANSFER_CHUNK_TRANSFER_OPTIONS_HPP
@@ -14,76 +14,81 @@
 namespace coursejunction
 {
 
-/*! @brief Times and numbers of a transfer. */
+/*! @brief Timeouts, delays and limits of a transfer. */
 struct chunk_transfer_options
 {
-    /*! @brief Chunks asked of holders at once: what arrives together holds up
-     * the requests that arrive on the same link. */
+    /*! @brief Maximum number of open calls to holders: chunks that arrive
+     * together delay the requests that arrive on the same link. */
     std::size_t max_holder_calls{4};
-    /*! @brief Longest call of a peer; a chunk of 32 KiB takes 35 ms alone on a
-     * link of 7.6 Mbit/s and ten times that on a shared one. */
+    /*! @brief Timeout of a call to a peer; a chunk of 32 KiB takes 35 ms on an
+     * idle link of 7.6 Mbit/s and ten times that on a shared one. */
     milliseconds peer_timeout{2500};
-    /*! @brief Longest opening of a connection to a peer: its link may be full
-     * of chunks, of which four at once take 140 ms. */
+    /*! @brief Timeout of connecting to a peer: its link may be full of chunks,
+     * of which four at once take 140 ms. */
     milliseconds connect_timeout{1500};
-    /*! @brief How long a peer may hold a call for a chunk it does not have. */
+    /*! @brief How long this instance keeps a call of a peer open for a chunk
+     * that it does not hold. */
     milliseconds max_peer_wait{1500};
-    /*! @brief Longest silence of a peer that is asked for a manifest; the first
-     * part waits behind four chunks at most, 140 ms. */
+    /*! @brief Longest gap in the response of a peer that is asked for a
+     * manifest; the first bytes wait behind four chunks at most, 140 ms. */
     milliseconds manifest_stall_timeout{400};
-    /*! @brief Pause before a side before this one is asked again: it has the
-     * manifest one call of the origin, 20 to 50 ms, after its naming. */
+    /*! @brief Delay before an ancestor in the tree is asked again: it has the
+     * manifest after one call to the origin, 20 to 50 ms after the version is
+     * published. */
     milliseconds tree_retry_delay{40};
-    /*! @brief Calls of the same side before the next one up is asked. */
+    /*! @brief Calls to the same sidecar before the next one up the tree is
+     * asked. */
     std::size_t calls_per_source{3};
-    /*! @brief Calls of sides before the origin may be asked. */
+    /*! @brief Calls to ancestors in the tree before the origin may be asked. */
     std::size_t max_tree_calls{8};
-    /*! @brief Mean pause before the manifest is asked again. */
+    /*! @brief Mean delay before the manifest is requested again. */
     milliseconds manifest_retry_delay{250};
-    /*! @brief Mean time between two calls of the origin by all sides that
-     * cannot get the manifest from others; it takes 4 ms on the origin's link
-     * of 9.9 Mbit/s, which chunks share. */
+    /*! @brief Mean time between two calls to the origin by all sidecars that
+     * cannot get the manifest from others; a manifest takes 4 ms on the link
+     * of the origin, 9.9 Mbit/s, which chunks share. */
     milliseconds origin_call_interval{10};
-    /*! @brief Chunks put to or read from the upstream at once. */
+    /*! @brief Chunks staged at or read from the upstream at once. */
     std::size_t max_engine_calls{4};
-    /*! @brief Times that a chunk may come wrong before the manifest is taken to
-     * be the wrong one. */
+    /*! @brief After this many corrupt copies of a chunk, the manifest is
+     * considered wrong. */
     std::size_t max_corrupt{3};
     milliseconds planning_interval{20};
-    /*! @brief Longest pause after failed calls of the origin; upstreams whose
+    /*! @brief Maximum backoff after failed calls to the origin; upstreams whose
      * weights are too old serve nothing until it is back. */
     milliseconds max_origin_backoff{400};
     /*! @brief A chunk that its only holder in the hall has had for this long is
-     * asked of stand-ins; with a whole link it is with others after 0.3 s. */
+     * requested by stand-ins; on a link with its full rate it reaches others
+     * after 0.3 s. */
     milliseconds single_copy_delay{1000};
-    /*! @brief Least time without a copy of a chunk in the hall until stand-ins
-     * ask the origin for it. */
+    /*! @brief Minimum time without a copy of a chunk in the hall until
+     * stand-ins ask the origin for it. */
     milliseconds first_copy_delay{2300};
-    /*! @brief The same in times that the origin's link takes for the whole
-     * version: while it gives, a second call only takes from its rate. */
+    /*! @brief The same as a multiple of the time that the link of the origin
+     * takes to send the whole version once: while the origin still sends, a
+     * second call only shares its rate. */
     double first_copy_factor{1.35};
-    /*! @brief A chunk that takes this long from its call shows a narrow link:
-     * the longest queue of a sender with a whole link is 0.5 s. */
+    /*! @brief A chunk whose call takes this long indicates a narrow link: the
+     * longest queue of a sender with its full rate takes 0.5 s. */
     milliseconds slow_chunk_time{800};
-    /*! @brief Without a chunk for this long, a transfer stands still; at rest
-     * one comes every 50 ms. */
+    /*! @brief A transfer that receives no chunk for this long counts as
+     * stalled; on idle links one arrives every 50 ms. */
     milliseconds stall_time{700};
 };
 
 /*! @brief Returns how long a hall may be without a copy of a chunk until
  * stand-ins ask the origin for it.
- * @param bytes Of the whole version.
- * @param origin_rate Of the origin's link; zero when it is not known. */
+ * @param bytes Size of the whole version.
+ * @param origin_rate Rate of the link of the origin; zero if unknown. */
 [[nodiscard]] inline milliseconds
 first_copy_delay(const chunk_transfer_options& options, std::uint64_t bytes,
                  byte_rate origin_rate)
 {
     if (origin_rate <= 0)
         return options.first_copy_delay;
-    const auto copy = from_seconds(static_cast<double>(bytes) / origin_rate *
-                                   options.first_copy_factor);
+    const auto scaled_copy_time = from_seconds(
+        static_cast<double>(bytes) / origin_rate * options.first_copy_factor);
     return std::max(options.first_copy_delay,
-                    std::chrono::duration_cast<milliseconds>(copy));
+                    std::chrono::duration_cast<milliseconds>(scaled_copy_time));
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/transfer/fwd.hpp
+++ b/src/coursejunction/transfer/fwd.hpp
@@ -22,7 +22,7 @@
 class origin_fallback;
 class origin_schedule;
 
-/*! @brief Place of a chunk in its manifest. */
+/*! @brief Index of a chunk in its manifest. */
 using chunk_index = std::uint32_t;
 
 } // namespace coursejunction
--- a/src/coursejunction/transfer/manifest.cpp
+++ b/src/coursejunction/transfer/manifest.cpp
@@ -15,13 +15,14 @@
 
 constexpr std::uint64_t max_chunk_bytes = std::uint64_t{32} << 20U;
 
-bool has_shape(const json& from)
+bool has_required_fields(const json& object)
 {
-    return from.is_object() && from.contains("path") &&
-           from["path"].is_string() && from.contains("bytes") &&
-           from["bytes"].is_number_unsigned() && from.contains("chunk_bytes") &&
-           from["chunk_bytes"].is_number_unsigned() &&
-           from.contains("chunks") && from["chunks"].is_array();
+    return object.is_object() && object.contains("path") &&
+           object["path"].is_string() && object.contains("bytes") &&
+           object["bytes"].is_number_unsigned() &&
+           object.contains("chunk_bytes") &&
+           object["chunk_bytes"].is_number_unsigned() &&
+           object.contains("chunks") && object["chunks"].is_array();
 }
 
 } // namespace internal
@@ -30,30 +31,36 @@
 {
     if (digest::of(text) != expected)
         return failure(error_kind::refused, "manifest does not match its hash");
-    const auto from = nlohmann::json::parse(text, nullptr, false);
-    if (!internal::has_shape(from))
-        return failure(error_kind::refused, "manifest has a wrong shape");
-    manifest read;
-    read.own = expected;
-    read.written = text;
-    read.location = from["path"].get<std::string>();
-    read.total = from["bytes"].get<std::uint64_t>();
-    read.each = from["chunk_bytes"].get<std::uint64_t>();
-    const auto count = from["chunks"].size();
-    if (read.each == 0 || read.each > internal::max_chunk_bytes || count == 0 ||
-        count != (read.total + read.each - 1) / read.each)
-        return failure(error_kind::refused, "manifest's sizes do not agree");
-    read.chunks.reserve(count);
-    for (const auto& one : from["chunks"])
+    const auto object = nlohmann::json::parse(text, nullptr, false);
+    if (!internal::has_required_fields(object))
+        return failure(error_kind::refused,
+                       "manifest lacks a field or has one of a wrong type");
+    manifest parsed;
+    parsed.hash = expected;
+    parsed.json_text = text;
+    parsed.origin_path = object["path"].get<std::string>();
+    parsed.model_bytes = object["bytes"].get<std::uint64_t>();
+    parsed.bytes_per_chunk = object["chunk_bytes"].get<std::uint64_t>();
+    const auto count = object["chunks"].size();
+    if (parsed.bytes_per_chunk == 0 ||
+        parsed.bytes_per_chunk > internal::max_chunk_bytes || count == 0 ||
+        count != (parsed.model_bytes + parsed.bytes_per_chunk - 1) /
+                     parsed.bytes_per_chunk)
+        return failure(
+            error_kind::refused,
+            "chunk size, total size and chunk count of the manifest disagree");
+    parsed.chunks.reserve(count);
+    for (const auto& one : object["chunks"])
     {
-        const auto hash = one.is_string()
-                              ? digest::parse(one.get_ref<const std::string&>())
-                              : digest::parse("");
-        if (!hash)
-            return failure(error_kind::refused, "manifest names a wrong hash");
-        read.chunks.push_back(hash.value());
+        const auto chunk_hash =
+            one.is_string() ? digest::parse(one.get_ref<const std::string&>())
+                            : digest::parse("");
+        if (!chunk_hash)
+            return failure(error_kind::refused,
+                           "manifest contains an invalid hash");
+        parsed.chunks.push_back(chunk_hash.value());
     }
-    return read;
+    return parsed;
 }
 
 result<manifest> manifest::assemble(std::size_t chunk_bytes,
@@ -62,15 +69,15 @@
     if (chunk_bytes == 0 || chunk_bytes > internal::max_chunk_bytes ||
         hashes.empty())
         return failure(error_kind::refused, "manifest lists no chunks");
-    manifest made;
+    manifest assembled;
     std::string joined;
     for (const auto& one : hashes)
         joined.append(one.hex());
-    made.own = digest::of(joined);
-    made.each = chunk_bytes;
-    made.total = std::uint64_t{chunk_bytes} * hashes.size();
-    made.chunks = std::move(hashes);
-    return made;
+    assembled.hash = digest::of(joined);
+    assembled.bytes_per_chunk = chunk_bytes;
+    assembled.model_bytes = std::uint64_t{chunk_bytes} * hashes.size();
+    assembled.chunks = std::move(hashes);
+    return assembled;
 }
 
 result<manifest> manifest::from_lines(const std::string& text)
@@ -82,17 +89,18 @@
     std::string line;
     while (stream >> line)
     {
-        const auto hash = digest::parse(line);
-        if (!hash)
-            return failure(error_kind::refused, "manifest names a wrong hash");
-        hashes.push_back(hash.value());
+        const auto chunk_hash = digest::parse(line);
+        if (!chunk_hash)
+            return failure(error_kind::refused,
+                           "manifest contains an invalid hash");
+        hashes.push_back(chunk_hash.value());
     }
     return assemble(bytes, std::move(hashes));
 }
 
 std::string manifest::to_lines() const
 {
-    std::string text = std::to_string(each) + "\n";
+    std::string text = std::to_string(bytes_per_chunk) + "\n";
     for (const auto& one : chunks)
         text.append(one.hex()).append("\n");
     return text;
@@ -103,8 +111,8 @@
                                  std::size_t chunk_bytes)
 {
     auto list = nlohmann::json::array();
-    for (std::size_t at = 0; at < bytes.size(); at += chunk_bytes)
-        list.push_back(digest::of(bytes.substr(at, chunk_bytes)).hex());
+    for (std::size_t begin = 0; begin < bytes.size(); begin += chunk_bytes)
+        list.push_back(digest::of(bytes.substr(begin, chunk_bytes)).hex());
     return nlohmann::json{{"path", path},
                           {"bytes", bytes.size()},
                           {"chunk_bytes", chunk_bytes},
@@ -112,10 +120,10 @@
         .dump();
 }
 
-std::size_t manifest::chunk_bytes(chunk_index at) const
+std::size_t manifest::chunk_bytes(chunk_index chunk) const
 {
     return static_cast<std::size_t>(
-        std::min<std::uint64_t>(each, total - offset(at)));
+        std::min<std::uint64_t>(bytes_per_chunk, model_bytes - offset(chunk)));
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/transfer/manifest_fetch.hpp
+++ b/src/coursejunction/transfer/manifest_fetch.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Brings the manifest of one version to one instance.
+ * @brief Fetches the manifest of one version for one instance.
  */
 #ifndef COURSEJUNCTION_TRANSFER_MANIFEST_FETCH_HPP
 #define COURSEJUNCTION_TRANSFER_MANIFEST_FETCH_HPP
@@ -28,36 +28,43 @@
 namespace coursejunction
 {
 
-/*! @brief Asks sides, the origin in turns, and any side, until a manifest
- * comes.
+/*! @brief Asks other sidecars and, when scheduled, the origin until one of them
+ * returns the manifest.
  * @tparam Origin A `Weight_origin`. */
 template <typename Origin>
 class manifest_fetch
     : public std::enable_shared_from_this<manifest_fetch<Origin>>
 {
 public:
-    /*! @param told Given the manifest, each time one was asked for. */
-    manifest_fetch(event_loop& owner, stream_client& carrier, Origin& from,
-                   model_version wanted, instance_id self,
-                   transfer_context around, chunk_transfer_options set,
-                   std::function<void(manifest)> told)
-        : loop(owner), client(carrier), origin(from), what(std::move(wanted)),
-          own(std::move(self)), view(std::move(around)), options(set),
-          known(std::move(told)), random(seed()),
-          turn(set.origin_call_interval, set.manifest_retry_delay, seed()),
-          rest(set.manifest_retry_delay, set.manifest_retry_delay, seed())
+    /*! @param on_manifest Called with the manifest, once after `start` and once
+     * after each `reject`. */
+    manifest_fetch(event_loop& events, stream_client& http_client,
+                   Origin& weight_origin, model_version wanted,
+                   instance_id self, transfer_context shared_context,
+                   chunk_transfer_options chosen_options,
+                   std::function<void(manifest)> on_manifest)
+        : loop(events), client(http_client), origin(weight_origin),
+          target(std::move(wanted)), own(std::move(self)),
+          view(std::move(shared_context)), options(chosen_options),
+          manifest_callback(std::move(on_manifest)), random(seed()),
+          schedule(chosen_options.origin_call_interval,
+                   chosen_options.manifest_retry_delay, seed()),
+          retry_backoff(chosen_options.manifest_retry_delay,
+                        chosen_options.manifest_retry_delay, seed())
     {
     }
 
-    /*! @brief Begins; the object is held by a shared pointer. */
-    void start() { ask(); }
+    /*! @brief Sends the first request. The object must be owned by a shared
+     * pointer. */
+    void start() { ask_next(); }
 
-    /*! @brief The manifest that came was wrong: the origin is asked. */
-    void distrust(const std::string& why)
+    /*! @brief Discards the manifest that was returned last because it is wrong,
+     * and asks the origin for another one. */
+    void reject(const std::string& reason)
     {
-        distrusted = true;
-        turn.reset();
-        ask_later(why);
+        last_rejected = true;
+        schedule.reset();
+        ask_later(reason);
     }
 
 private:
@@ -72,119 +79,128 @@
         return static_cast<std::uint32_t>(stable_hash(own.value()));
     }
 
-    /*! @brief Asks the sides before this one in its hall's tree: several at
-     * first, later only the nearest. When they do not give it, the origin is
-     * asked by the first of each hall, and by others in turns: what one of
-     * them fetched comes to the rest from side to side. */
-    void ask()
+    /*! @brief Asks the ancestors of this sidecar in the tree of its hall:
+     * several times in the first round, later only the nearest once. If none
+     * has the manifest, the first sidecar of each hall asks the origin and the
+     * others do so when scheduled; what one of them fetches spreads from
+     * sidecar to sidecar. */
+    void ask_next()
     {
         const auto all = view.participants();
-        const auto before = manifest_sources(what.rank_key(), all, own);
-        const auto most = first_round ? options.max_tree_calls : 1;
-        if (!distrusted && calls < most && !before.empty())
+        const auto sources = manifest_sources(target.rank_key(), all, own);
+        const auto max_calls = first_round ? options.max_tree_calls : 1;
+        if (!last_rejected && calls_this_round < max_calls && !sources.empty())
         {
-            const auto step = calls / options.calls_per_source;
-            const auto& peer = before[std::min(step, before.size() - 1)];
-            ++calls;
-            return ask_side(peer,
-                            [this](const std::string&) {
-                                retry = loop.after(options.tree_retry_delay,
-                                                   [this] { ask(); });
-                            });
+            const auto source_step =
+                calls_this_round / options.calls_per_source;
+            const auto& peer =
+                sources[std::min(source_step, sources.size() - 1)];
+            ++calls_this_round;
+            return ask_sidecar(peer,
+                               [this](const std::string&) {
+                                   retry = loop.after(options.tree_retry_delay,
+                                                      [this] { ask_next(); });
+                               });
         }
-        const auto root = first_of_hall(all, own, before);
-        if (turn.due(root, all.size(), event_loop::now()))
+        const auto is_first = first_of_hall(all, own, sources);
+        if (schedule.due(is_first, all.size(), event_loop::now()))
             return ask_origin(all.size());
-        if (distrusted)
-            return ask_later("not this side's turn to ask the origin");
-        ask_any("nobody asked has it");
+        if (last_rejected)
+            return ask_later(
+                "waiting for this sidecar's turn to ask the origin");
+        ask_any("none of the sidecars asked has the manifest");
     }
 
-    void ask_origin(std::size_t sides)
+    void ask_origin(std::size_t sidecars)
     {
         const auto address = view.origin_address();
         if (address.empty())
             return ask_later("no origin is configured");
-        origin.chunks(address, what,
+        origin.chunks(address, target,
                       guarded(
-                          [this, sides](result<manifest> answer)
+                          [this, sidecars](result<manifest> response)
                           {
-                              if (answer)
-                                  return take(std::move(answer.value()));
-                              turn.record_failure(sides, event_loop::now());
-                              ask_any(answer.error().message);
+                              if (response)
+                                  return accept(std::move(response.value()));
+                              schedule.record_failure(sidecars,
+                                                      event_loop::now());
+                              ask_any(response.error().message);
                           }));
     }
 
-    /*! @brief Any side may know the manifest. */
-    void ask_any(const std::string& why)
+    /*! @brief Asks a random participant, which may have got the manifest
+     * another way. */
+    void ask_any(const std::string& reason)
     {
         const auto all = view.participants();
         if (all.empty())
-            return ask_later(why);
+            return ask_later(reason);
         const auto& peer = all[random() % all.size()].id;
         if (peer == own)
-            return ask_later(why);
-        ask_side(peer, [this, why](const std::string&) { ask_later(why); });
+            return ask_later(reason);
+        ask_sidecar(peer,
+                    [this, reason](const std::string&) { ask_later(reason); });
     }
 
-    void take(manifest list)
+    void accept(manifest list)
     {
-        distrusted = false;
-        known(std::move(list));
+        last_rejected = false;
+        manifest_callback(std::move(list));
     }
 
-    void ask_side(const instance_id& peer,
-                  std::function<void(const std::string&)> failed)
+    void ask_sidecar(const instance_id& peer,
+                     std::function<void(const std::string&)> on_failure)
     {
         stream_call call;
         call.address = view.peer_endpoint(peer);
-        call.target = "/chunks?model=" + what.model +
-                      "&version=" + std::to_string(what.version);
+        call.target = "/chunks?model=" + target.model +
+                      "&version=" + std::to_string(target.version);
         call.timeout = options.peer_timeout;
         call.stall_time = options.manifest_stall_timeout;
         call.repeatable = true;
-        client.gather(
-            std::move(call),
-            guarded(
-                [this, failed = std::move(failed)](
-                    const stream_client::answer& answer)
-                {
-                    auto read = answer.is(200)
-                                    ? manifest::from_lines(answer.body)
-                                    : result<manifest>(failure(
-                                          error_kind::unavailable, answer.why));
-                    if (read)
-                        return take(std::move(read.value()));
-                    failed(read.error().message);
-                }));
+        client.gather(std::move(call),
+                      guarded(
+                          [this, on_failure = std::move(on_failure)](
+                              const stream_client::answer& response)
+                          {
+                              auto parsed =
+                                  response.is(200)
+                                      ? manifest::from_lines(response.body)
+                                      : result<manifest>(
+                                            failure(error_kind::unavailable,
+                                                    response.why));
+                              if (parsed)
+                                  return accept(std::move(parsed.value()));
+                              on_failure(parsed.error().message);
+                          }));
     }
 
-    void ask_later(const std::string& why)
+    void ask_later(const std::string& reason)
     {
         log::state("manifest_missing",
-                   {{"model", what.model},
-                    {"version", std::to_string(what.version)},
-                    {"why", why}});
+                   {{"model", target.model},
+                    {"version", std::to_string(target.version)},
+                    {"why", reason}});
         first_round = false;
-        calls = 0;
-        retry = loop.after(rest.next(), [this] { ask(); });
+        calls_this_round = 0;
+        retry = loop.after(retry_backoff.next(), [this] { ask_next(); });
     }
 
     event_loop& loop;
     stream_client& client;
     Origin& origin;
-    model_version what;
+    model_version target;
     instance_id own;
     transfer_context view;
     chunk_transfer_options options;
-    std::function<void(manifest)> known;
+    std::function<void(manifest)> manifest_callback;
     std::minstd_rand random;
-    origin_schedule turn;
-    backoff rest;
-    std::size_t calls{0}; /*!< Of sides before this one, in this round. */
+    origin_schedule schedule;
+    backoff retry_backoff;
+    std::size_t calls_this_round{0}; /*!< Of ancestors in the tree. */
     bool first_round{true};
-    bool distrusted{false}; /*!< What came last was wrong. */
+    bool last_rejected{
+        false}; /*!< Since `reject`, until a manifest is accepted. */
     timer retry;
 };
 
--- a/src/coursejunction/transfer/manifest_route.hpp
+++ b/src/coursejunction/transfer/manifest_route.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Whom a side asks for the manifest of a version; pure.
+ * @brief Determines which sidecars a sidecar asks for a manifest. Does no I/O.
  */
 #ifndef COURSEJUNCTION_TRANSFER_MANIFEST_ROUTE_HPP
 #define COURSEJUNCTION_TRANSFER_MANIFEST_ROUTE_HPP
@@ -15,14 +15,16 @@
 namespace coursejunction
 {
 
-/*! @brief Sides that take a manifest from the same one. A manifest of 64 chunks
- * is 5 KB; four of them take 20 ms on a side's link. */
+/*! @brief Children of a node in the tree over a hall. A manifest of 64 chunks
+ * is 5 KB; four copies take 20 ms on the link of a sidecar. */
 inline constexpr std::size_t manifest_arity = 4;
 
-/*! @brief Returns the sides to ask for a manifest, the nearest first: a tree
- * over the own hall, whose root asks the first of all. That one has nobody and
- * asks the origin: if all did, manifests would hold the chunks up, and those of
- * other halls would wait behind the chunks of the first. */
+/*! @brief Returns the sidecars to ask for a manifest, the nearest first: the
+ * ancestors in a tree over the own hall, then the first sidecar of all, which
+ * the root of each other hall asks. The result is empty for that first one,
+ * which asks the origin. If all asked the origin, manifests would delay the
+ * chunks on its link, and other halls would wait behind the chunks of the
+ * first hall. */
 [[nodiscard]] inline std::vector<instance_id>
 manifest_sources(const std::string& version,
                  const std::vector<participant>& all, const instance_id& own)
@@ -33,46 +35,47 @@
     if (self == all.end())
         return {};
     std::vector<instance_id> ids;
-    std::vector<instance_id> near;
+    std::vector<instance_id> in_hall;
     for (const auto& one : all)
     {
         ids.push_back(one.id);
         if (one.hall == self->hall)
-            near.push_back(one.id);
+            in_hall.push_back(one.id);
     }
-    const auto hall = rendezvous_rank(version, near, near.size());
+    const auto ranked_hall = rendezvous_rank(version, in_hall, in_hall.size());
     const auto first = rendezvous_rank(version, ids, 1).front();
     std::vector<instance_id> sources;
-    auto place = static_cast<std::size_t>(
-        std::find(hall.begin(), hall.end(), own) - hall.begin());
-    while (place > 0)
+    auto position = static_cast<std::size_t>(
+        std::find(ranked_hall.begin(), ranked_hall.end(), own) -
+        ranked_hall.begin());
+    while (position > 0)
     {
-        place = (place - 1) / manifest_arity;
-        sources.push_back(hall[place]);
+        position = (position - 1) / manifest_arity;
+        sources.push_back(ranked_hall[position]);
     }
-    if (first != hall.front())
+    if (first != ranked_hall.front())
         sources.push_back(first);
     return sources;
 }
 
-/*! @brief Tells whether a side is the first of its hall: nobody of the hall is
- * asked before it. One that the list does not name yet is not, unless it is
- * alone.
- * @param sources What `manifest_sources` returned for it. */
+/*! @brief Returns whether a sidecar is the first of its hall, so that it asks
+ * no other of the hall. One that is not in the list yet is not, unless the
+ * list is empty.
+ * @param sources Result of `manifest_sources` for this sidecar. */
 [[nodiscard]] inline bool first_of_hall(const std::vector<participant>& all,
                                         const instance_id& own,
                                         const std::vector<instance_id>& sources)
 {
-    const auto listed = [&](const instance_id& id)
+    const auto find = [&](const instance_id& id)
     {
         return std::find_if(all.begin(), all.end(),
                             [&](const participant& one)
                             { return one.id == id; });
     };
-    const auto self = listed(own);
+    const auto self = find(own);
     if (self == all.end())
         return all.empty();
-    return sources.empty() || listed(sources.front())->hall != self->hall;
+    return sources.empty() || find(sources.front())->hall != self->hall;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/transfer/origin_fallback.hpp
+++ b/src/coursejunction/transfer/origin_fallback.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Chooses between the origin and the weight store that stands in.
+ * @brief Chooses between the origin of weights and the weight store.
  */
 #ifndef COURSEJUNCTION_TRANSFER_ORIGIN_FALLBACK_HPP
 #define COURSEJUNCTION_TRANSFER_ORIGIN_FALLBACK_HPP
@@ -9,39 +9,43 @@
 namespace coursejunction
 {
 
-/*! @brief Where the first copy of weights comes from. */
+/*! @brief Where the first copy of weights is fetched from. */
 enum class weight_source : std::uint8_t
 {
     origin, /*!< The origin of all weights. */
-    store   /*!< The weight store, which holds the same. */
+    store   /*!< A mirror with the same content. */
 };
 
-/*! @brief Remembers which of two sources of weights to ask next; pure.
+/*! @brief Selects the source of weights to ask next. Does no I/O.
  *
- * A failure moves on to the other source, whichever was asked. Several calls
- * are open at once and fail together, so that counting failures would lead
+ * A failure of the current source switches to the other one. Several calls are
+ * open at once and fail together: if each failure switched, they would lead
  * back to the source that has just failed. */
 class origin_fallback
 {
 public:
-    /*! @param has_store Whether there is a weight store at all. */
-    explicit origin_fallback(bool has_store) : other_exists(has_store) {}
+    /*! @param has_store Whether a weight store is configured. */
+    explicit origin_fallback(bool has_store) : store_exists(has_store) {}
 
     /*! @brief Returns the source to ask now. */
-    [[nodiscard]] weight_source current() const noexcept { return now_asked; }
+    [[nodiscard]] weight_source current() const noexcept
+    {
+        return current_source;
+    }
 
-    /*! @brief Notes that a call to a source failed. */
-    void record_failure(weight_source at) noexcept
+    /*! @brief Records that a call to a source failed. */
+    void record_failure(weight_source source) noexcept
     {
-        if (!other_exists || at != now_asked)
+        if (!store_exists || source != current_source)
             return;
-        now_asked = at == weight_source::origin ? weight_source::store
-                                                : weight_source::origin;
+        current_source = source == weight_source::origin
+                             ? weight_source::store
+                             : weight_source::origin;
     }
 
 private:
-    bool other_exists;
-    weight_source now_asked{weight_source::origin};
+    bool store_exists;
+    weight_source current_source{weight_source::origin};
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/transfer/origin_schedule.hpp
+++ b/src/coursejunction/transfer/origin_schedule.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief When a side may ask the origin for a manifest; pure.
+ * @brief Decides when a sidecar may ask the origin for a manifest. Does no
+ * I/O.
  */
 #ifndef COURSEJUNCTION_TRANSFER_ORIGIN_SCHEDULE_HPP
 #define COURSEJUNCTION_TRANSFER_ORIGIN_SCHEDULE_HPP
@@ -15,70 +16,79 @@
 namespace coursejunction
 {
 
-/*! @brief Spreads the calls of sides that cannot get a manifest from others, so
- * that all together ask at a rate that does not grow with their number. The
- * first side of each hall may ask at any time. */
+/*! @brief Spreads the calls of sidecars that cannot get a manifest from others,
+ * so that their total rate does not grow with their number. The first sidecar
+ * of each hall may call at any time. */
 class origin_schedule
 {
 public:
-    /*! @param between Mean time between two calls of all sides together.
-     * @param least Mean time between two calls of one side.
-     * @param seed Another one for every side. */
-    origin_schedule(milliseconds between, milliseconds least,
+    /*! @param call_interval Mean time between two calls of all sidecars
+     * together.
+     * @param min_interval Minimum mean time between two calls of one sidecar.
+     * @param seed Must differ between sidecars. */
+    origin_schedule(milliseconds call_interval, milliseconds min_interval,
                     std::uint32_t seed)
-        : gap(between), shortest(least), random(seed)
+        : mean_interval(call_interval), min_own_interval(min_interval),
+          random(seed)
     {
     }
 
-    /*! @brief Tells whether this side may ask now.
-     * @param root Whether it is the first of its hall.
-     * @param sides Number of those that want the manifest. */
-    [[nodiscard]] bool due(bool root, std::size_t sides, time_point now)
+    /*! @brief Returns whether this sidecar may call now.
+     * @param first_of_hall Whether it is the first of its hall.
+     * @param sidecars Number of sidecars that want the manifest. */
+    [[nodiscard]] bool due(bool first_of_hall, std::size_t sidecars,
+                           time_point now)
     {
-        if (root)
+        if (first_of_hall)
             return true;
-        if (!next)
-            next = now + drawn(spacing(sides), 0);
-        return now >= *next;
+        if (!next_call)
+            next_call = now + random_delay(own_interval(sidecars), 0);
+        return now >= *next_call;
     }
 
-    /*! @brief The origin did not give it: each failure in a row doubles the
-     * time to the next call, since manifests may be larger than foreseen. */
-    void record_failure(std::size_t sides, time_point now)
+    /*! @brief Records a failed call. Each failure in a row doubles the time to
+     * the next call, since a manifest may take longer to send than
+     * `call_interval` assumes. */
+    void record_failure(std::size_t sidecars, time_point now)
     {
-        failures = std::min(failures + 1, most_doublings);
-        next = now + drawn(spacing(sides), half);
+        failures = std::min(failures + 1, max_doublings);
+        next_call = now + random_delay(own_interval(sidecars),
+                                       min_fraction_after_failure);
     }
 
-    /*! @brief The manifest that came was wrong: turns begin anew. */
+    /*! @brief Starts over, because the manifest that arrived was wrong. */
     void reset() noexcept
     {
         failures = 0;
-        next.reset();
+        next_call.reset();
     }
 
 private:
-    static constexpr int most_doublings = 4;
-    static constexpr double half = 0.5;
+    static constexpr int max_doublings = 4;
+    static constexpr double min_fraction_after_failure = 0.5;
 
-    [[nodiscard]] std::chrono::microseconds spacing(std::size_t sides) const
+    [[nodiscard]] std::chrono::microseconds
+    own_interval(std::size_t sidecars) const
     {
-        const auto all = gap * static_cast<std::int64_t>(sides);
-        return std::max<std::chrono::microseconds>(all, shortest) *
+        const auto shared = mean_interval * static_cast<std::int64_t>(sidecars);
+        return std::max<std::chrono::microseconds>(shared, min_own_interval) *
                (1 << failures);
     }
 
-    /*! @param from Least part of the mean. */
-    std::chrono::microseconds drawn(std::chrono::microseconds mean, double from)
+    /*! @brief Returns a random time between `min_fraction` and `min_fraction` +
+     * 1 times the mean. */
+    std::chrono::microseconds random_delay(std::chrono::microseconds mean,
+                                           double min_fraction)
     {
-        std::uniform_real_distribution<double> part(from, from + 1);
-        return from_seconds(to_seconds(mean) * part(random));
+        std::uniform_real_distribution<double> fraction(min_fraction,
+                                                        min_fraction + 1);
+        return from_seconds(to_seconds(mean) * fraction(random));
     }
 
-    milliseconds gap;
-    milliseconds shortest;
+    milliseconds mean_interval;
+    milliseconds min_own_interval;
     std::minstd_rand random;
-    std::optional<time_point> next;
+    std::optional<time_point> next_call;
     int failures{0};
 };
 
--- a/src/coursejunction/transfer/paced_uploads.hpp
+++ b/src/coursejunction/transfer/paced_uploads.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Sends chunks to peers at a part of the link's rate, so that live
- * answers on the same link are not held up.
+ * @brief Sends chunks to peers at a fraction of the rate of the link, so that
+ * live responses on the same link are not delayed.
  */
 #ifndef COURSEJUNCTION_TRANSFER_PACED_UPLOADS_HPP
 #define COURSEJUNCTION_TRANSFER_PACED_UPLOADS_HPP
@@ -18,37 +18,40 @@
 namespace coursejunction
 {
 
-/*! @brief Uploads one after another. */
+/*! @brief Sends uploads one after another, in order of priority. */
 class paced_uploads
 {
 public:
-    /*! @brief Part of the link that uploads may fill. One chunk of 32 KiB then
-     * holds a live answer up by 35 ms at 7.6 Mbit/s. */
+    /*! @brief Fraction of the link that uploads may use. One chunk of 32 KiB
+     * then delays a live response by 35 ms at 7.6 Mbit/s. */
     static constexpr double link_fraction = 0.95;
 
-    /*! @brief Uploads that may wait; the last of them waits 0.5 s. */
+    /*! @brief Maximum number of queued uploads that are not urgent; the last of
+     * them waits 0.5 s. */
     static constexpr std::size_t max_waiting = 12;
 
-    paced_uploads(event_loop& owner, byte_rate rate) : loop(owner), link(rate)
+    paced_uploads(event_loop& events, byte_rate rate) : loop(events), link(rate)
     {
         link.limit_to(link_fraction);
     }
 
     /*! @brief Queues an upload.
-     * @param order Lower ones go first; equal ones in the order they came.
-     * @return False when too many wait. */
-    bool offer(std::size_t bytes, upload_priority order,
+     * @param priority Uploads of the same priority are sent in the order in
+     * which they arrived.
+     * @param send Starts the upload; called once.
+     * @return False when too many uploads are queued. */
+    bool offer(std::size_t bytes, upload_priority priority,
                std::function<void()> send)
     {
-        if (order != upload_priority::urgent && queue.size() >= max_waiting)
+        if (priority != upload_priority::urgent && queue.size() >= max_waiting)
             return false;
-        const auto place =
-            std::upper_bound(queue.begin(), queue.end(), order,
-                             [](upload_priority of, const upload& one)
-                             { return of < one.order; });
-        queue.insert(place, {bytes, order, std::move(send)});
+        const auto position =
+            std::upper_bound(queue.begin(), queue.end(), priority,
+                             [](upload_priority wanted, const upload& one)
+                             { return wanted < one.priority; });
+        queue.insert(position, {bytes, priority, std::move(send)});
         if (!running)
-            next();
+            send_next();
         return true;
     }
 
@@ -58,11 +61,11 @@
     struct upload
     {
         std::size_t bytes{0};
-        upload_priority order{};
+        upload_priority priority{};
         std::function<void()> send;
     };
 
-    void next()
+    void send_next()
     {
         running = !queue.empty();
         if (!running)
@@ -71,22 +74,24 @@
         queue.pop_front();
         one.send();
         const auto now = event_loop::now();
-        // A timer that fires late costs nothing of the rate.
-        const auto due = now - free_at <= late_timer ? free_at : now;
-        free_at = link.reserve(static_cast<double>(one.bytes), due);
-        pause = loop.after(std::max(free_at - now, time_point::duration(0)),
-                           [this] { next(); });
+        // A timer that fires late must not lower the rate.
+        const auto due =
+            now - link_free_at <= max_timer_delay ? link_free_at : now;
+        link_free_at = link.reserve(static_cast<double>(one.bytes), due);
+        pacing_timer =
+            loop.after(std::max(link_free_at - now, time_point::duration(0)),
+                       [this] { send_next(); });
     }
 
-    /*! @brief A timer may fire this late while uploads wait; a chunk takes 36
-     * ms. */
-    static constexpr milliseconds late_timer{30};
+    /*! @brief Maximum timer delay that is made up for while uploads are queued;
+     * a chunk takes 36 ms. */
+    static constexpr milliseconds max_timer_delay{30};
 
     event_loop& loop;
     link_pacer link;
     std::deque<upload> queue;
-    time_point free_at{}; /*!< When the last upload has passed. */
-    timer pause;
+    time_point link_free_at{}; /*!< When the link has sent the last upload. */
+    timer pacing_timer;
     bool running{false};
 };
 
--- a/src/coursejunction/transfer/source_policy.hpp
+++ b/src/coursejunction/transfer/source_policy.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Who fetches which chunk from whom first: four ways.
+ * @brief Chooses the first source of each chunk: four policies.
  */
 #ifndef COURSEJUNCTION_TRANSFER_SOURCE_POLICY_HPP
 #define COURSEJUNCTION_TRANSFER_SOURCE_POLICY_HPP
@@ -26,14 +26,14 @@
     friend bool operator==(const participant&, const participant&) = default;
 };
 
-/*! @brief Where a chunk is to come from. */
+/*! @brief The first source of a chunk for one instance. */
 struct chunk_source
 {
     enum class source_kind : std::uint8_t
     {
-        none,  /*!< From whoever is seen to hold it. */
-        peer,  /*!< From this peer, waiting until it holds it. */
-        origin /*!< From the origin. */
+        none,  /*!< None: any peer that is known to hold it. */
+        peer,  /*!< A peer, which sends it once it holds it. */
+        origin /*!< The origin. */
     };
 
     source_kind kind{source_kind::none};
@@ -49,19 +49,20 @@
     }
 };
 
-/*! @brief Tells whether a participant is believed to be alive. */
+/*! @brief Returns whether a participant is believed to be alive. */
 using liveness = std::function<bool(const instance_id&)>;
 
-/*! @brief Decides the first source of each chunk, the same in every process
- * that sees the same participants. Ranks that are not alive are passed over;
- * `level` rises, as a last resort, when live sources give nothing. */
+/*! @brief Chooses the first source of each chunk, the same in every process
+ * that sees the same participants. Ranks that are not alive are skipped;
+ * `level` is the number of further ranks that may stand in when live sources
+ * deliver nothing. */
 template <typename Policy>
-concept Source_policy = requires(Policy policy, const manifest& of,
+concept Source_policy = requires(Policy policy, const manifest& content,
                                  const std::vector<participant>& all,
                                  const instance_id& own, chunk_index chunk,
                                  const liveness& alive, std::size_t level)
 {
-    policy.assign(of, all, own);
+    policy.assign(content, all, own);
     {
         policy.source(chunk, alive, level)
         } -> std::same_as<chunk_source>;
@@ -73,36 +74,43 @@
         } -> std::convertible_to<bool>;
 };
 
-/*! @brief First receipts by rendezvous hash, the rest from any holder.
+/*! @brief Distributes the first copies by rendezvous hash; the others come from
+ * any holder.
  *
  * One instance fetches a chunk from the origin, one of each other region
- * fetches it from that one, one of each other hall from its region's, and
- * inside a hall everybody takes it from whoever holds it. */
+ * fetches it from that one, one of each other hall from the one of its region,
+ * and inside a hall all take it from any holder. */
 class swarm_policy
 {
 public:
     static constexpr bool uses_possession = true;
 
-    /*! @brief How many ranks may stand in, one after another. */
+    /*! @brief Ranks that are computed for each chunk: the first source and its
+     * stand-ins. */
     static constexpr std::size_t max_ranks = 4;
 
-    /*! @brief How many instances one watches at most. */
+    /*! @brief Maximum number of instances whose liveness one instance
+     * tracks. */
     static constexpr std::size_t max_watched = 24;
 
-    /*! @param extra Portion of the chunks that a second instance fetches from
-     * the origin as well: spends origin bytes to save time. */
-    explicit swarm_policy(double extra = 0) : origin_extra(extra) {}
+    /*! @param extra_copies How many more instances fetch each chunk from the
+     * origin, on average over all chunks. More copies cost origin bandwidth
+     * and save time. */
+    explicit swarm_policy(double extra_copies = 0)
+        : extra_origin_copies(extra_copies)
+    {
+    }
 
-    void assign(const manifest& of, const std::vector<participant>& all,
+    void assign(const manifest& content, const std::vector<participant>& all,
                 const instance_id& own);
     [[nodiscard]] chunk_source source(chunk_index chunk, const liveness& alive,
                                       std::size_t level) const;
 
-    /*! @brief Returns the instances whose liveness this one depends on. */
+    /*! @brief Returns the instances whose liveness to track. */
     [[nodiscard]] std::vector<instance_id> watched() const;
 
 private:
-    struct slot
+    struct ranking
     {
         std::vector<participant> all;
         std::vector<participant> region;
@@ -110,52 +118,54 @@
         double fraction{0};
     };
 
-    double origin_extra;
+    double extra_origin_copies;
     participant self;
-    std::vector<slot> slots;
+    std::vector<ranking> rankings;
 };
 
-/*! @brief Stripes: as many trees as their arity; every instance is inner in
- * one of them, so every uplink carries one model. */
+/*! @brief Splits the chunks into `arity` stripes, each with its own tree. Every
+ * instance is an inner node of one tree only, so every uplink carries one copy
+ * of the model. */
 class stripe_policy
 {
 public:
     static constexpr bool uses_possession = false;
     static constexpr std::size_t arity = 8;
 
-    void assign(const manifest& of, const std::vector<participant>& all,
+    void assign(const manifest& content, const std::vector<participant>& all,
                 const instance_id& own);
     [[nodiscard]] chunk_source source(chunk_index chunk, const liveness& alive,
                                       std::size_t level) const;
 
-    /*! @brief Returns the instances whose liveness this one depends on. */
+    /*! @brief Returns the instances whose liveness to track. */
     [[nodiscard]] std::vector<instance_id> watched() const;
 
 private:
     std::vector<std::vector<instance_id>> trees;
-    std::vector<std::size_t> places;
+    std::vector<std::size_t> positions;
 };
 
-/*! @brief One chain through all instances, hall by hall. */
+/*! @brief Passes every chunk along one chain through all instances, hall by
+ * hall. */
 class chain_policy
 {
 public:
     static constexpr bool uses_possession = false;
 
-    void assign(const manifest& of, const std::vector<participant>& all,
+    void assign(const manifest& content, const std::vector<participant>& all,
                 const instance_id& own);
     [[nodiscard]] chunk_source source(chunk_index chunk, const liveness& alive,
                                       std::size_t level) const;
 
-    /*! @brief Returns the instances whose liveness this one depends on. */
+    /*! @brief Returns the instances whose liveness to track. */
     [[nodiscard]] std::vector<instance_id> watched() const;
 
 private:
     std::vector<instance_id> order;
-    std::size_t place{0};
+    std::size_t position{0};
 };
 
-/*! @brief Everybody fetches everything from the origin. */
+/*! @brief Lets every instance fetch every chunk from the origin. */
 class origin_policy
 {
 public:
--- a/src/coursejunction/transfer/transfer_context.hpp
+++ b/src/coursejunction/transfer/transfer_context.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What a transfer needs to know of its instance and its peers.
+ * @brief Gives a transfer access to its instance and its peers.
  */
 #ifndef COURSEJUNCTION_TRANSFER_TRANSFER_CONTEXT_HPP
 #define COURSEJUNCTION_TRANSFER_TRANSFER_CONTEXT_HPP
@@ -16,15 +16,18 @@
 namespace coursejunction
 {
 
-/*! @brief Looked up at each use: all of it changes while a transfer runs. */
+/*! @brief Queried at each use, since all values change while a transfer
+ * runs. */
 struct transfer_context
 {
-    std::function<std::string()> origin_address; /*!< Address; empty if none. */
-    std::function<byte_rate()> origin_rate; /*!< Zero if it is not known. */
+    /*! @brief Returns an empty address if no origin is configured. */
+    std::function<std::string()> origin_address;
+    std::function<byte_rate()> origin_rate; /*!< Zero if unknown. */
     std::function<std::vector<participant>()> participants;
     std::function<std::string(const instance_id&)> peer_endpoint;
     paced_uploads* uploads{nullptr}; /*!< Shared by all transfers. */
-    /*! @brief What may be on its way over the own link, for all versions. */
+    /*! @brief Limit of concurrent downloads over the own link, shared by all
+     * versions. */
     std::shared_ptr<call_window> download_window;
 };
 
--- a/src/coursejunction/transfer/transfer_planner.hpp
+++ b/src/coursejunction/transfer/transfer_planner.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Decides which chunk an instance asks from whom, and when.
+ * @brief Decides when an instance requests which chunk, and from whom.
  */
 #ifndef COURSEJUNCTION_TRANSFER_TRANSFER_PLANNER_HPP
 #define COURSEJUNCTION_TRANSFER_TRANSFER_PLANNER_HPP
@@ -22,44 +22,40 @@
 namespace coursejunction
 {
 
-/*! @brief Limits of a planner. */
+/*! @brief Limits and delays of a planner. */
 struct planner_limits
 {
-    std::size_t max_holder_requests{
-        4}; /*!< Chunks asked from holders at once. */
-    std::size_t max_origin_requests{
-        2}; /*!< Chunks asked from the origin at once. */
-    std::size_t max_waiting_requests{
-        16}; /*!< Chunks waited for at first sources. */
-    std::size_t max_peer_queue{
-        4}; /*!< Queue at a holder above which to skip. */
-    milliseconds max_origin_backoff{
-        3000}; /*!< Longest after failures in a row. */
-    milliseconds min_stall_time{
-        10'000}; /*!< Least time without any progress. */
-    /*! @brief A chunk that one holder of the hall has had for this long and
-     * that nobody got from it is asked of stand-ins; zero for never. */
+    std::size_t max_holder_requests{4};
+    std::size_t max_origin_requests{2};
+    std::size_t max_waiting_requests{16}; /*!< To future holders. */
+    /*! @brief A holder with a longer upload queue is skipped. */
+    std::size_t max_peer_queue{4};
+    milliseconds max_origin_backoff{3000};
+    /*! @brief Minimum time without progress that counts as a stall. */
+    milliseconds min_stall_time{10'000};
+    /*! @brief After a chunk has had a single holder in the hall for this long,
+     * stand-ins may request it from its first sources; zero disables this. */
     milliseconds single_copy_delay{0};
-    /*! @brief A chunk that nobody of the hall has this long after the beginning
-     * is asked of stand-ins; zero for never. */
+    /*! @brief When the hall has no copy of a chunk this long after chunks began
+     * to arrive, stand-ins may request it; zero disables this. */
     milliseconds first_copy_delay{0};
-    /*! @brief A peer's chunk that takes this long shows that the own link is
-     * narrow: fewer are asked at once; zero for never. */
+    /*! @brief A chunk that takes this long from a peer indicates a narrow link
+     * of this instance: fewer are requested at once; zero disables this. */
     milliseconds slow_chunk_time{0};
-    /*! @brief A call of the origin ends by itself when nothing comes any more:
-     * as long as it is open, the chunk is not asked of the origin again. */
+    /*! @brief Calls to the origin fail on their own when no more data arrives:
+     * while one is open, its chunk is not requested from the origin again. */
     bool origin_calls_time_out{false};
     std::uint32_t seed{1};
 };
 
-/*! @brief One thing to do. */
+/*! @brief A request that the caller is to send. */
 struct transfer_request
 {
     enum class source_kind : std::uint8_t
     {
-        holder,        /*!< Ask a peer that holds the chunk. */
-        future_holder, /*!< Ask a peer to send the chunk once it holds it. */
-        origin         /*!< Ask the origin. */
+        holder,        /*!< A peer that holds the chunk. */
+        future_holder, /*!< A peer that sends the chunk once it holds it. */
+        origin         /*!< The origin. */
     };
 
     source_kind source{source_kind::holder};
@@ -67,259 +63,286 @@
     instance_id peer;
 };
 
-/*! @brief Plans the transfer of one manifest to one instance. Pure: it is
- * told what happened and what time it is.
+/*! @brief Plans the transfer of one version to one instance. Does no I/O: it is
+ * given every event and the current time.
+ *
+ * Each chunk has first sources, chosen by the policy, that bring it to a hall;
+ * inside the hall it is requested from any holder, the rarest first. A
+ * stand-in is an instance of lower rank that fetches a chunk in place of a
+ * first source that is slow or failed.
  * @tparam Policy A `Source_policy`. */
 template <Source_policy Policy>
 class transfer_planner
 {
 public:
-    /*! @brief Known holders a planner can follow. */
+    /*! @brief Peers whose chunks are tracked: one bit each in a 64-bit mask. */
     static constexpr std::size_t max_holders = 64;
 
-    /*! @brief Peers that sent this many bad chunks are asked no more. */
+    /*! @brief A peer that sent this many corrupt chunks is not asked again. */
     static constexpr std::size_t max_corrupt_chunks = 2;
 
-    /*! @param link How narrow the own link was seen to be, shared by all
-     * versions that come over it; none makes one for this plan alone. */
-    transfer_planner(manifest of, instance_id self, planner_limits set,
-                     Policy how, time_point now,
-                     std::shared_ptr<call_window> link = nullptr)
-        : plan(std::move(of)), own(std::move(self)), limits(set),
-          policy(std::move(how)), random(set.seed),
-          window(link ? std::move(link)
-                      : std::make_shared<call_window>(set.max_holder_requests,
-                                                      set.slow_chunk_time)),
-          chunks(plan.size()), missing(plan.size()), flow_began(now),
-          last_news(now), last_arrival(now)
-    {
-        for (chunk_index at = 0; at < chunks.size(); ++at)
-            open.push_back(at);
-        for (std::size_t at = 0; at < open.size(); ++at)
-            chunks[open[at]].place = at;
-    }
-
-    /*! @brief Sets who takes part; called again when the list changes. */
+    /*! @param shared_window Limit of concurrent downloads, shared by all
+     * versions that arrive over the same link; null creates one for this
+     * planner alone. */
+    transfer_planner(manifest list, instance_id self,
+                     planner_limits initial_limits, Policy initial_policy,
+                     time_point now,
+                     std::shared_ptr<call_window> shared_window = nullptr)
+        : content(std::move(list)), own(std::move(self)),
+          limits(initial_limits), policy(std::move(initial_policy)),
+          random(initial_limits.seed),
+          window(shared_window ? std::move(shared_window)
+                               : std::make_shared<call_window>(
+                                     initial_limits.max_holder_requests,
+                                     initial_limits.slow_chunk_time)),
+          chunks(content.size()), missing_count(content.size()),
+          flow_started(now), last_progress(now), last_sighting(now)
+    {
+        for (chunk_index chunk = 0; chunk < chunks.size(); ++chunk)
+            missing_chunks.push_back(chunk);
+        for (std::size_t position = 0; position < missing_chunks.size();
+             ++position)
+            chunks[missing_chunks[position]].missing_position = position;
+    }
+
+    /*! @brief Sets the participants; called again when they change. */
     void set_participants(const std::vector<participant>& all, time_point now)
     {
-        hall_of.clear();
+        halls.clear();
         for (const auto& one : all)
-            hall_of.emplace(one.id, one.hall);
-        policy.assign(plan, all, own);
+            halls.emplace(one.id, one.hall);
+        policy.assign(content, all, own);
         for (const auto& id : policy.watched())
             watch(id, now);
     }
 
-    /*! @brief Starts to expect signs of life of a peer. */
+    /*! @brief Starts to track whether a peer is alive. */
     void watch(const instance_id& peer, time_point now)
     {
         if (peer != own)
-            heard_at.emplace(peer, now);
+            last_alive.emplace(peer, now);
     }
 
-    /*! @brief Returns the peers whose signs of life are expected. */
+    /*! @brief Returns the peers that are tracked for liveness. */
     [[nodiscard]] std::vector<instance_id> watched() const
     {
         std::vector<instance_id> ids;
-        for (const auto& [id, when] : heard_at)
+        for (const auto& [id, when] : last_alive)
             ids.push_back(id);
         return ids;
     }
 
-    /*! @brief Notes a sign of life of a peer. */
+    /*! @brief Records that a peer is alive. */
     void record_alive(const instance_id& peer, time_point now)
     {
-        const auto found = heard_at.find(peer);
-        if (found != heard_at.end())
+        const auto found = last_alive.find(peer);
+        if (found != last_alive.end())
             found->second = now;
-        lost.erase(peer);
+        lost_peers.erase(peer);
     }
 
-    /*! @brief Notes chunks that a peer holds and the length of its queue. */
+    /*! @brief Records chunks that a peer holds and the length of its upload
+     * queue. Earlier chunks of the peer stay recorded. */
     void add_peer_chunks(const instance_id& peer,
                          const std::vector<chunk_index>& held,
                          std::uint32_t queue, time_point now)
     {
         record_alive(peer, now);
-        const bool near = same_hall(peer);
+        const bool in_hall = same_hall(peer);
         const auto number =
-            near ? holder_number(peer) : std::optional<std::size_t>{};
+            in_hall ? holder_number(peer) : std::optional<std::size_t>{};
         const auto mask = number ? bit(*number) : std::uint64_t{0};
         if (number)
             holders[*number].queue = queue;
-        for (const auto at : held)
+        for (const auto chunk : held)
         {
-            if (at >= chunks.size())
+            if (chunk >= chunks.size())
                 continue;
-            if (!chunks[at].seen && !chunks[at].held)
-                news(now);
-            chunks[at].seen = true;
-            if (chunks[at].holders == 0 && mask != 0)
-                chunks[at].near_since = now;
-            chunks[at].holders |= mask;
+            if (!chunks[chunk].seen && !chunks[chunk].held)
+                record_first_sighting(now);
+            chunks[chunk].seen = true;
+            if (chunks[chunk].holder_mask == 0 && mask != 0)
+                chunks[chunk].in_hall_since = now;
+            chunks[chunk].holder_mask |= mask;
         }
     }
 
-    /*! @brief Notes that this instance now holds a chunk. */
-    void add_chunk(chunk_index at, time_point now)
+    /*! @brief Records that this instance now holds a chunk. */
+    void add_chunk(chunk_index chunk, time_point now)
     {
-        auto& one = chunks[at];
+        auto& one = chunks[chunk];
         if (one.held)
             return;
         if (!one.seen)
-            news(now);
+            record_first_sighting(now);
         one.seen = true;
-        measure(one, now);
-        settle(at);
+        record_duration(one, now);
+        close_request(chunk);
         one.held = true;
-        remove_open(at);
-        --missing;
+        remove_missing(chunk);
+        --missing_count;
     }
 
-    /*! @brief Notes that a request got no chunk. */
-    void record_refusal(chunk_index at, const instance_id& peer, bool absent,
-                        std::uint32_t queue, time_point now)
+    /*! @brief Records that a peer refused a request.
+     * @param not_held The peer does not hold the chunk, as opposed to being
+     * busy.
+     * @param queue Length of its upload queue. */
+    void record_refusal(chunk_index chunk, const instance_id& peer,
+                        bool not_held, std::uint32_t queue, time_point now)
     {
-        if (at >= chunks.size())
+        if (chunk >= chunks.size())
             return;
         const auto number = same_hall(peer) ? holder_number(peer)
                                             : std::optional<std::size_t>{};
-        if (number && absent)
-            chunks[at].holders &= ~bit(*number);
+        if (number && not_held)
+            chunks[chunk].holder_mask &= ~bit(*number);
         if (number)
-            busy(*number, queue, now);
-        if (absent)
-            refused_until[peer] = now + refused_pause;
-        if (!chunks[at].held && chunks[at].asked_peer == peer)
-            settle(at);
+            mark_busy(*number, queue, now);
+        if (not_held)
+            refused_until[peer] = now + refusal_backoff;
+        if (!chunks[chunk].held && chunks[chunk].requested_peer == peer)
+            close_request(chunk);
     }
 
-    /*! @brief Notes that the origin did not give a chunk. */
-    void record_origin_failure(chunk_index at, time_point now)
+    /*! @brief Records that the origin failed to send a chunk. Each failure in a
+     * row doubles the time until the next request to it. */
+    void record_origin_failure(chunk_index chunk, time_point now)
     {
-        if (chunks[at].source == transfer_request::source_kind::origin)
-            settle(at);
-        origin_backoff = std::clamp(origin_backoff * 2, origin_least,
+        if (chunks[chunk].source == transfer_request::source_kind::origin)
+            close_request(chunk);
+        origin_backoff = std::clamp(origin_backoff * 2, min_origin_backoff,
                                     limits.max_origin_backoff);
-        origin_after = now + origin_backoff;
+        next_origin_request = now + origin_backoff;
     }
 
-    /*! @brief Notes a chunk with a wrong hash. */
-    void record_corrupt(chunk_index at, const instance_id& peer)
+    /*! @brief Records a chunk with a wrong hash.
+     * @param peer The sender; empty for the origin. */
+    void record_corrupt(chunk_index chunk, const instance_id& peer)
     {
-        if (!peer.empty() && ++bad[peer] >= max_corrupt_chunks)
-            forget(peer);
-        if (at < chunks.size() && !chunks[at].held)
-            settle(at);
+        if (!peer.empty() && ++corrupt_counts[peer] >= max_corrupt_chunks)
+            remove_holder(peer);
+        if (chunk < chunks.size() && !chunks[chunk].held)
+            close_request(chunk);
     }
 
-    /*! @brief Notes that a peer cannot be reached. */
+    /*! @brief Records that a peer cannot be reached. */
     void record_peer_loss(const instance_id& peer)
     {
-        lost.insert(peer);
-        forget(peer);
+        lost_peers.insert(peer);
+        remove_holder(peer);
     }
 
-    /*! @brief Returns what to ask now. */
+    /*! @brief Returns the requests to send now. */
     [[nodiscard]] std::vector<transfer_request> next_requests(time_point now)
     {
         std::vector<transfer_request> requests;
         if (complete())
             return requests;
-        expire(now);
-        escalate(now);
-        ask_first_sources(requests, now);
+        expire_requests(now);
+        escalate_if_stalled(now);
+        request_from_first_sources(requests, now);
         if constexpr (Policy::uses_possession)
         {
-            free_slow_origin_calls(now);
-            ask_holders(requests, now);
+            reopen_slow_origin_chunks(now);
+            request_from_holders(requests, now);
         }
         return requests;
     }
 
-    /*! @brief Tells whether every chunk is held. */
-    [[nodiscard]] bool complete() const noexcept { return missing == 0; }
+    /*! @brief Returns whether every chunk is held. */
+    [[nodiscard]] bool complete() const noexcept { return missing_count == 0; }
 
-    /*! @brief Returns how many chunks nobody is known to hold. */
+    /*! @brief Returns how many chunks no instance is known to hold. */
     [[nodiscard]] std::size_t unseen_chunks() const
     {
-        return static_cast<std::size_t>(
-            std::count_if(open.begin(), open.end(),
-                          [&](chunk_index at) { return !chunks[at].seen; }));
+        return static_cast<std::size_t>(std::count_if(
+            missing_chunks.begin(), missing_chunks.end(),
+            [&](chunk_index chunk) { return !chunks[chunk].seen; }));
     }
 
-    /*! @brief Returns how often first sources stalled. */
-    [[nodiscard]] std::size_t stall_level() const noexcept { return stalls; }
+    /*! @brief Returns how many further ranks may stand in because of stalls. */
+    [[nodiscard]] std::size_t stall_level() const noexcept
+    {
+        return current_stall_level;
+    }
 
-    /*! @brief Tells whether a peer has sent too many bad chunks. */
+    /*! @brief Returns whether a peer has sent too many corrupt chunks. */
     [[nodiscard]] bool banned(const instance_id& peer) const
     {
-        const auto found = bad.find(peer);
-        return found != bad.end() && found->second >= max_corrupt_chunks;
+        const auto found = corrupt_counts.find(peer);
+        return found != corrupt_counts.end() &&
+               found->second >= max_corrupt_chunks;
     }
 
-    /*! @brief Returns how many requests are open, waits left out. */
+    /*! @brief Returns the number of open requests to holders. */
     [[nodiscard]] std::size_t open_holder_requests() const noexcept
     {
-        return holder_pending;
+        return open_holder_count;
     }
 
 private:
-    static constexpr milliseconds origin_least{200};
-    static constexpr milliseconds busy_pause{50};
-    static constexpr milliseconds refused_pause{300};
-    static constexpr milliseconds silence{1500};
-    static constexpr milliseconds longest_origin_request{60'000};
-    static constexpr milliseconds least_deadline{500};
-    static constexpr std::size_t sample = 48;
-    static constexpr std::size_t most_levels = 4;
-    /*! @brief After a failure of the origin stand-ins wait this many times
-     * longer: when it is back after an outage, first sources ask it first, and
-     * its link carries each chunk once. */
-    static constexpr int stand_in_pauses = 3;
+    static constexpr milliseconds min_origin_backoff{200};
+    static constexpr milliseconds busy_backoff{50};
+    static constexpr milliseconds refusal_backoff{300};
+    static constexpr milliseconds max_silence{1500};
+    static constexpr milliseconds first_source_timeout{60'000};
+    static constexpr milliseconds min_holder_timeout{500};
+    /*! @brief Candidates among which the rarest chunk is chosen. */
+    static constexpr std::size_t rarity_sample = 48;
+    /*! @brief Upper bound of `stand_in_level`, and of the doublings of the time
+     * between two escalations. */
+    static constexpr std::size_t max_level = 4;
+    /*! @brief After a failure of the origin, stand-ins wait this many times
+     * longer than first sources: after an outage, first sources then ask it
+     * first, and its link carries each chunk once. */
+    static constexpr int stand_in_backoff_factor = 3;
+    /*! @brief A stall takes this many usual intervals between sightings. */
     static constexpr double stall_intervals = 20;
+    /*! @brief Weight of a new sample in moving averages. */
     static constexpr double smoothing = 0.1;
-    static constexpr double deadline_ratio = 4;
-    static constexpr std::size_t scanned_most = 4096;
+    /*! @brief Timeout of a request to a holder, in mean durations. */
+    static constexpr double timeout_ratio = 4;
+    /*! @brief Missing chunks scanned for candidates in one search. */
+    static constexpr std::size_t max_scanned = 4096;
 
     struct chunk_state
     {
-        std::uint64_t holders{0};
+        std::uint64_t holder_mask{0};
         bool held{false};
         bool seen{false};
-        bool asked{false};
+        bool requested{false};
         transfer_request::source_kind source{};
-        instance_id asked_peer;
-        time_point asked_at{};
+        instance_id requested_peer;
+        time_point requested_at{};
         time_point deadline{};
-        time_point near_since{}; /*!< Since when the hall has a holder. */
-        std::size_t place{0};
+        time_point in_hall_since{}; /*!< When the hall got its first holder. */
+        std::size_t missing_position{0};
     };
 
     struct holder_state
     {
         instance_id id;
         std::uint32_t queue{0};
-        std::uint32_t asked{0};
+        std::uint32_t open_requests{0};
         time_point not_before{};
     };
 
     [[nodiscard]] bool same_hall(const instance_id& peer) const
     {
-        const auto mine = hall_of.find(own);
-        const auto other = hall_of.find(peer);
-        return mine != hall_of.end() && other != hall_of.end() &&
-               mine->second == other->second;
+        const auto own_hall = halls.find(own);
+        const auto peer_hall = halls.find(peer);
+        return own_hall != halls.end() && peer_hall != halls.end() &&
+               own_hall->second == peer_hall->second;
     }
 
-    /*! @brief A peer is alive unless its connection failed or its expected
-     * signs of life are missing. */
+    /*! @brief A peer counts as alive unless its connection failed, it is
+     * banned, or it is tracked and has been silent for `max_silence`. */
     [[nodiscard]] bool alive(const instance_id& peer, time_point now) const
     {
-        if (lost.contains(peer) || banned(peer))
+        if (lost_peers.contains(peer) || banned(peer))
             return false;
-        const auto found = heard_at.find(peer);
-        return found == heard_at.end() || now - found->second <= silence;
+        const auto found = last_alive.find(peer);
+        return found == last_alive.end() || now - found->second <= max_silence;
     }
 
     static std::uint64_t bit(std::size_t number)
@@ -331,17 +354,17 @@
     {
         if (banned(peer) || peer == own)
             return std::nullopt;
-        for (std::size_t at = 0; at < holders.size(); ++at)
+        for (std::size_t number = 0; number < holders.size(); ++number)
         {
-            if (holders[at].id == peer)
-                return at;
+            if (holders[number].id == peer)
+                return number;
         }
-        for (std::size_t at = 0; at < holders.size(); ++at)
+        for (std::size_t number = 0; number < holders.size(); ++number)
         {
-            if (!holders[at].id.empty())
+            if (!holders[number].id.empty())
                 continue;
-            holders[at] = holder_state{peer, 0, 0, {}};
-            return at;
+            holders[number] = holder_state{peer, 0, 0, {}};
+            return number;
         }
         if (holders.size() == max_holders)
             return std::nullopt;
@@ -349,372 +372,400 @@
         return holders.size() - 1;
     }
 
-    void busy(std::size_t number, std::uint32_t queue, time_point now)
+    void mark_busy(std::size_t number, std::uint32_t queue, time_point now)
     {
         holders[number].queue = queue;
-        holders[number].not_before = now + busy_pause;
+        holders[number].not_before = now + busy_backoff;
     }
 
-    void forget(const instance_id& peer)
+    void remove_holder(const instance_id& peer)
     {
-        for (chunk_index at = 0; at < chunks.size(); ++at)
+        for (chunk_index chunk = 0; chunk < chunks.size(); ++chunk)
         {
-            if (chunks[at].asked && chunks[at].asked_peer == peer)
-                settle(at);
+            if (chunks[chunk].requested && chunks[chunk].requested_peer == peer)
+                close_request(chunk);
         }
-        for (std::size_t at = 0; at < holders.size(); ++at)
+        for (std::size_t number = 0; number < holders.size(); ++number)
         {
-            if (holders[at].id != peer)
+            if (holders[number].id != peer)
                 continue;
             for (auto& one : chunks)
-                one.holders &= ~bit(at);
-            holders[at] = holder_state{};
+                one.holder_mask &= ~bit(number);
+            holders[number] = holder_state{};
         }
     }
 
-    /*! @brief A chunk is seen for the first time anywhere. */
-    void news(time_point now)
+    /*! @brief Records that some instance holds a chunk that none was known to
+     * hold. */
+    void record_first_sighting(time_point now)
     {
-        const auto gap = to_seconds(now - last_news);
-        interval =
-            interval == 0 ? gap : interval + (gap - interval) * smoothing;
-        // Chunks come again: stand-ins asked while nothing came would now
-        // only fetch the same ones more often.
-        if (now - last_arrival > limits.min_stall_time)
+        const auto gap = to_seconds(now - last_progress);
+        sighting_interval =
+            sighting_interval == 0
+                ? gap
+                : sighting_interval + (gap - sighting_interval) * smoothing;
+        // After a stall of the whole transfer, stand-ins are dismissed: they
+        // would only fetch chunks that first sources now fetch anyway.
+        if (now - last_sighting > limits.min_stall_time)
         {
-            stalls = 0;
-            flow_began = now;
+            current_stall_level = 0;
+            flow_started = now;
         }
-        else if (stalls > 0)
-            --stalls;
-        last_arrival = now;
-        last_news = now;
+        else if (current_stall_level > 0)
+            --current_stall_level;
+        last_sighting = now;
+        last_progress = now;
     }
 
-    /*! @brief Learns from how long a chunk took. */
-    void measure(const chunk_state& one, time_point now)
+    /*! @brief Updates the estimates by how long a request took. */
+    void record_duration(const chunk_state& one, time_point now)
     {
-        if (!one.asked)
+        if (!one.requested)
             return;
-        const auto took = now - one.asked_at;
+        const auto duration = now - one.requested_at;
         if (one.source == transfer_request::source_kind::holder)
         {
-            chunk_seconds += (to_seconds(took) - chunk_seconds) * smoothing;
+            mean_chunk_seconds +=
+                (to_seconds(duration) - mean_chunk_seconds) * smoothing;
             window->record_duration(
-                std::chrono::duration_cast<std::chrono::microseconds>(took));
+                std::chrono::duration_cast<std::chrono::microseconds>(
+                    duration));
         }
         if (one.source == transfer_request::source_kind::origin)
             origin_backoff = milliseconds(0);
     }
 
-    /*! @brief Ends the request for a chunk. */
-    void settle(chunk_index at)
+    /*! @brief Closes the request for a chunk, if one is open. */
+    void close_request(chunk_index chunk)
     {
-        auto& one = chunks[at];
-        if (!one.asked)
+        auto& one = chunks[chunk];
+        if (!one.requested)
             return;
-        one.asked = false;
+        one.requested = false;
         switch (one.source)
         {
         case transfer_request::source_kind::holder:
-            --holder_pending;
+            --open_holder_count;
             for (auto& peer : holders)
             {
-                if (peer.id == one.asked_peer && peer.asked > 0)
-                    --peer.asked;
+                if (peer.id == one.requested_peer && peer.open_requests > 0)
+                    --peer.open_requests;
             }
             break;
         case transfer_request::source_kind::future_holder:
-            --waiting_pending;
+            --open_future_holder_count;
             break;
         case transfer_request::source_kind::origin:
-            --origin_pending;
+            --open_origin_count;
             break;
         }
-        one.asked_peer = instance_id();
+        one.requested_peer = instance_id();
     }
 
-    void remove_open(chunk_index at)
+    void remove_missing(chunk_index chunk)
     {
-        const auto place = chunks[at].place;
-        open[place] = open.back();
-        chunks[open[place]].place = place;
-        open.pop_back();
+        const auto missing_position = chunks[chunk].missing_position;
+        missing_chunks[missing_position] = missing_chunks.back();
+        chunks[missing_chunks[missing_position]].missing_position =
+            missing_position;
+        missing_chunks.pop_back();
     }
 
-    void ask(std::vector<transfer_request>& requests, chunk_index at,
-             transfer_request::source_kind source, instance_id peer,
-             time_point now, std::chrono::microseconds allowed)
+    void open_request(std::vector<transfer_request>& requests,
+                      chunk_index chunk, transfer_request::source_kind source,
+                      instance_id peer, time_point now,
+                      std::chrono::microseconds timeout)
     {
-        auto& one = chunks[at];
-        COURSEJUNCTION_ASSERT(!one.asked && !one.held, "asked twice");
-        one.asked = true;
+        auto& one = chunks[chunk];
+        COURSEJUNCTION_ASSERT(!one.requested && !one.held,
+                              "chunk is held or already requested");
+        one.requested = true;
         one.source = source;
-        one.asked_peer = peer;
-        one.asked_at = now;
-        one.deadline = now + allowed;
+        one.requested_peer = peer;
+        one.requested_at = now;
+        one.deadline = now + timeout;
         if (source == transfer_request::source_kind::holder)
-            ++holder_pending;
+            ++open_holder_count;
         else if (source == transfer_request::source_kind::future_holder)
-            ++waiting_pending;
+            ++open_future_holder_count;
         else
-            ++origin_pending;
-        requests.push_back({source, at, std::move(peer)});
+            ++open_origin_count;
+        requests.push_back({source, chunk, std::move(peer)});
     }
 
-    /*! @brief Gives up requests whose deadline has passed. A late chunk is
-     * still taken when it comes. */
-    void expire(time_point now)
+    /*! @brief Closes requests whose deadline has passed or whose peer is not
+     * alive. A chunk that arrives later is still accepted. */
+    void expire_requests(time_point now)
     {
-        for (const auto at : open)
+        for (const auto chunk : missing_chunks)
         {
-            auto& one = chunks[at];
-            if (!one.asked)
+            auto& one = chunks[chunk];
+            if (!one.requested)
                 continue;
             const bool silent =
-                !one.asked_peer.empty() && !alive(one.asked_peer, now);
+                !one.requested_peer.empty() && !alive(one.requested_peer, now);
             if (now < one.deadline && !silent)
                 continue;
             if (one.source == transfer_request::source_kind::holder)
             {
-                const auto number = holder_number(one.asked_peer);
+                const auto number = holder_number(one.requested_peer);
                 if (number)
-                    holders[*number].not_before = now + least_deadline;
+                    holders[*number].not_before = now + min_holder_timeout;
                 window->record_duration(
                     std::chrono::duration_cast<std::chrono::microseconds>(
-                        now - one.asked_at));
+                        now - one.requested_at));
             }
-            settle(at);
+            close_request(chunk);
         }
     }
 
-    /*! @brief Lets later ranks stand in although earlier ones are alive, when
-     * nothing new is seen for long, measured by how often something new was
-     * seen before. Each further step takes twice as long. */
-    void escalate(time_point now)
+    /*! @brief Lets one more rank stand in, although earlier ones are alive,
+     * when nothing new has been seen for a multiple of the usual interval. The
+     * time to each further step doubles. */
+    void escalate_if_stalled(time_point now)
     {
-        const auto least = std::max<std::chrono::microseconds>(
-            limits.min_stall_time, from_seconds(interval * stall_intervals));
-        if (now - last_news < least * (1 << std::min(stalls, most_levels)))
+        const auto stall_time = std::max<std::chrono::microseconds>(
+            limits.min_stall_time,
+            from_seconds(sighting_interval * stall_intervals));
+        if (now - last_progress <
+            stall_time * (1 << std::min(current_stall_level, max_level)))
             return;
-        ++stalls;
-        last_news = now;
-        for (const auto at : open)
+        ++current_stall_level;
+        last_progress = now;
+        for (const auto chunk : missing_chunks)
         {
-            const auto& one = chunks[at];
-            const bool goes_on =
+            const auto& one = chunks[chunk];
+            const bool origin_call_continues =
                 one.source == transfer_request::source_kind::origin &&
                 limits.origin_calls_time_out;
-            if (one.asked &&
-                one.source != transfer_request::source_kind::holder && !goes_on)
-                settle(at);
+            if (one.requested &&
+                one.source != transfer_request::source_kind::holder &&
+                !origin_call_continues)
+                close_request(chunk);
         }
     }
 
-    /*! @brief A chunk that the origin gives slowly may be asked of a holder of
-     * the hall; the call of the origin goes on, and the first one counts. */
-    void free_slow_origin_calls(time_point now)
+    /*! @brief Lets a chunk that arrives slowly from the origin be requested
+     * from a holder in the hall. The call to the origin continues; whichever
+     * copy arrives first is kept. */
+    void reopen_slow_origin_chunks(time_point now)
     {
         if (!limits.origin_calls_time_out)
             return;
-        for (const auto at : open)
+        for (const auto chunk : missing_chunks)
         {
-            const auto& one = chunks[at];
-            if (one.asked &&
+            const auto& one = chunks[chunk];
+            if (one.requested &&
                 one.source == transfer_request::source_kind::origin &&
-                one.holders != 0 &&
-                now - one.asked_at > limits.single_copy_delay)
-                settle(at);
+                one.holder_mask != 0 &&
+                now - one.requested_at > limits.single_copy_delay)
+                close_request(chunk);
         }
     }
 
-    /*! @brief Returns how long a chunk may take from a holder: a multiple of
-     * what chunks took lately. */
-    std::chrono::microseconds allowance() const
+    /*! @brief Returns the timeout of a request to a holder: a multiple of the
+     * mean duration of a chunk, times the longest queue that may be ahead of
+     * it. */
+    std::chrono::microseconds holder_timeout() const
     {
         return std::max<std::chrono::microseconds>(
-            least_deadline,
-            from_seconds(chunk_seconds * deadline_ratio *
+            min_holder_timeout,
+            from_seconds(mean_chunk_seconds * timeout_ratio *
                          static_cast<double>(limits.max_peer_queue + 1)));
     }
 
-    /*! @brief Asks for chunks that this instance is the first source of, then
-     * for those that it stands in for. */
-    void ask_first_sources(std::vector<transfer_request>& requests,
-                           time_point now)
+    /*! @brief Requests chunks whose first fetch is up to this instance, then
+     * those that it stands in for. */
+    void request_from_first_sources(std::vector<transfer_request>& requests,
+                                    time_point now)
     {
-        if (open.empty())
+        if (missing_chunks.empty())
             return;
-        const auto start = random() % open.size();
-        ask_sources(requests, now, start, false);
-        ask_sources(requests, now, start, true);
+        const auto start = random() % missing_chunks.size();
+        request_from_sources(requests, now, start, false);
+        request_from_sources(requests, now, start, true);
     }
 
-    /*! @param stand_in Whether to ask for what others are first sources of. */
-    void ask_sources(std::vector<transfer_request>& requests, time_point now,
-                     std::size_t start, bool stand_in)
+    /*! @param stand_in Whether to request chunks in place of first sources. */
+    void request_from_sources(std::vector<transfer_request>& requests,
+                              time_point now, std::size_t start, bool stand_in)
     {
-        constexpr std::size_t examined_most = 512;
+        constexpr std::size_t max_examined = 512;
         std::size_t examined = 0;
-        const liveness living = [&](const instance_id& peer)
+        const liveness is_alive = [&](const instance_id& peer)
         { return alive(peer, now); };
         for (std::size_t step = 0;
-             step < open.size() && examined < examined_most; ++step)
+             step < missing_chunks.size() && examined < max_examined; ++step)
         {
-            const auto at = open[(start + step) % open.size()];
-            auto& one = chunks[at];
-            const auto late = late_level(one, now);
-            const auto stalled = std::max(stalls, late);
-            if (stand_in && stalled == 0)
+            const auto chunk =
+                missing_chunks[(start + step) % missing_chunks.size()];
+            auto& one = chunks[chunk];
+            const auto chunk_level = stand_in_level(one, now);
+            const auto level = std::max(current_stall_level, chunk_level);
+            if (stand_in && level == 0)
                 continue;
-            const bool asked_long =
-                one.asked && late > 0 &&
-                now - one.asked_at > limits.single_copy_delay &&
+            const bool requested_long =
+                one.requested && chunk_level > 0 &&
+                now - one.requested_at > limits.single_copy_delay &&
                 one.source != transfer_request::source_kind::origin;
-            if ((one.asked && !asked_long) ||
-                (Policy::uses_possession && one.holders != 0 && late == 0))
+            if ((one.requested && !requested_long) ||
+                (Policy::uses_possession && one.holder_mask != 0 &&
+                 chunk_level == 0))
                 continue;
             ++examined;
-            const auto from = policy.source(at, living, stand_in ? stalled : 0);
-            // A peer that stalls is left for the one that stands in for it.
+            const auto from =
+                policy.source(chunk, is_alive, stand_in ? level : 0);
+            // During a stall, a peer is not asked again as first source: the
+            // stand-in pass chooses another one.
             if (from.kind == chunk_source::source_kind::none ||
-                (!stand_in && stalled > 0 &&
+                (!stand_in && level > 0 &&
                  from.kind == chunk_source::source_kind::peer) ||
-                (one.asked && from.peer == one.asked_peer))
+                (one.requested && from.peer == one.requested_peer))
                 continue;
-            if (asked_long)
-                settle(at);
-            ask_first_source(requests, at, from, now, stand_in);
+            if (requested_long)
+                close_request(chunk);
+            request_from_source(requests, chunk, from, now, stand_in);
         }
     }
 
-    /*! @brief Returns how many ranks may stand in for a chunk that does not
-     * spread: the link of the only one who has it may be narrow, and all that
-     * ask it share that. Each further second lets one more stand in. While
-     * nothing comes at all, `escalate` decides alone. */
-    [[nodiscard]] std::size_t late_level(const chunk_state& one,
-                                         time_point now) const
+    /*! @brief Returns how many ranks may stand in for a chunk that has at most
+     * one holder in the hall: the link of a single holder may be narrow, and
+     * all that ask it share that link. One more stands in after each further
+     * `single_copy_delay`. While nothing arrives at all, `escalate_if_stalled`
+     * alone decides. */
+    [[nodiscard]] std::size_t stand_in_level(const chunk_state& one,
+                                             time_point now) const
     {
         if (!Policy::uses_possession || limits.single_copy_delay.count() == 0)
             return 0;
-        const int count = __builtin_popcountll(one.holders);
+        const int count = __builtin_popcountll(one.holder_mask);
         if (count > 1)
             return 0;
-        if (count == 0 && now - last_arrival > limits.min_stall_time)
+        if (count == 0 && now - last_sighting > limits.min_stall_time)
             return 0;
-        const auto since = count == 1
-                               ? one.near_since + limits.single_copy_delay
-                               : flow_began + limits.first_copy_delay;
-        if (now < since)
+        const auto due = count == 1
+                             ? one.in_hall_since + limits.single_copy_delay
+                             : flow_started + limits.first_copy_delay;
+        if (now < due)
             return 0;
-        const auto more =
-            static_cast<std::size_t>((now - since) / limits.single_copy_delay);
-        return std::min(more + 1, most_levels);
+        const auto elapsed_steps =
+            static_cast<std::size_t>((now - due) / limits.single_copy_delay);
+        return std::min(elapsed_steps + 1, max_level);
     }
 
-    void ask_first_source(std::vector<transfer_request>& requests,
-                          chunk_index at, const chunk_source& from,
-                          time_point now, bool stand_in)
+    void request_from_source(std::vector<transfer_request>& requests,
+                             chunk_index chunk, const chunk_source& from,
+                             time_point now, bool stand_in)
     {
         if (from.kind == chunk_source::source_kind::origin &&
-            origin_pending < window->limit(limits.max_origin_requests) &&
-            now >= origin_after +
-                       (stand_in ? stand_in_pauses : 0) * origin_backoff)
-            ask(requests, at, transfer_request::source_kind::origin, {}, now,
-                longest_origin_request);
+            open_origin_count < window->limit(limits.max_origin_requests) &&
+            now >=
+                next_origin_request +
+                    (stand_in ? stand_in_backoff_factor : 0) * origin_backoff)
+            open_request(requests, chunk, transfer_request::source_kind::origin,
+                         {}, now, first_source_timeout);
         if (from.kind == chunk_source::source_kind::peer &&
-            waiting_pending < window->limit(limits.max_waiting_requests) &&
+            open_future_holder_count <
+                window->limit(limits.max_waiting_requests) &&
             !banned(from.peer) && from.peer != own &&
             now >= refused_until[from.peer])
-            ask(requests, at, transfer_request::source_kind::future_holder,
-                from.peer, now, longest_origin_request);
+            open_request(requests, chunk,
+                         transfer_request::source_kind::future_holder,
+                         from.peer, now, first_source_timeout);
     }
 
-    void ask_holders(std::vector<transfer_request>& requests, time_point now)
+    void request_from_holders(std::vector<transfer_request>& requests,
+                              time_point now)
     {
-        while (holder_pending < window->limit(limits.max_holder_requests))
+        while (open_holder_count < window->limit(limits.max_holder_requests))
         {
-            if (!ask_best_holder(requests, now))
+            if (!request_from_best_holder(requests, now))
                 return;
         }
     }
 
-    /*! @brief Asks the least busy holder for the rarest of some chunks. */
-    bool ask_best_holder(std::vector<transfer_request>& requests,
-                         time_point now)
+    /*! @brief Requests, from the least busy holder, the rarest chunk of a
+     * sample.
+     * @return Whether a request was added. */
+    bool request_from_best_holder(std::vector<transfer_request>& requests,
+                                  time_point now)
     {
         std::vector<std::pair<std::uint64_t, std::size_t>> order;
-        for (std::size_t at = 0; at < holders.size(); ++at)
+        for (std::size_t number = 0; number < holders.size(); ++number)
         {
-            const auto& one = holders[at];
-            const auto load = one.queue + one.asked;
+            const auto& one = holders[number];
+            const auto load = one.queue + one.open_requests;
             if (one.id.empty() || load > limits.max_peer_queue ||
                 now < one.not_before)
                 continue;
-            order.emplace_back((std::uint64_t{load} << 32U) | random(), at);
+            order.emplace_back((std::uint64_t{load} << 32U) | random(), number);
         }
         std::sort(order.begin(), order.end());
         for (const auto& [load, number] : order)
         {
-            const auto at = rarest_of(number);
-            if (!at)
+            const auto chunk = rarest_chunk_of(number);
+            if (!chunk)
                 continue;
-            ++holders[number].asked;
-            ask(requests, *at, transfer_request::source_kind::holder,
-                holders[number].id, now, allowance());
+            ++holders[number].open_requests;
+            open_request(requests, *chunk,
+                         transfer_request::source_kind::holder,
+                         holders[number].id, now, holder_timeout());
             return true;
         }
         return false;
     }
 
-    std::optional<chunk_index> rarest_of(std::size_t number)
+    std::optional<chunk_index> rarest_chunk_of(std::size_t number)
     {
         std::optional<chunk_index> best;
-        int fewest = static_cast<int>(max_holders) + 1;
-        std::size_t seen = 0;
-        const auto start = random() % open.size();
+        int fewest_holders = static_cast<int>(max_holders) + 1;
+        std::size_t candidates = 0;
+        const auto start = random() % missing_chunks.size();
         for (std::size_t step = 0;
-             step < open.size() && step < scanned_most && seen < sample; ++step)
+             step < missing_chunks.size() && step < max_scanned &&
+             candidates < rarity_sample;
+             ++step)
         {
-            const auto at = open[(start + step) % open.size()];
-            const auto& one = chunks[at];
-            if (one.asked || (one.holders & bit(number)) == 0)
+            const auto chunk =
+                missing_chunks[(start + step) % missing_chunks.size()];
+            const auto& one = chunks[chunk];
+            if (one.requested || (one.holder_mask & bit(number)) == 0)
                 continue;
-            ++seen;
-            const int count = __builtin_popcountll(one.holders);
-            if (count >= fewest)
+            ++candidates;
+            const int count = __builtin_popcountll(one.holder_mask);
+            if (count >= fewest_holders)
                 continue;
-            fewest = count;
-            best = at;
+            fewest_holders = count;
+            best = chunk;
         }
         return best;
     }
 
-    manifest plan;
+    manifest content;
     instance_id own;
     planner_limits limits;
     Policy policy;
     std::minstd_rand random;
     std::shared_ptr<call_window> window;
     std::vector<chunk_state> chunks;
-    std::vector<chunk_index> open;
+    std::vector<chunk_index> missing_chunks;
     std::vector<holder_state> holders;
-    std::map<instance_id, std::size_t> bad;
-    std::size_t missing;
-    std::size_t holder_pending{0};
-    std::size_t waiting_pending{0};
-    std::size_t origin_pending{0};
-    std::size_t stalls{0};
+    std::map<instance_id, std::size_t> corrupt_counts;
+    std::size_t missing_count;
+    std::size_t open_holder_count{0};
+    std::size_t open_future_holder_count{0};
+    std::size_t open_origin_count{0};
+    std::size_t current_stall_level{0};
     milliseconds origin_backoff{0};
-    time_point origin_after{};
-    time_point flow_began; /*!< Since when chunks have come steadily. */
-    time_point last_news;  /*!< Of a chunk, or of a step of `escalate`. */
-    time_point last_arrival;
-    double interval{0};
-    double chunk_seconds{0.1};
-    std::map<instance_id, hall_id> hall_of;
-    std::map<instance_id, time_point> heard_at;
-    std::set<instance_id> lost;
+    time_point next_origin_request{};
+    time_point flow_started;  /*!< Start, or the end of the last long stall. */
+    time_point last_progress; /*!< Last sighting or escalation. */
+    time_point last_sighting;
+    double sighting_interval{0};
+    double mean_chunk_seconds{0.1};
+    std::map<instance_id, hall_id> halls;
+    std::map<instance_id, time_point> last_alive;
+    std::set<instance_id> lost_peers;
     std::map<instance_id, time_point> refused_until;
 };
 
--- a/src/coursejunction/transfer/upload_priority.hpp
+++ b/src/coursejunction/transfer/upload_priority.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Which of the sides that wait for a chunk gets one first; pure.
+ * @brief Determines which sidecar gets a chunk first. Does no I/O.
  */
 #ifndef COURSEJUNCTION_TRANSFER_UPLOAD_PRIORITY_HPP
 #define COURSEJUNCTION_TRANSFER_UPLOAD_PRIORITY_HPP
@@ -13,7 +13,7 @@
 namespace coursejunction
 {
 
-/*! @brief Place of an upload among those that wait. */
+/*! @brief Priority of an upload; lower values are sent first. */
 enum class upload_priority : std::uint8_t
 {
     urgent, /*!< Another hall waits for its first copy. */
@@ -21,14 +21,15 @@
     late    /*!< For the other half. */
 };
 
-/*! @brief Returns the place of a side's uploads. Sides close one after another
- * to load a version, in the order of their weights under its name; those that
- * close first need it first. If all got it at the same moment, near the end of
- * the time that a version has, all would have to close together. */
+/*! @brief Returns the priority of uploads to a sidecar. Sidecars close one
+ * after another to load a version, in the order of their rendezvous weights
+ * for it, and those that close first need it first. If all received it at the
+ * same moment, near the deadline of the version, all would have to close
+ * together. */
 [[nodiscard]] inline upload_priority
-upload_priority_of(std::string_view version, std::string_view side)
+upload_priority_of(std::string_view version, std::string_view sidecar)
 {
-    const auto weight = rendezvous_weight(version, side);
+    const auto weight = rendezvous_weight(version, sidecar);
     constexpr auto half = std::numeric_limits<std::uint64_t>::max() / 2;
     return weight > half ? upload_priority::early : upload_priority::late;
 }
--- a/src/coursejunction/transfer/upload_queue.hpp
+++ b/src/coursejunction/transfer/upload_queue.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Orders what an instance's uplink sends.
+ * @brief Orders the chunks that an instance uploads.
  */
 #ifndef COURSEJUNCTION_TRANSFER_UPLOAD_QUEUE_HPP
 #define COURSEJUNCTION_TRANSFER_UPLOAD_QUEUE_HPP
@@ -20,8 +20,9 @@
 namespace coursejunction
 {
 
-/*! @brief Chunks to send, those that other halls wait for first. Requests
- * beyond the limit are refused at once, so that the asker turns elsewhere. */
+/*! @brief Queues chunks to send, those that other halls wait for first. Plain
+ * requests beyond the limit are rejected at once, so that the requester asks
+ * another peer. */
 class upload_queue
 {
 public:
@@ -37,10 +38,11 @@
         friend auto operator<=>(const upload&, const upload&) = default;
     };
 
-    /*! @param most Plain requests that may queue. */
-    explicit upload_queue(size_type most) : limit(most) {}
+    /*! @param max_plain Maximum number of queued plain requests. */
+    explicit upload_queue(size_type max_plain) : limit(max_plain) {}
 
-    /*! @brief Queues a chunk that is held.
+    /*! @brief Queues a chunk that is held, unless the same upload is queued
+     * already.
      * @return False when the queue is full. */
     [[nodiscard]] bool offer(upload one)
     {
@@ -51,7 +53,7 @@
         return true;
     }
 
-    /*! @brief Notes that a peer waits for a chunk that is not yet held. */
+    /*! @brief Records that a peer waits for a chunk that is not held yet. */
     void add_waiter(upload one)
     {
         waiting[{one.manifest, one.chunk}].insert(std::move(one.to));
@@ -60,8 +62,9 @@
     /*! @brief Queues a chunk before all plain requests. */
     void enqueue_first(upload one) { urgent.push_back(std::move(one)); }
 
-    /*! @brief Moves those that wait for a chunk to the front.
-     * @return Whether any did. */
+    /*! @brief Queues the uploads of a chunk to all peers that wait for it,
+     * before all plain requests.
+     * @return Whether any peer waited. */
     bool serve_waiters(const digest& manifest, chunk_index chunk)
     {
         const auto found = waiting.find({manifest, chunk});
@@ -73,7 +76,7 @@
         return true;
     }
 
-    /*! @brief Takes the next upload. */
+    /*! @brief Removes and returns the next upload. */
     [[nodiscard]] std::optional<upload> take_next()
     {
         auto& from = urgent.empty() ? plain : urgent;
@@ -84,7 +87,7 @@
         return one;
     }
 
-    /*! @brief Forgets a peer that is gone. */
+    /*! @brief Removes all uploads to a peer. */
     void remove_peer(const instance_id& peer)
     {
         const auto same = [&](const upload& one) { return one.to == peer; };
@@ -94,7 +97,8 @@
             peers.erase(peer);
     }
 
-    /*! @brief Forgets who waits for chunks of a version that is given up. */
+    /*! @brief Removes the peers that wait for chunks of a version, which is no
+     * longer fetched. */
     void drop_waiters(const digest& manifest)
     {
         std::erase_if(waiting, [&](const auto& one)
