--- a/tests/transfer/call_window.cpp
+++ b/tests/transfer/call_window.cpp
@@ -5,10 +5,10 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("chunks on their way to a narrow link are few", "[transfer]")
+SCENARIO("a narrow link limits concurrent chunk downloads", "[transfer]")
 {
     cj::call_window window(4, 800ms);
-    THEN("a whole link takes as many as usual of every kind")
+    THEN("a link with its full rate leaves every limit unchanged")
     {
         CHECK(window.limit(4) == 4);
         CHECK(window.limit(8) == 8);
@@ -21,12 +21,12 @@
         window.record_duration(2s);
         window.record_duration(2s);
         CHECK(window.limit(8) == 1);
-        THEN("those that take neither long nor little change nothing")
+        THEN("a chunk of medium duration changes nothing")
         {
             window.record_duration(600ms);
             CHECK(window.limit(8) == 1);
         }
-        THEN("it opens step by step when they come soon")
+        THEN("the limit rises by one for each fast chunk")
         {
             window.record_duration(100ms);
             CHECK(window.limit(8) == 2);
@@ -35,10 +35,10 @@
             CHECK(window.limit(8) == 8);
         }
     }
-    GIVEN("a window that does not look at times")
+    GIVEN("a window without a threshold for slow chunks")
     {
-        cj::call_window open(4, 0ms);
-        open.record_duration(60s);
-        CHECK(open.limit(16) == 16);
+        cj::call_window unlimited(4, 0ms);
+        unlimited.record_duration(60s);
+        CHECK(unlimited.limit(16) == 16);
     }
 }
--- a/tests/transfer/fixtures.hpp
+++ b/tests/transfer/fixtures.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Small manifests and participants for the tests of this module.
+ * @brief Small manifests and participants for the tests of the transfer
+ * module.
  */
 #ifndef COURSEJUNCTION_TESTS_TRANSFER_FIXTURES_HPP
 #define COURSEJUNCTION_TESTS_TRANSFER_FIXTURES_HPP
@@ -17,13 +18,13 @@
 
 inline constexpr std::size_t chunk_bytes = 16;
 
-/*! @brief Bytes of a model in which every chunk differs. */
+/*! @brief Returns the bytes of a model whose chunks all differ. */
 inline std::string model_bytes(std::size_t chunks, char first = 'a')
 {
     std::string bytes;
-    for (std::size_t at = 0; at < chunks; ++at)
+    for (std::size_t index = 0; index < chunks; ++index)
     {
-        std::string chunk = std::string(1, first) + std::to_string(at);
+        std::string chunk = std::string(1, first) + std::to_string(index);
         chunk.resize(chunk_bytes, '.');
         bytes += chunk;
     }
@@ -36,16 +37,17 @@
     return cj::manifest::parse(text, cj::digest::of(text)).value();
 }
 
-/*! @brief Instances spread over halls a, b (region x) and c (region y). */
+/*! @brief Returns instances spread over halls a, b (region x) and c (region
+ * y). */
 inline std::vector<cj::participant> participants(std::size_t count)
 {
     const std::vector<std::pair<std::string, std::string>> halls{
         {"a", "x"}, {"b", "x"}, {"c", "y"}};
     std::vector<cj::participant> all;
-    for (std::size_t at = 0; at < count; ++at)
+    for (std::size_t index = 0; index < count; ++index)
     {
-        const auto& [hall, region] = halls[at % halls.size()];
-        all.push_back({cj::instance_id("i" + std::to_string(at)),
+        const auto& [hall, region] = halls[index % halls.size()];
+        all.push_back({cj::instance_id("i" + std::to_string(index)),
                        cj::hall_id(hall), cj::region_id(region)});
     }
     return all;
--- a/tests/transfer/manifest.cpp
+++ b/tests/transfer/manifest.cpp
@@ -7,17 +7,18 @@
 
 namespace cj = coursejunction;
 
-SCENARIO("a manifest is what its hash names", "[transfer]")
+SCENARIO("a manifest is accepted only if its text matches its hash",
+         "[transfer]")
 {
     const auto bytes = fixtures::model_bytes(3) + "tail";
     const auto text = cj::manifest::build_json("/m", bytes, 16);
     GIVEN("the right text")
     {
-        const auto read = cj::manifest::parse(text, cj::digest::of(text));
-        REQUIRE(read);
-        CHECK(read.value().size() == 4);
-        CHECK(read.value().chunk_bytes(3) == 4);
-        CHECK(read.value()[3] == cj::digest::of("tail"));
+        const auto parsed = cj::manifest::parse(text, cj::digest::of(text));
+        REQUIRE(parsed);
+        CHECK(parsed.value().size() == 4);
+        CHECK(parsed.value().chunk_bytes(3) == 4);
+        CHECK(parsed.value()[3] == cj::digest::of("tail"));
     }
     GIVEN("a corrupted text")
     {
@@ -25,10 +26,10 @@
         changed[changed.size() / 2] ^= 1;
         CHECK_FALSE(cj::manifest::parse(changed, cj::digest::of(text)));
     }
-    GIVEN("texts that lie under their own hash")
+    GIVEN("malformed texts that match their hash")
     {
-        const auto refused = [](const std::string& lie)
-        { return !cj::manifest::parse(lie, cj::digest::of(lie)); };
+        const auto refused = [](const std::string& malformed)
+        { return !cj::manifest::parse(malformed, cj::digest::of(malformed)); };
         CHECK(refused("{}"));
         CHECK(refused(R"({"path":"/m","bytes":99999999999,"chunk_bytes":1,)"
                       R"("chunks":[]})"));
@@ -39,19 +40,20 @@
     }
 }
 
-SCENARIO("a manifest assembled from hashes is passed on as lines", "[transfer]")
+SCENARIO("a manifest assembled from hashes survives to_lines and from_lines",
+         "[transfer]")
 {
-    const auto made =
+    const auto assembled =
         cj::manifest::assemble(16, {cj::digest::of("a"), cj::digest::of("b")});
-    REQUIRE(made);
-    CHECK(made.value().size() == 2);
-    CHECK(made.value().total_bytes() == 32);
-    CHECK(made.value().chunk_bytes(1) == 16);
+    REQUIRE(assembled);
+    CHECK(assembled.value().size() == 2);
+    CHECK(assembled.value().total_bytes() == 32);
+    CHECK(assembled.value().chunk_bytes(1) == 16);
 
-    const auto read = cj::manifest::from_lines(made.value().to_lines());
-    REQUIRE(read);
-    CHECK(read.value().id() == made.value().id());
-    CHECK(read.value()[1] == cj::digest::of("b"));
+    const auto parsed = cj::manifest::from_lines(assembled.value().to_lines());
+    REQUIRE(parsed);
+    CHECK(parsed.value().id() == assembled.value().id());
+    CHECK(parsed.value()[1] == cj::digest::of("b"));
 
     CHECK_FALSE(cj::manifest::from_lines(""));
     CHECK_FALSE(cj::manifest::from_lines("16\nnonsense\n"));
--- a/tests/transfer/manifest_fetch.cpp
+++ b/tests/transfer/manifest_fetch.cpp
@@ -21,74 +21,75 @@
 
 const cj::model_version wanted{"tutor", 2};
 
-/*! @brief An origin behind a narrow link, whose calls are given up after a
- * while whatever has come. */
+/*! @brief An origin behind a narrow link, whose calls time out no matter how
+ * much has arrived. */
 class narrow_origin
 {
 public:
-    /*! @brief Manifests that the link carries in a second: 5 KB take 4.2 ms on
-     * 9.9 Mbit/s. */
+    /*! @brief Manifests that the link carries per second: one of 5 KB takes 4.2
+     * ms at 9.9 Mbit/s. */
     static constexpr double link_rate = 240;
 
-    /*! @brief Longest call; 24 at once are whole in it. */
-    static constexpr cj::milliseconds limit{100};
+    /*! @brief Timeout of a call; 24 concurrent calls complete within it. */
+    static constexpr cj::milliseconds call_timeout{100};
 
-    explicit narrow_origin(cj::event_loop& owner)
-        : loop(owner), link(owner, link_rate)
+    explicit narrow_origin(cj::event_loop& events)
+        : loop(events), link(events, link_rate)
     {
     }
 
     void chunks(const std::string&, const cj::model_version&,
                 std::function<void(cj::result<cj::manifest>)> done)
     {
-        if (away)
+        if (unreachable)
             return loop.post([done = std::move(done)]
-                             { done(failed("connection refused")); });
+                             { done(call_failure("connection refused")); });
         const auto one = std::make_shared<call>();
         one->done = std::move(done);
-        const auto id = link.carry([one] { end(*one, whole()); });
-        one->limit = loop.after(limit,
-                                [this, id, one]
-                                {
-                                    link.give_up(id);
-                                    end(*one, failed("call timed out"));
-                                });
+        const auto id = link.carry([one] { complete(*one, sent_manifest()); });
+        one->timeout =
+            loop.after(call_timeout,
+                       [this, id, one]
+                       {
+                           link.give_up(id);
+                           complete(*one, call_failure("call timed out"));
+                       });
     }
 
     [[nodiscard]] std::size_t most_open() const { return link.most_open(); }
 
-    bool away{false};
+    bool unreachable{false};
 
 private:
     struct call
     {
         std::function<void(cj::result<cj::manifest>)> done;
-        cj::timer limit;
+        cj::timer timeout;
     };
 
-    static cj::result<cj::manifest> failed(const char* why)
+    static cj::result<cj::manifest> call_failure(const char* why)
     {
         return cj::failure(cj::error_kind::unavailable, why);
     }
 
-    static cj::result<cj::manifest> whole()
+    static cj::result<cj::manifest> sent_manifest()
     {
         return cj::manifest::assemble(16, {cj::digest::of("a chunk")});
     }
 
-    static void end(call& one, cj::result<cj::manifest> how)
+    static void complete(call& one, cj::result<cj::manifest> outcome)
     {
         const auto done = std::exchange(one.done, nullptr);
-        one.limit.stop();
+        one.timeout.stop();
         if (done)
-            done(std::move(how));
+            done(std::move(outcome));
     }
 
     cj::event_loop& loop;
     loopback::narrow_link link;
 };
 
-/*! @brief Sides in three halls that all want the same version. */
+/*! @brief Sidecars in three halls that all fetch the same version. */
 class swarm
 {
 public:
@@ -109,7 +110,7 @@
         loop.on_loop(
             [&]
             {
-                pauses.clear();
+                part_timers.clear();
                 fetches.clear();
                 servers.clear();
                 origin.reset();
@@ -121,7 +122,7 @@
     swarm(const swarm&) = delete;
     swarm& operator=(const swarm&) = delete;
 
-    /*! @brief Returns the side that all others have their manifest from. */
+    /*! @brief Returns the sidecar from which all others get the manifest. */
     cj::instance_id first() const
     {
         std::vector<cj::instance_id> ids;
@@ -130,26 +131,27 @@
         return cj::rendezvous_rank(wanted.rank_key(), ids, 1).front();
     }
 
-    /*! @brief A side is dead, and the others do not know. */
-    void kill(const cj::instance_id& side)
+    /*! @brief Stops the server of a sidecar, which stays in the list of
+     * participants. */
+    void stop_server(const cj::instance_id& sidecar)
     {
-        loop.on_loop([&] { servers.erase(side); });
+        loop.on_loop([&] { servers.erase(sidecar); });
     }
 
-    /*! @brief A side gives what it is asked for in ten parts.
-     * @param each Time between two of them. */
-    void slow_down(const cj::instance_id& side, cj::milliseconds each)
+    /*! @brief Makes a sidecar send its responses in parts of ten bytes.
+     * @param interval Time between two parts. */
+    void send_slowly(const cj::instance_id& sidecar, cj::milliseconds interval)
     {
-        loop.on_loop([&] { slow[side] = each; });
+        loop.on_loop([&] { part_intervals[sidecar] = interval; });
     }
 
-    void origin_away(bool away)
+    void set_origin_unreachable(bool unreachable)
     {
-        loop.on_loop([&] { origin->away = away; });
+        loop.on_loop([&] { origin->unreachable = unreachable; });
     }
 
-    /*! @brief A version is named to everybody that lives. */
-    void name()
+    /*! @brief Publishes the version to every running sidecar. */
+    void publish()
     {
         loop.on_loop(
             [&]
@@ -162,92 +164,96 @@
             });
     }
 
-    /*! @brief A version is named to one side. */
-    void name_only(const cj::instance_id& side)
+    /*! @brief Publishes the version to one sidecar. */
+    void publish_to(const cj::instance_id& sidecar)
     {
-        loop.on_loop([&] { fetch(side); });
+        loop.on_loop([&] { fetch(sidecar); });
     }
 
-    bool has_manifest(const cj::instance_id& side, cj::milliseconds patience)
+    /*! @brief Waits until a sidecar has the manifest.
+     * @return Whether that happened before the timeout. */
+    bool wait_for_manifest(const cj::instance_id& sidecar,
+                           cj::milliseconds timeout)
     {
-        const auto until = cj::event_loop::now() + patience;
-        bool has = false;
-        while (!has && cj::event_loop::now() < until)
+        const auto until = cj::event_loop::now() + timeout;
+        bool found = false;
+        while (!found && cj::event_loop::now() < until)
         {
             std::this_thread::sleep_for(10ms);
-            loop.on_loop([&] { has = holders.contains(side); });
+            loop.on_loop([&] { found = holders.contains(sidecar); });
         }
-        return has;
+        return found;
     }
 
-    /*! @brief Waits until everybody that lives has the manifest.
-     * @return Whether that was so in time. */
-    bool whole_within(cj::milliseconds patience)
+    /*! @brief Waits until every running sidecar has the manifest.
+     * @return Whether that happened before the timeout. */
+    bool complete_within(cj::milliseconds timeout)
     {
-        const auto until = cj::event_loop::now() + patience;
+        const auto until = cj::event_loop::now() + timeout;
         while (cj::event_loop::now() < until)
         {
-            bool whole = false;
-            loop.on_loop([&] { whole = holders.size() == servers.size(); });
-            if (whole)
+            bool complete = false;
+            loop.on_loop([&] { complete = holders.size() == servers.size(); });
+            if (complete)
                 return true;
             std::this_thread::sleep_for(10ms);
         }
         return false;
     }
 
-    std::size_t most_at_origin()
+    std::size_t max_open_origin_calls()
     {
-        std::size_t most = 0;
-        loop.on_loop([&] { most = origin->most_open(); });
-        return most;
+        std::size_t max_open = 0;
+        loop.on_loop([&] { max_open = origin->most_open(); });
+        return max_open;
     }
 
 private:
     void serve(const cj::instance_id& id)
     {
-        auto made = cj::stream_server::create(
+        auto created = cj::stream_server::create(
             loop.loop, "127.0.0.1", 0, {},
             [this, id](const cj::stream_request&, cj::stream_reply reply)
             {
                 const auto found = holders.find(id);
                 if (found == holders.end())
                     return reply.send(404, {}, "");
-                if (!slow.contains(id))
+                if (!part_intervals.contains(id))
                     return reply.send(200, {}, found->second.to_lines());
                 reply.begin(200, {});
-                trickle(id, found->second.to_lines(), std::move(reply));
+                send_in_parts(id, found->second.to_lines(), std::move(reply));
             });
-        addresses[id] = "127.0.0.1:" + std::to_string(made.value()->port());
-        servers[id] = std::move(made.value());
+        addresses[id] = "127.0.0.1:" + std::to_string(created.value()->port());
+        servers[id] = std::move(created.value());
     }
 
-    void trickle(const cj::instance_id& id, const std::string& rest,
-                 cj::stream_reply reply)
+    void send_in_parts(const cj::instance_id& id, const std::string& remaining,
+                       cj::stream_reply reply)
     {
-        constexpr std::size_t part = 10;
-        reply.write(rest.substr(0, part));
-        if (rest.size() <= part)
+        constexpr std::size_t part_bytes = 10;
+        reply.write(remaining.substr(0, part_bytes));
+        if (remaining.size() <= part_bytes)
             return reply.finish();
-        pauses.push_back(loop.loop.after(
-            slow.at(id), [this, id, left = rest.substr(part), reply]
-            { trickle(id, left, reply); }));
+        part_timers.push_back(loop.loop.after(
+            part_intervals.at(id),
+            [this, id, rest = remaining.substr(part_bytes), reply]
+            { send_in_parts(id, rest, reply); }));
     }
 
     void fetch(const cj::instance_id& id)
     {
-        cj::transfer_context around;
-        around.origin_address = [] { return std::string("origin"); };
-        around.participants = [this] { return all; };
-        around.peer_endpoint = [this](const cj::instance_id& peer)
+        cj::transfer_context context;
+        context.origin_address = [] { return std::string("origin"); };
+        context.participants = [this] { return all; };
+        context.peer_endpoint = [this](const cj::instance_id& peer)
         { return addresses.at(peer); };
-        auto made = std::make_shared<cj::manifest_fetch<narrow_origin>>(
-            loop.loop, *client, *origin, wanted, id, around,
+        auto created = std::make_shared<cj::manifest_fetch<narrow_origin>>(
+            loop.loop, *client, *origin, wanted, id, context,
             cj::chunk_transfer_options{},
             [this, id](cj::manifest list)
             { holders.emplace(id, std::move(list)); });
-        made->start();
-        fetches.push_back(std::move(made));
+        created->start();
+        fetches.push_back(std::move(created));
     }
 
     std::vector<cj::participant> all;
@@ -257,78 +263,78 @@
     std::map<cj::instance_id, std::unique_ptr<cj::stream_server>> servers;
     std::map<cj::instance_id, std::string> addresses;
     std::map<cj::instance_id, cj::manifest> holders;
-    std::map<cj::instance_id, cj::milliseconds> slow;
-    std::vector<cj::timer> pauses;
+    std::map<cj::instance_id, cj::milliseconds> part_intervals;
+    std::vector<cj::timer> part_timers;
     std::vector<std::shared_ptr<cj::manifest_fetch<narrow_origin>>> fetches;
 };
 
 } // namespace
 
-// Two hundred sides want a manifest and nobody can give it to them: the origin
-// is away, or the side is dead that the others wait for. If each of them then
-// asked the origin, two hundred calls would share a link on which 24 are whole
-// before they are given up; none would end, all would begin again from nothing,
-// and the link would stay full after the trouble is over.
-SCENARIO("a manifest reaches all over a link that few can use at once",
+// Guards against overload of the origin when 200 sidecars cannot get a manifest
+// from each other, because the origin is unreachable or the sidecar that all
+// depend on is down. If each of them called the origin, 200 calls would share a
+// link that completes 24 before they time out: none would complete, all would
+// start over, and the link would stay full after the outage.
+SCENARIO("a manifest reaches all sidecars without overloading the origin",
          "[transfer]")
 {
-    constexpr std::size_t sides = 200;
-    constexpr std::size_t whole_at_once = 24;
-    GIVEN("sides of three halls and an origin with a narrow link")
+    constexpr std::size_t sidecars = 200;
+    constexpr std::size_t calls_within_timeout = 24;
+    GIVEN("sidecars of three halls and an origin with a narrow link")
     {
-        swarm all(sides);
-        WHEN("all is well as the version is named")
+        swarm fleet(sidecars);
+        WHEN("the version is published without a failure")
         {
-            all.name();
-            THEN("everybody has the manifest, and one asked the origin")
+            fleet.publish();
+            THEN("all get the manifest with one call to the origin")
             {
-                CHECK(all.whole_within(1000ms));
-                CHECK(all.most_at_origin() == 1);
+                CHECK(fleet.complete_within(1000ms));
+                CHECK(fleet.max_open_origin_calls() == 1);
             }
         }
-        WHEN("the origin is away as the version is named, and comes back")
+        WHEN("the origin is unreachable for 1.5 s from the publication on")
         {
-            all.origin_away(true);
-            all.name();
+            fleet.set_origin_unreachable(true);
+            fleet.publish();
             std::this_thread::sleep_for(1500ms);
-            all.origin_away(false);
-            THEN("everybody has the manifest soon, and few asked for it")
+            fleet.set_origin_unreachable(false);
+            THEN("all get the manifest soon, with few concurrent calls")
             {
-                CHECK(all.whole_within(3000ms));
-                CHECK(all.most_at_origin() <= whole_at_once);
+                CHECK(fleet.complete_within(3000ms));
+                CHECK(fleet.max_open_origin_calls() <= calls_within_timeout);
             }
         }
-        WHEN("the side is dead that the others have it from")
+        WHEN("the sidecar that all others depend on is down")
         {
-            all.kill(all.first());
-            all.name();
-            THEN("some stand in for it, and not all at once")
+            fleet.stop_server(fleet.first());
+            fleet.publish();
+            THEN("others stand in for it with few concurrent calls")
             {
-                CHECK(all.whole_within(3000ms));
-                CHECK(all.most_at_origin() <= whole_at_once);
+                CHECK(fleet.complete_within(3000ms));
+                CHECK(fleet.max_open_origin_calls() <= calls_within_timeout);
             }
         }
     }
-    GIVEN("two sides of which the first has a full link, and no origin")
+    GIVEN("two sidecars, the first one with a slow link, and no origin")
     {
         swarm two(2);
-        two.name_only(two.first());
-        REQUIRE(two.has_manifest(two.first(), 1000ms));
-        two.origin_away(true);
-        two.slow_down(two.first(), 100ms);
-        THEN("a manifest that keeps coming is waited for")
+        two.publish_to(two.first());
+        REQUIRE(two.wait_for_manifest(two.first(), 1000ms));
+        two.set_origin_unreachable(true);
+        two.send_slowly(two.first(), 100ms);
+        THEN("a manifest that arrives slowly but steadily does not time out")
         {
-            two.name();
-            CHECK(two.whole_within(3000ms));
+            two.publish();
+            CHECK(two.complete_within(3000ms));
         }
     }
-    GIVEN("a side that is alone")
+    GIVEN("a single sidecar")
     {
         swarm one(1);
-        THEN("it has the manifest from the origin at once")
+        THEN("it gets the manifest from the origin at once")
         {
-            one.name();
-            CHECK(one.whole_within(200ms));
+            one.publish();
+            CHECK(one.complete_within(200ms));
         }
     }
 }
--- a/tests/transfer/manifest_route.cpp
+++ b/tests/transfer/manifest_route.cpp
@@ -6,20 +6,21 @@
 
 using namespace coursejunction;
 
-TEST_CASE("a manifest comes down a tree in each hall")
+TEST_CASE("manifests are passed down a tree in each hall")
 {
     std::vector<participant> all;
-    for (int at = 0; at < 60; ++at)
-        all.push_back({instance_id("side-" + std::to_string(at)),
-                       hall_id(at < 25 ? "north" : "south"), region_id("r")});
+    for (int index = 0; index < 60; ++index)
+        all.push_back({instance_id("side-" + std::to_string(index)),
+                       hall_id(index < 25 ? "north" : "south"),
+                       region_id("r")});
 
     SECTION(
-        "one asks the origin, one of each other hall asks that one, and the "
-        "others a side of their hall")
+        "one sidecar asks the origin, one of each other hall asks that one, "
+        "and the others ask a sidecar of their hall")
     {
         std::vector<instance_id> roots;
-        std::map<instance_id, std::size_t> asked;
-        std::size_t abroad = 0;
+        std::map<instance_id, std::size_t> calls;
+        std::size_t from_other_hall = 0;
         for (const auto& one : all)
         {
             const auto sources = manifest_sources("tutor 2", all, one.id);
@@ -28,21 +29,21 @@
                 roots.push_back(one.id);
                 continue;
             }
-            ++asked[sources.front()];
+            ++calls[sources.front()];
             REQUIRE(sources.size() <= 4);
             const auto found =
                 std::find_if(all.begin(), all.end(),
                              [&](const participant& other)
                              { return other.id == sources.front(); });
             REQUIRE(found->id != one.id);
-            abroad += found->hall == one.hall ? 0 : 1;
+            from_other_hall += found->hall == one.hall ? 0 : 1;
         }
         REQUIRE(roots.size() == 1);
-        REQUIRE(abroad == 1);
-        for (const auto& [id, count] : asked)
+        REQUIRE(from_other_hall == 1);
+        for (const auto& [id, count] : calls)
             REQUIRE(count <= manifest_arity + 1);
     }
-    SECTION("a side that the list does not name yet asks the origin")
+    SECTION("a sidecar that is not listed yet asks the origin")
     {
         REQUIRE(manifest_sources("tutor 2", all, instance_id("new")).empty());
     }
--- a/tests/transfer/origin_fallback.cpp
+++ b/tests/transfer/origin_fallback.cpp
@@ -4,36 +4,36 @@
 
 using namespace coursejunction;
 
-TEST_CASE("a weight store stands in for the origin")
+TEST_CASE("the weight store is used when the origin fails")
 {
     origin_fallback sources(true);
     REQUIRE(sources.current() == weight_source::origin);
 
-    SECTION("the origin fails, so the store is asked")
+    SECTION("a failure of the origin switches to the store")
     {
         sources.record_failure(weight_source::origin);
         REQUIRE(sources.current() == weight_source::store);
 
-        SECTION("the store fails too, so the origin is asked again")
+        SECTION("a failure of the store switches back")
         {
             sources.record_failure(weight_source::store);
             REQUIRE(sources.current() == weight_source::origin);
         }
     }
-    SECTION("two calls fail together: only the first moves on")
+    SECTION("of two calls that fail together only the first switches")
     {
         sources.record_failure(weight_source::origin);
         sources.record_failure(weight_source::origin);
         REQUIRE(sources.current() == weight_source::store);
 
-        SECTION("and both fail at the store: the origin's turn has come")
+        SECTION("two that fail at the store switch back once")
         {
             sources.record_failure(weight_source::store);
             sources.record_failure(weight_source::store);
             REQUIRE(sources.current() == weight_source::origin);
         }
     }
-    SECTION("a late failure of the source left behind changes nothing")
+    SECTION("a late failure of the previous source changes nothing")
     {
         sources.record_failure(weight_source::origin);
         sources.record_failure(weight_source::store);
@@ -42,7 +42,7 @@
     }
 }
 
-TEST_CASE("without a weight store the origin is asked for ever")
+TEST_CASE("without a weight store the origin stays selected")
 {
     origin_fallback sources(false);
     sources.record_failure(weight_source::origin);
--- a/tests/transfer/origin_schedule.cpp
+++ b/tests/transfer/origin_schedule.cpp
@@ -10,77 +10,79 @@
 namespace
 {
 
-constexpr milliseconds gap{10};
-constexpr milliseconds least{250};
+constexpr milliseconds call_interval{10};
+constexpr milliseconds min_interval{250};
 
-/*! @brief Counts the calls of sides that are all refused, each 10 ms. */
-std::size_t calls(std::size_t sides, milliseconds from, milliseconds until)
+/*! @brief Counts the calls between two times when every call fails, in steps of
+ * 10 ms. */
+std::size_t count_calls(std::size_t sidecars, milliseconds from,
+                        milliseconds until)
 {
-    std::vector<origin_schedule> turns;
-    for (std::uint32_t seed = 1; seed <= sides; ++seed)
-        turns.emplace_back(gap, least, seed * 7919);
-    std::size_t made = 0;
-    for (auto at = 0ms; at < until; at += 10ms)
+    std::vector<origin_schedule> schedules;
+    for (std::uint32_t seed = 1; seed <= sidecars; ++seed)
+        schedules.emplace_back(call_interval, min_interval, seed * 7919);
+    std::size_t count = 0;
+    for (auto elapsed = 0ms; elapsed < until; elapsed += 10ms)
     {
-        const time_point now{at};
-        for (auto& one : turns)
+        const time_point now{elapsed};
+        for (auto& one : schedules)
         {
-            if (!one.due(false, sides, now))
+            if (!one.due(false, sidecars, now))
                 continue;
-            one.record_failure(sides, now);
-            made += at >= from ? 1 : 0;
+            one.record_failure(sidecars, now);
+            count += elapsed >= from ? 1 : 0;
         }
     }
-    return made;
+    return count;
 }
 
 } // namespace
 
-// The origin cannot give a manifest for a while, and thousands of sides want
-// it. Whatever their number, the calls that reach its link in a second must
-// stay those that it can carry.
-TEST_CASE("sides ask the origin in turns", "[transfer]")
+// Guards against a call rate that grows with the number of sidecars while the
+// origin cannot serve a manifest: thousands of sidecars together may send only
+// as many calls per second as its link can carry.
+TEST_CASE("calls to the origin are spread over the sidecars", "[transfer]")
 {
-    SECTION("the first of a hall asks at any time")
+    SECTION("the first sidecar of a hall may call at any time")
     {
-        origin_schedule turn(gap, least, 1);
+        origin_schedule schedule(call_interval, min_interval, 1);
         const time_point now{1s};
-        CHECK(turn.due(true, 2500, now));
-        turn.record_failure(2500, now);
-        CHECK(turn.due(true, 2500, now));
+        CHECK(schedule.due(true, 2500, now));
+        schedule.record_failure(2500, now);
+        CHECK(schedule.due(true, 2500, now));
     }
-    SECTION("all others together ask a hundred times a second at most")
+    SECTION("all others together call about a hundred times a second")
     {
-        for (const std::size_t sides : {100U, 500U, 2500U})
+        for (const std::size_t sidecars : {100U, 500U, 2500U})
         {
-            const auto first = calls(sides, 0ms, 1000ms);
+            const auto first = count_calls(sidecars, 0ms, 1000ms);
             CHECK(first >= 60);
             CHECK(first <= 140);
         }
     }
-    SECTION("and more seldom the longer it lasts")
+    SECTION("the rate falls while failures continue")
     {
-        CHECK(calls(100, 10s, 20s) <= 150);
+        CHECK(count_calls(100, 10s, 20s) <= 150);
     }
-    SECTION("a few sides wait no longer than they used to between two calls")
+    SECTION("a few sidecars wait no longer than the minimum interval")
     {
         for (std::uint32_t seed = 1; seed <= 20; ++seed)
         {
-            origin_schedule turn(gap, least, seed);
+            origin_schedule schedule(call_interval, min_interval, seed);
             const time_point now{1s};
-            static_cast<void>(turn.due(false, 20, now));
-            CHECK(turn.due(false, 20, now + least));
+            static_cast<void>(schedule.due(false, 20, now));
+            CHECK(schedule.due(false, 20, now + min_interval));
         }
     }
-    SECTION("after a wrong manifest turns begin anew")
+    SECTION("a wrong manifest resets the schedule")
     {
-        origin_schedule turn(gap, least, 3);
+        origin_schedule schedule(call_interval, min_interval, 3);
         const time_point now{1s};
-        for (int times = 0; times < 6; ++times)
-            turn.record_failure(20, now);
-        CHECK_FALSE(turn.due(false, 20, now + 1s));
-        turn.reset();
-        static_cast<void>(turn.due(false, 20, now + 1s));
-        CHECK(turn.due(false, 20, now + 1s + least));
+        for (int failure = 0; failure < 6; ++failure)
+            schedule.record_failure(20, now);
+        CHECK_FALSE(schedule.due(false, 20, now + 1s));
+        schedule.reset();
+        static_cast<void>(schedule.due(false, 20, now + 1s));
+        CHECK(schedule.due(false, 20, now + 1s + min_interval));
     }
 }
--- a/tests/transfer/transfer_planner.cpp
+++ b/tests/transfer/transfer_planner.cpp
@@ -20,12 +20,12 @@
 std::vector<cj::chunk_index> range(cj::chunk_index count)
 {
     std::vector<cj::chunk_index> all;
-    for (cj::chunk_index at = 0; at < count; ++at)
-        all.push_back(at);
+    for (cj::chunk_index index = 0; index < count; ++index)
+        all.push_back(index);
     return all;
 }
 
-/*! @brief Three instances of one hall, seen by the first. */
+/*! @brief Three instances of one hall, the first of which runs the planner. */
 std::vector<cj::participant> hall_of_three()
 {
     const cj::hall_id hall("a");
@@ -35,7 +35,7 @@
             {cj::instance_id("q"), hall, region}};
 }
 
-planner make(std::size_t chunks, cj::planner_limits limits = {})
+planner make_planner(std::size_t chunks, cj::planner_limits limits = {})
 {
     planner made(fixtures::manifest_of(fixtures::model_bytes(chunks)),
                  cj::instance_id("me"), limits, cj::swarm_policy(), start);
@@ -43,72 +43,73 @@
     return made;
 }
 
-std::size_t count(const std::vector<cj::transfer_request>& requests, kind how)
+std::size_t count(const std::vector<cj::transfer_request>& requests,
+                  kind source)
 {
     return static_cast<std::size_t>(
         std::count_if(requests.begin(), requests.end(),
-                      [&](const auto& one) { return one.source == how; }));
+                      [&](const auto& one) { return one.source == source; }));
 }
 
 } // namespace
 
-SCENARIO("a planner asks whoever holds a chunk", "[transfer]")
+SCENARIO("a planner requests chunks from peers that hold them", "[transfer]")
 {
     const cj::instance_id p("p");
     const cj::instance_id q("q");
     GIVEN("two holders of everything, one of them busy")
     {
-        auto plan = make(40);
+        auto plan = make_planner(40);
         plan.add_peer_chunks(p, range(40), 4, start);
         plan.add_peer_chunks(q, range(40), 0, start);
-        const auto asked = plan.next_requests(start);
-        THEN("the free one is asked first, within the limit")
+        const auto requests = plan.next_requests(start);
+        THEN("the idle one is asked first, within the limit")
         {
-            REQUIRE(count(asked, kind::holder) == 4);
-            CHECK(asked.front().peer == q);
+            REQUIRE(count(requests, kind::holder) == 4);
+            CHECK(requests.front().peer == q);
             CHECK(plan.open_holder_requests() == 4);
         }
-        THEN("nothing is asked twice at once")
+        THEN("no chunk is requested twice at once")
         {
             CHECK(plan.next_requests(start).empty());
         }
     }
     GIVEN("a holder that refuses as busy")
     {
-        auto plan = make(8);
+        auto plan = make_planner(8);
         plan.add_peer_chunks(p, range(8), 0, start);
         for (const auto& one : plan.next_requests(start))
             plan.record_refusal(one.chunk, p, false, 9, start);
-        THEN("it is left alone until it is less busy")
+        THEN("it is not asked until it is less busy")
         {
             CHECK(count(plan.next_requests(start + 10ms), kind::holder) == 0);
             plan.add_peer_chunks(p, {}, 0, start + 100ms);
             CHECK(count(plan.next_requests(start + 100ms), kind::holder) == 4);
         }
     }
-    GIVEN("a holder that stalls without a word")
+    GIVEN("a holder that stops responding")
     {
-        auto plan = make(8);
+        auto plan = make_planner(8);
         plan.add_peer_chunks(p, range(8), 0, start);
         plan.watch(p, start);
         REQUIRE(count(plan.next_requests(start), kind::holder) == 4);
         plan.add_peer_chunks(q, range(8), 0, start + 1s);
-        THEN("others are asked once it is silent for too long")
+        THEN("others are asked once it has been silent for too long")
         {
-            const auto again = plan.next_requests(start + 4s);
-            REQUIRE(count(again, kind::holder) == 4);
-            CHECK(again.front().peer == q);
+            const auto repeated = plan.next_requests(start + 4s);
+            REQUIRE(count(repeated, kind::holder) == 4);
+            CHECK(repeated.front().peer == q);
         }
     }
-    GIVEN("a peer that lies")
+    GIVEN("a peer that sends corrupt chunks")
     {
-        auto plan = make(8);
+        auto plan = make_planner(8);
         plan.add_peer_chunks(p, range(8), 0, start);
-        const auto asked = plan.next_requests(start);
-        plan.record_corrupt(asked[0].chunk, p);
+        const auto requests = plan.next_requests(start);
+        plan.record_corrupt(requests[0].chunk, p);
         CHECK_FALSE(plan.banned(p));
-        plan.record_corrupt(asked[1].chunk, p);
-        THEN("it is asked no more")
+        plan.record_corrupt(requests[1].chunk, p);
+        THEN("it is not asked again")
         {
             CHECK(plan.banned(p));
             plan.add_peer_chunks(p, range(8), 0, start + 1s);
@@ -117,21 +118,21 @@
     }
 }
 
-SCENARIO("a planner draws little from the origin", "[transfer]")
+SCENARIO("a planner sends few requests to the origin", "[transfer]")
 {
-    GIVEN("chunks that nobody is seen to hold")
+    GIVEN("chunks that no instance is known to hold")
     {
-        auto plan = make(60);
-        const auto asked = plan.next_requests(start);
-        THEN("only few are asked from the origin at once")
+        auto plan = make_planner(60);
+        const auto requests = plan.next_requests(start);
+        THEN("only two are requested from the origin at once")
         {
-            CHECK(count(asked, kind::origin) == 2);
+            CHECK(count(requests, kind::origin) == 2);
         }
         WHEN("the origin fails")
         {
-            for (const auto& one : asked)
+            for (const auto& one : requests)
                 plan.record_origin_failure(one.chunk, start);
-            THEN("it is asked again only after a pause that grows")
+            THEN("it is asked again only after a backoff")
             {
                 CHECK(count(plan.next_requests(start + 50ms), kind::origin) ==
                       0);
@@ -139,68 +140,69 @@
             }
         }
     }
-    GIVEN("live peers that own the rest, and an origin that is silent")
+    GIVEN("live peers that are first sources of the rest, and a failing origin")
     {
-        // An outage of the origin must not turn the others into owners.
-        auto plan = make(60);
-        std::set<cj::chunk_index> own;
-        for (int at = 0; at < 90; ++at)
+        // An outage of the origin must not make the others first sources.
+        auto plan = make_planner(60);
+        std::set<cj::chunk_index> requested_chunks;
+        for (int index = 0; index < 90; ++index)
         {
-            const auto now = start + at * 100ms;
+            const auto now = start + index * 100ms;
             plan.record_alive(cj::instance_id("p"), now);
             plan.record_alive(cj::instance_id("q"), now);
             for (const auto& one : plan.next_requests(now))
             {
                 if (one.source != kind::origin)
                     continue;
-                own.insert(one.chunk);
+                requested_chunks.insert(one.chunk);
                 plan.record_origin_failure(one.chunk, now);
             }
         }
         CHECK(plan.stall_level() == 0);
-        CHECK(own.size() < 40);
+        CHECK(requested_chunks.size() < 40);
     }
-    GIVEN("an owner that died")
+    GIVEN("a first source that is lost")
     {
-        auto plan = make(60);
-        std::set<cj::chunk_index> asked;
-        const auto drain = [&](cj::time_point now)
+        auto plan = make_planner(60);
+        std::set<cj::chunk_index> requests;
+        const auto fetch_all_from_origin = [&](cj::time_point now)
         {
-            for (int at = 0; at < 60; ++at)
+            for (int index = 0; index < 60; ++index)
             {
                 for (const auto& one : plan.next_requests(now))
                 {
                     if (one.source != kind::origin)
                         continue;
-                    asked.insert(one.chunk);
+                    requests.insert(one.chunk);
                     plan.add_chunk(one.chunk, now);
                 }
             }
         };
-        drain(start);
-        const auto before = asked.size();
+        fetch_all_from_origin(start);
+        const auto before = requests.size();
         plan.record_peer_loss(cj::instance_id("p"));
-        drain(start + 100ms);
-        THEN("this instance takes over its share of the dead one's chunks")
+        fetch_all_from_origin(start + 100ms);
+        THEN("this instance takes over a part of its chunks")
         {
-            CHECK(asked.size() > before);
-            CHECK(asked.size() < 60);
+            CHECK(requests.size() > before);
+            CHECK(requests.size() < 60);
         }
     }
 }
 
-// The origin's link is full, and each chunk takes long. If a side began the
-// same call again beside the one that is open, whenever nothing new was seen
-// for a while, the link would carry everything twice and three times, and each
-// chunk would take longer still.
-SCENARIO("a call of the origin that is open is not begun again", "[transfer]")
+// Guards against repeated calls: when the link of the origin is saturated, each
+// chunk takes long. A sidecar that started the same call again whenever nothing
+// new had been seen for a while would make the link carry every chunk several
+// times, which delays all of them further.
+SCENARIO("a chunk is not requested again while a call to the origin is open",
+         "[transfer]")
 {
     cj::planner_limits limits;
     limits.min_stall_time = 700ms;
     limits.single_copy_delay = 1000ms;
     limits.origin_calls_time_out = true;
     const cj::instance_id p("p");
-    GIVEN("a side that is alone, and an origin that takes ten seconds")
+    GIVEN("a single sidecar and an origin that takes ten seconds")
     {
         planner plan(fixtures::manifest_of(fixtures::model_bytes(2)),
                      cj::instance_id("me"), limits, cj::swarm_policy(), start);
@@ -211,7 +213,7 @@
             for (const auto& one : plan.next_requests(now))
                 ++calls[one.chunk];
         }
-        THEN("each chunk is asked for once")
+        THEN("each chunk is requested once")
         {
             CHECK(calls[0] == 1);
             CHECK(calls[1] == 1);
@@ -219,15 +221,15 @@
         WHEN("a call ends without its chunk")
         {
             plan.record_origin_failure(0, start + 10s);
-            const auto again = plan.next_requests(start + 11s);
-            THEN("that one is asked for again")
+            const auto repeated = plan.next_requests(start + 11s);
+            THEN("that chunk is requested again")
             {
-                REQUIRE(count(again, kind::origin) == 1);
-                CHECK(again.front().chunk == 0);
+                REQUIRE(count(repeated, kind::origin) == 1);
+                CHECK(repeated.front().chunk == 0);
             }
         }
     }
-    GIVEN("a chunk that the origin gives slowly and a neighbour has")
+    GIVEN("a chunk that arrives slowly from the origin and that a peer holds")
     {
         planner plan(fixtures::manifest_of(fixtures::model_bytes(1)),
                      cj::instance_id("me"), limits, cj::swarm_policy(), start);
@@ -235,7 +237,7 @@
         REQUIRE(count(plan.next_requests(start), kind::origin) == 1);
         plan.set_participants(hall_of_three(), start);
         plan.add_peer_chunks(p, range(1), 0, start + 100ms);
-        THEN("the neighbour is asked after a second, and not before")
+        THEN("the peer is asked after a second, and not before")
         {
             CHECK(plan.next_requests(start + 900ms).empty());
             CHECK(count(plan.next_requests(start + 1100ms), kind::holder) == 1);
@@ -243,14 +245,14 @@
     }
 }
 
-SCENARIO("an origin that was away is not drawn on more often afterwards",
+SCENARIO("stand-ins stop when chunks arrive again after an outage",
          "[transfer]")
 {
     cj::planner_limits limits;
     limits.min_stall_time = 700ms;
-    auto plan = make(40, limits);
+    auto plan = make_planner(40, limits);
     auto now = start;
-    GIVEN("nothing came for long")
+    GIVEN("no chunk arrives for 40 s")
     {
         for (int step = 0; step < 2000; ++step)
         {
@@ -262,12 +264,12 @@
             }
         }
         REQUIRE(plan.stall_level() > 0);
-        WHEN("chunks come again")
+        WHEN("chunks arrive again")
         {
             const auto level = plan.stall_level();
-            for (cj::chunk_index at = 0; at < level; ++at)
-                plan.add_chunk(at, now += 30ms);
-            THEN("the stand-ins are called off")
+            for (cj::chunk_index index = 0; index < level; ++index)
+                plan.add_chunk(index, now += 30ms);
+            THEN("no stand-in is left")
             {
                 CHECK(plan.stall_level() == 0);
             }
@@ -275,7 +277,7 @@
     }
 }
 
-SCENARIO("after an outage of the origin each chunk is drawn once", "[transfer]")
+SCENARIO("after an outage the origin sends each chunk about once", "[transfer]")
 {
     cj::planner_limits limits;
     limits.min_stall_time = 700ms;
@@ -286,24 +288,24 @@
     const std::vector<cj::instance_id> peers{cj::instance_id("p"),
                                              cj::instance_id("q")};
 
-    // What this instance is the first source of.
-    std::set<cj::chunk_index> share;
-    auto calm = make(chunks, limits);
+    // The chunks that this instance fetches first from the origin.
+    std::set<cj::chunk_index> own_share;
+    auto undisturbed = make_planner(chunks, limits);
     for (int step = 0; step < 100; ++step)
     {
-        for (const auto& one : calm.next_requests(start))
+        for (const auto& one : undisturbed.next_requests(start))
         {
             if (one.source != kind::origin)
                 continue;
-            share.insert(one.chunk);
-            calm.add_chunk(one.chunk, start);
+            own_share.insert(one.chunk);
+            undisturbed.add_chunk(one.chunk, start);
         }
     }
-    REQUIRE(share.size() > 5);
+    REQUIRE(own_share.size() > 5);
 
-    GIVEN("an origin that was away for 6 s")
+    GIVEN("an origin that failed for 6 s")
     {
-        auto plan = make(chunks, limits);
+        auto plan = make_planner(chunks, limits);
         auto now = start;
         const auto alive = [&]
         {
@@ -320,60 +322,65 @@
                     plan.record_origin_failure(one.chunk, now);
             }
         }
-        WHEN("it is back and chunks come steadily")
+        WHEN("it recovers and chunks arrive steadily")
         {
-            std::size_t strange = 0;
+            std::size_t foreign_requests = 0;
             std::vector<cj::chunk_index> others;
-            for (cj::chunk_index at = 0; at < chunks; ++at)
+            for (cj::chunk_index index = 0; index < chunks; ++index)
             {
-                if (!share.contains(at))
-                    others.push_back(at);
+                if (!own_share.contains(index))
+                    others.push_back(index);
             }
-            for (const auto at : others)
+            for (const auto index : others)
             {
                 now += 50ms;
                 alive();
-                plan.add_peer_chunks(peers[at % 2], {at}, 0, now);
+                plan.add_peer_chunks(peers[index % 2], {index}, 0, now);
                 for (const auto& one : plan.next_requests(now))
                 {
                     if (one.source == kind::origin &&
-                        !share.contains(one.chunk))
-                        ++strange;
+                        !own_share.contains(one.chunk))
+                        ++foreign_requests;
                     plan.add_chunk(one.chunk, now);
                 }
             }
-            THEN("this instance fetches its own share and hardly any other")
+            THEN("this instance fetches its own share and hardly any other "
+                 "chunk")
             {
                 constexpr std::size_t probes = 2;
-                CHECK(strange <= probes);
+                CHECK(foreign_requests <= probes);
             }
         }
     }
 }
 
-TEST_CASE("a planner completes whatever order things happen in", "[transfer]")
+TEST_CASE("a planner completes after any sequence of failures", "[transfer]")
 {
     rc::prop(
-        "with refusals, bad chunks and losses",
-        [](const std::vector<std::uint8_t>& luck)
+        "with refusals, lost peers, failed calls and lost responses",
+        [](const std::vector<std::uint8_t>& random_bytes)
         {
             constexpr cj::chunk_index chunks = 24;
-            auto plan = make(chunks);
+            auto plan = make_planner(chunks);
             const std::vector<cj::instance_id> peers{cj::instance_id("p"),
                                                      cj::instance_id("q")};
             auto now = start;
-            std::size_t turn = 0;
-            const auto roll = [&]
-            { return luck.empty() ? 0 : luck[turn++ % luck.size()] % 8; };
+            std::size_t position = 0;
+            const auto next_event = [&]
+            {
+                return random_bytes.empty()
+                           ? 0
+                           : random_bytes[position++ % random_bytes.size()] % 8;
+            };
             for (int step = 0; step < 4000 && !plan.complete(); ++step)
             {
                 now += 50ms;
-                // Bad luck ends at some time.
-                const bool bad = step < 300;
+                // After 300 steps there are no more failures.
+                const bool faulty = step < 300;
                 plan.add_peer_chunks(peers[step % 2], range(chunks), 0, now);
                 for (const auto& one : plan.next_requests(now))
                 {
-                    switch (bad ? roll() : 0)
+                    switch (faulty ? next_event() : 0)
                     {
                     case 1:
                         plan.record_refusal(one.chunk, one.peer, true, 0, now);
@@ -385,7 +392,7 @@
                             plan.record_peer_loss(one.peer);
                         break;
                     case 3:
-                        break; // Lost without a word.
+                        break; // The response is lost.
                     default:
                         plan.add_chunk(one.chunk, now);
                     }
@@ -396,20 +403,20 @@
         });
 }
 
-SCENARIO("a chunk whose only holder has a narrow link comes another way",
+SCENARIO("a chunk whose only holder is slow is fetched another way",
          "[transfer]")
 {
     cj::planner_limits limits;
     limits.single_copy_delay = 1000ms;
     limits.first_copy_delay = 2300ms;
     const cj::instance_id p("p");
-    GIVEN("one holder that has everything and gives nothing")
+    GIVEN("one holder that has all chunks and sends none")
     {
-        auto plan = make(12, limits);
+        auto plan = make_planner(12, limits);
         auto now = start;
         plan.add_peer_chunks(p, range(12), 0, now);
         CHECK(count(plan.next_requests(now), kind::origin) == 0);
-        THEN("it is asked for a while, and then the origin by stand-ins")
+        THEN("stand-ins ask the origin after a second")
         {
             std::size_t origin = 0;
             for (; now < start + 900ms; now += 100ms)
@@ -425,7 +432,7 @@
             }
             CHECK(origin > 0);
         }
-        THEN("a second holder is enough: the chunk spreads")
+        THEN("with a second holder the origin is not asked")
         {
             plan.add_peer_chunks(cj::instance_id("q"), range(12), 0, now);
             std::size_t origin = 0;
@@ -440,67 +447,67 @@
     }
 }
 
-SCENARIO("a first source that stalls is not waited for again and again",
-         "[transfer]")
+SCENARIO("a stalled first source is replaced by another one", "[transfer]")
 {
-    // The only instance of its hall: it waits for owners in another region.
-    const cj::region_id here("x");
-    const cj::region_id there("y");
+    // The only instance of its hall: it requests chunks from first sources in
+    // another region.
+    const cj::region_id own_region("x");
+    const cj::region_id other_region("y");
     const std::vector<cj::participant> all{
-        {cj::instance_id("me"), cj::hall_id("a"), here},
-        {cj::instance_id("p"), cj::hall_id("b"), there},
-        {cj::instance_id("q"), cj::hall_id("b"), there}};
+        {cj::instance_id("me"), cj::hall_id("a"), own_region},
+        {cj::instance_id("p"), cj::hall_id("b"), other_region},
+        {cj::instance_id("q"), cj::hall_id("b"), other_region}};
     cj::planner_limits limits;
     limits.min_stall_time = 700ms;
     planner plan(fixtures::manifest_of(fixtures::model_bytes(60)),
                  cj::instance_id("me"), limits, cj::swarm_policy(), start);
     plan.set_participants(all, start);
-    std::map<cj::chunk_index, cj::instance_id> first;
-    std::size_t elsewhere = 0;
+    std::map<cj::chunk_index, cj::instance_id> first_sources;
+    std::size_t second_sources = 0;
     for (auto now = start; now < start + 3s; now += 100ms)
     {
         plan.record_alive(cj::instance_id("p"), now);
         plan.record_alive(cj::instance_id("q"), now);
         for (const auto& one : plan.next_requests(now))
         {
-            const auto seen = first.emplace(one.chunk, one.peer);
-            if (!seen.second && seen.first->second != one.peer)
-                ++elsewhere;
+            const auto inserted = first_sources.emplace(one.chunk, one.peer);
+            if (!inserted.second && inserted.first->second != one.peer)
+                ++second_sources;
         }
     }
-    CHECK(elsewhere > 0);
+    CHECK(second_sources > 0);
 }
 
-SCENARIO("a narrow link is not filled with chunks", "[transfer]")
+SCENARIO("few chunks are requested over a narrow link", "[transfer]")
 {
     cj::planner_limits limits;
     limits.slow_chunk_time = 800ms;
     const cj::instance_id p("p");
-    const auto play = [&](cj::milliseconds each)
+    const auto last_request_count = [&](cj::milliseconds chunk_time)
     {
-        auto plan = make(60, limits);
+        auto plan = make_planner(60, limits);
         auto now = start;
         std::size_t last = 0;
         for (int round = 0; round < 8; ++round)
         {
             plan.add_peer_chunks(p, range(60), 0, now);
-            const auto asked = plan.next_requests(now);
-            last = count(asked, kind::holder);
-            now += each;
-            for (const auto& one : asked)
+            const auto requests = plan.next_requests(now);
+            last = count(requests, kind::holder);
+            now += chunk_time;
+            for (const auto& one : requests)
                 plan.add_chunk(one.chunk, now);
         }
         return last;
     };
-    THEN("chunks that take long are asked one at a time")
+    THEN("slow chunks are requested one at a time")
     {
-        CHECK(play(1200ms) == 1);
+        CHECK(last_request_count(1200ms) == 1);
     }
-    THEN("others as many at once as ever")
+    THEN("fast chunks are requested up to the limit")
     {
-        CHECK(play(150ms) == 4);
+        CHECK(last_request_count(150ms) == 4);
     }
-    THEN("a version that comes after another one knows the link")
+    THEN("the next version starts with the limit found for the link")
     {
         const auto link = std::make_shared<cj::call_window>(
             limits.max_holder_requests, limits.slow_chunk_time);
@@ -511,9 +518,9 @@
                      link);
         next.set_participants(hall_of_three(), start);
         next.add_peer_chunks(p, range(30), 0, start);
-        const auto asked = next.next_requests(start);
-        CHECK(count(asked, kind::holder) == 1);
-        CHECK(count(asked, kind::origin) <= 1);
-        CHECK(count(asked, kind::future_holder) <= 1);
+        const auto requests = next.next_requests(start);
+        CHECK(count(requests, kind::holder) == 1);
+        CHECK(count(requests, kind::origin) <= 1);
+        CHECK(count(requests, kind::future_holder) <= 1);
     }
 }
--- a/tests/transfer/upload_priority.cpp
+++ b/tests/transfer/upload_priority.cpp
@@ -10,14 +10,14 @@
 using namespace coursejunction;
 using namespace std::chrono_literals;
 
-TEST_CASE("who closes first gets the weights first")
+TEST_CASE("the sidecars that close first get chunks first")
 {
     const std::string version = "tutor2";
     std::vector<hall_peer> hall;
-    for (int at = 0; at < 24; ++at)
+    for (int index = 0; index < 24; ++index)
         hall.push_back(
-            {instance_id("side-" + std::to_string(at)), false, true});
-    std::size_t first = 0;
+            {instance_id("side-" + std::to_string(index)), false, true});
+    std::size_t early_count = 0;
     for (const auto& one : hall)
     {
         auto others = hall;
@@ -25,11 +25,11 @@
                       { return other.id == one.id; });
         const bool closes =
             may_close(close_limits{}, one.id, others, version, 1s);
-        const auto order = upload_priority_of(version, one.id.value());
+        const auto priority = upload_priority_of(version, one.id.value());
         if (closes)
-            REQUIRE(order == upload_priority::early);
-        first += order == upload_priority::early ? 1 : 0;
+            REQUIRE(priority == upload_priority::early);
+        early_count += priority == upload_priority::early ? 1 : 0;
     }
-    REQUIRE(first > 6);
-    REQUIRE(first < 18);
+    REQUIRE(early_count > 6);
+    REQUIRE(early_count < 18);
 }
--- a/tests/transfer/upload_queue.cpp
+++ b/tests/transfer/upload_queue.cpp
@@ -4,7 +4,7 @@
 
 namespace cj = coursejunction;
 
-SCENARIO("an uplink sends what matters first", "[transfer]")
+SCENARIO("uploads for waiting halls precede plain requests", "[transfer]")
 {
     const cj::instance_id p("p");
     const cj::instance_id q("q");
@@ -25,13 +25,13 @@
             CHECK(queue.take_next() == cj::upload_queue::upload{q, one, 9});
             CHECK(queue.take_next() == cj::upload_queue::upload{p, one, 1});
         }
-        THEN("nobody waits for a version that is given up")
+        THEN("waiters of a dropped version are removed")
         {
             queue.add_waiter({q, one, 9});
             queue.drop_waiters(one);
             CHECK_FALSE(queue.serve_waiters(one, 9));
         }
-        THEN("a peer that is gone is forgotten")
+        THEN("uploads to a lost peer are removed")
         {
             queue.remove_peer(p);
             CHECK(queue.empty());
