--- a/src/coursejunction/transfer/call_window.hpp
+++ b/src/coursejunction/transfer/call_window.hpp
@@ -12,8 +12,8 @@
 namespace coursejunction
 {
 
-/*! @brief Halves the limit when a chunk takes long, and raises it by one when a
- * chunk arrives soon.
+/*! @brief Limits concurrent chunk downloads: halves the limit when a chunk
+ * takes long, and raises it by one when a chunk arrives soon.
  *
  * Chunks that are being downloaded queue in front of the link of the instance
  * together with live requests. On a link with a tenth of its usual rate, the
--- a/src/coursejunction/transfer/chunk_transfer.hpp
+++ b/src/coursejunction/transfer/chunk_transfer.hpp
@@ -151,21 +151,23 @@
      * peers. */
     [[nodiscard]] message::chunk_possession held_chunks() const
     {
-        message::chunk_possession made;
-        made.model = target.model;
-        made.version = target.version;
-        made.queue = static_cast<std::uint32_t>(view.uploads->size());
+        message::chunk_possession possession;
+        possession.model = target.model;
+        possession.version = target.version;
+        possession.queue = static_cast<std::uint32_t>(view.uploads->size());
         if (!store)
-            return made;
+            return possession;
         constexpr std::size_t bits = 64;
-        made.held.assign((store->get_manifest().size() + bits - 1) / bits, 0);
+        possession.held.assign((store->get_manifest().size() + bits - 1) / bits,
+                               0);
         for (const auto chunk : store->held_chunks())
-            made.held[chunk / bits] |= std::uint64_t{1} << (chunk % bits);
-        return made;
+            possession.held[chunk / bits] |= std::uint64_t{1} << (chunk % bits);
+        return possession;
     }
 
-    /*! @brief Returns whether a peer reports to hold this version
-     * completely. */
+    /*! @brief Returns whether the report of a peer lists every chunk of this
+     * version.
+     * @param reported Chunks that the peer holds, per version. */
     [[nodiscard]] bool
     any_complete(const std::vector<message::chunk_possession>& reported) const
     {
--- a/src/coursejunction/transfer/manifest_fetch.hpp
+++ b/src/coursejunction/transfer/manifest_fetch.hpp
@@ -91,10 +91,8 @@
         const auto max_calls = first_round ? options.max_tree_calls : 1;
         if (!last_rejected && calls_this_round < max_calls && !sources.empty())
         {
-            const auto source_step =
-                calls_this_round / options.calls_per_source;
-            const auto& peer =
-                sources[std::min(source_step, sources.size() - 1)];
+            const auto ancestor = calls_this_round / options.calls_per_source;
+            const auto& peer = sources[std::min(ancestor, sources.size() - 1)];
             ++calls_this_round;
             return ask_sidecar(peer,
                                [this](const std::string&) {
--- a/src/coursejunction/transfer/origin_schedule.hpp
+++ b/src/coursejunction/transfer/origin_schedule.hpp
@@ -25,7 +25,7 @@
     /*! @param call_interval Mean time between two calls of all sidecars
      * together.
      * @param min_interval Minimum mean time between two calls of one sidecar.
-     * @param seed Must differ between sidecars. */
+     * @param seed Seed of the random delays; differs between sidecars. */
     origin_schedule(milliseconds call_interval, milliseconds min_interval,
                     std::uint32_t seed)
         : mean_interval(call_interval), min_own_interval(min_interval),
--- a/src/coursejunction/transfer/paced_uploads.hpp
+++ b/src/coursejunction/transfer/paced_uploads.hpp
@@ -26,8 +26,8 @@
      * then delays a live response by 35 ms at 7.6 Mbit/s. */
     static constexpr double link_fraction = 0.95;
 
-    /*! @brief Maximum number of queued uploads that are not urgent; the last of
-     * them waits 0.5 s. */
+    /*! @brief An upload that is not urgent is rejected while this many are
+     * queued; the last of them waits 0.5 s. */
     static constexpr std::size_t max_waiting = 12;
 
     paced_uploads(event_loop& events, byte_rate rate) : loop(events), link(rate)
@@ -74,7 +74,7 @@
         queue.pop_front();
         one.send();
         const auto now = event_loop::now();
-        // A timer that fires late must not lower the rate.
+        // A timer that fires slightly late must not lower the rate.
         const auto due =
             now - link_free_at <= max_timer_delay ? link_free_at : now;
         link_free_at = link.reserve(static_cast<double>(one.bytes), due);
--- a/src/coursejunction/transfer/source_policy.hpp
+++ b/src/coursejunction/transfer/source_policy.hpp
@@ -55,7 +55,8 @@
 /*! @brief Chooses the first source of each chunk, the same in every process
  * that sees the same participants. Ranks that are not alive are skipped;
  * `level` is the number of further ranks that may stand in when live sources
- * deliver nothing. */
+ * deliver nothing. With `uses_possession`, chunks are also requested from any
+ * peer in the hall that is known to hold them. */
 template <typename Policy>
 concept Source_policy = requires(Policy policy, const manifest& content,
                                  const std::vector<participant>& all,
--- a/src/coursejunction/transfer/transfer_governor.hpp
+++ b/src/coursejunction/transfer/transfer_governor.hpp
@@ -21,11 +21,14 @@
 class transfer_governor
 {
 public:
+    /*! @brief First tokens are slow if their median exceeds the baseline by
+     * this factor and by `min_slowdown_s` seconds. */
     static constexpr double slow_ratio = 1.5;
     static constexpr double min_slowdown_s = 0.02;
     static constexpr double decrease = 0.8;
     static constexpr double increase = 0.05;
     static constexpr double min_fraction = 0.5;
+    /*! @brief First tokens whose median decides on one step. */
     static constexpr std::size_t samples_per_step = 16;
 
     /*! @brief Records the time to a first token.
--- a/src/coursejunction/transfer/transfer_planner.hpp
+++ b/src/coursejunction/transfer/transfer_planner.hpp
@@ -42,8 +42,9 @@
     /*! @brief A chunk that takes this long from a peer indicates a narrow link
      * of this instance: fewer are requested at once; zero disables this. */
     milliseconds slow_chunk_time{0};
-    /*! @brief Calls to the origin fail on their own when no more data arrives:
-     * while one is open, its chunk is not requested from the origin again. */
+    /*! @brief Calls to the origin fail on their own when no more data arrives.
+     * A stall then does not repeat a call that is open, and a slow chunk is
+     * requested from a holder besides. */
     bool origin_calls_time_out{false};
     std::uint32_t seed{1};
 };
