--- a/src/coursejunction/daemon/chunk_uploader.cpp
+++ b/src/coursejunction/daemon/chunk_uploader.cpp
@@ -32,13 +32,13 @@
 
 void chunk_uploader::enqueue_first(upload next)
 {
-    queue.urge(std::move(next));
+    queue.enqueue_first(std::move(next));
     send_due();
 }
 
 void chunk_uploader::serve_waiters(const digest& manifest, chunk_index chunk)
 {
-    if (queue.release(manifest, chunk))
+    if (queue.serve_waiters(manifest, chunk))
         send_due();
 }
 
@@ -46,7 +46,7 @@
 {
     while (uplink.backlog(node::now()) <= internal::max_backlog)
     {
-        const auto next = queue.next();
+        const auto next = queue.take_next();
         if (!next)
             return;
         send(*next);
--- a/src/coursejunction/daemon/chunk_uploader.hpp
+++ b/src/coursejunction/daemon/chunk_uploader.hpp
@@ -46,17 +46,17 @@
     void enqueue_first(upload next);
 
     /*! @brief Records that a peer waits for a chunk that is not held yet. */
-    void add_waiter(upload wanted) { queue.wait(std::move(wanted)); }
+    void add_waiter(upload wanted) { queue.add_waiter(std::move(wanted)); }
 
     /*! @brief Queues a chunk that has arrived for the peers that wait for it,
      * ahead of those queued by `offer`. */
     void serve_waiters(const digest& manifest, chunk_index chunk);
 
     /*! @brief Forgets the peers that wait for chunks of a version. */
-    void drop_waiters(const digest& manifest) { queue.give_up(manifest); }
+    void drop_waiters(const digest& manifest) { queue.drop_waiters(manifest); }
 
     /*! @brief Drops the queued uploads to a peer that is gone. */
-    void remove_peer(const instance_id& peer) { queue.drop(peer); }
+    void remove_peer(const instance_id& peer) { queue.remove_peer(peer); }
 
     /*! @brief Sets the fraction of the uplink's rate that uploads may use. */
     void set_link_fraction(double fraction) { uplink.limit_to(fraction); }
--- a/src/coursejunction/daemon/internal/engine_stager.hpp
+++ b/src/coursejunction/daemon/internal/engine_stager.hpp
@@ -12,7 +12,7 @@
 #include <utility>
 
 #include "coursejunction/core/digest.hpp"
-#include "coursejunction/transfer/staging.hpp"
+#include "coursejunction/transfer/chunk_store.hpp"
 
 namespace coursejunction::internal
 {
@@ -37,7 +37,7 @@
     }
 
     /*! @brief Starts staging a version; the chunks already held are queued. */
-    void start(const digest& of, std::shared_ptr<const staging> held)
+    void start(const digest& of, std::shared_ptr<const chunk_store> held)
     {
         version = of;
         chunks = std::move(held);
@@ -49,7 +49,7 @@
     void restart()
     {
         reset();
-        const auto all = chunks->held();
+        const auto all = chunks->held_chunks();
         queued = {all.begin(), all.end()};
     }
 
@@ -102,7 +102,7 @@
         if (in_progress > 0)
             return;
         ++in_progress;
-        engine.stage_manifest(version, chunks->of().text(),
+        engine.stage_manifest(version, chunks->get_manifest().text(),
                               [this, call_generation = generation](bool ok)
                               {
                                   if (call_generation != generation)
@@ -122,7 +122,8 @@
         if (!ok)
             return queued.push_back(chunk); // The next `advance` retries.
         ++staged_chunk_count;
-        if (staged_chunk_count == chunks->of().size() && !staged_reported)
+        if (staged_chunk_count == chunks->get_manifest().size() &&
+            !staged_reported)
         {
             staged_reported = true;
             return on_staged(version);
@@ -133,7 +134,7 @@
     Engine& engine;
     staged_callback on_staged;
     digest version;
-    std::shared_ptr<const staging> chunks;
+    std::shared_ptr<const chunk_store> chunks;
     std::deque<chunk_index> queued;
     std::size_t in_progress{0};
     std::size_t staged_chunk_count{0};
--- a/src/coursejunction/daemon/internal/have_announcer.cpp
+++ b/src/coursejunction/daemon/internal/have_announcer.cpp
@@ -31,22 +31,22 @@
     neighbours = std::move(chosen);
 }
 
-void have_announcer::send_all_held(const staging& chunks) const
+void have_announcer::send_all_held(const chunk_store& chunks) const
 {
     for (const auto& id : neighbours)
-        send(id, chunks.held());
+        send(id, chunks.held_chunks());
 }
 
 void have_announcer::add_listener(const instance_id& peer, bool same_hall,
-                                  const staging& chunks)
+                                  const chunk_store& chunks)
 {
     if (listeners.contains(peer) || listeners.size() >= max_listeners)
         return;
     listeners[peer] = same_hall;
-    send(peer, chunks.held());
+    send(peer, chunks.held_chunks());
 }
 
-void have_announcer::announce(const staging& chunks, time_point now)
+void have_announcer::announce(const chunk_store& chunks, time_point now)
 {
     if (now - all_announced_at >= announce_interval)
         return announce_to_all(chunks, now);
@@ -67,7 +67,7 @@
     unannounced.clear();
 }
 
-void have_announcer::announce_to_all(const staging& chunks, time_point now)
+void have_announcer::announce_to_all(const chunk_store& chunks, time_point now)
 {
     all_announced_at = hall_announced_at = now;
     if (chunks.complete() && now - last_request_at > idle_timeout)
@@ -82,7 +82,7 @@
     for (const auto& id : neighbours)
     {
         if (!listeners.contains(id))
-            send(id, chunks.held());
+            send(id, chunks.held_chunks());
     }
 }
 
--- a/src/coursejunction/daemon/internal/have_announcer.hpp
+++ b/src/coursejunction/daemon/internal/have_announcer.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "coursejunction/core/types.hpp"
-#include "coursejunction/transfer/staging.hpp"
+#include "coursejunction/transfer/chunk_store.hpp"
 
 namespace coursejunction::internal
 {
@@ -33,13 +33,13 @@
     void set_neighbours(std::set<instance_id> chosen);
 
     /*! @brief Sends the neighbours every held chunk; they reply with theirs. */
-    void send_all_held(const staging& chunks) const;
+    void send_all_held(const chunk_store& chunks) const;
 
     /*! @brief Adds a peer that wants announcements; a new one gets every held
      * chunk.
      * @param same_hall Whether the peer is in the own hall. */
     void add_listener(const instance_id& peer, bool same_hall,
-                      const staging& chunks);
+                      const chunk_store& chunks);
 
     /*! @brief Records that a peer requested a chunk. */
     void record_request(time_point now) { last_request_at = now; }
@@ -50,7 +50,7 @@
     /*! @brief Announces new chunks to the listeners of the own hall in small
      * batches, and less often to those of other halls, which need it only to
      * see that this instance is alive. */
-    void announce(const staging& chunks, time_point now);
+    void announce(const chunk_store& chunks, time_point now);
 
     /*! @brief Removes a listener whose connection is lost. */
     void peer_lost(const instance_id& peer) { listeners.erase(peer); }
@@ -64,7 +64,7 @@
 
 private:
     void announce_to_hall();
-    void announce_to_all(const staging& chunks, time_point now);
+    void announce_to_all(const chunk_store& chunks, time_point now);
     void keep_for_other_halls();
 
     send_callback send;
--- a/src/coursejunction/daemon/internal/held_versions.cpp
+++ b/src/coursejunction/daemon/internal/held_versions.cpp
@@ -8,7 +8,7 @@
     for (const auto& [id, other] : versions)
     {
         if (id != version)
-            chunks->adopt(*other);
+            chunks->copy_common_from(*other);
     }
     versions[version] = chunks;
 }
@@ -25,8 +25,8 @@
     return found == versions.end() ? nullptr : found->second;
 }
 
-staging::value_type held_versions::find(const digest& version,
-                                        chunk_index chunk) const
+chunk_store::value_type held_versions::find(const digest& version,
+                                            chunk_index chunk) const
 {
     const auto found = find(version);
     return found ? found->find(chunk) : nullptr;
--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -93,29 +93,30 @@
     assign_participants();
 }
 
-void version_fetch::start_transfer(std::shared_ptr<staging> chunks)
+void version_fetch::start_transfer(std::shared_ptr<chunk_store> chunks)
 {
     auto& current = *target;
     current.chunks = std::move(chunks);
-    current.planner.emplace(make_planner(current.chunks->of(), settings(),
-                                         current.objective, now()));
+    current.planner.emplace(make_planner(current.chunks->get_manifest(),
+                                         settings(), current.objective, now()));
     held.add(current.version, current.chunks);
     release_unused();
     assign_participants();
-    for (const auto chunk : current.chunks->held())
-        with_planner([&](auto& planner) { planner.held(chunk, now()); });
+    for (const auto chunk : current.chunks->held_chunks())
+        with_planner([&](auto& planner) { planner.add_chunk(chunk, now()); });
     stager.start(current.version, current.chunks);
     announcer.send_all_held(*current.chunks);
-    log::state("transfer_started",
-               {{"version", current.version.hex()},
-                {"chunks", std::to_string(current.chunks->of().size())},
-                {"held", std::to_string(current.chunks->size())}});
+    log::state(
+        "transfer_started",
+        {{"version", current.version.hex()},
+         {"chunks", std::to_string(current.chunks->get_manifest().size())},
+         {"held", std::to_string(current.chunks->size())}});
 }
 
 void version_fetch::assign_participants()
 {
     with_planner([&](auto& planner)
-                 { planner.participants(participants, now()); });
+                 { planner.set_participants(participants, now()); });
     if (!target || !target->planner)
         return;
     choose_neighbours();
@@ -196,16 +197,17 @@
         return;
     }
     target->reason.clear();
-    start_transfer(std::make_shared<staging>(std::move(parsed.value())));
+    start_transfer(std::make_shared<chunk_store>(std::move(parsed.value())));
 }
 
 void version_fetch::request_chunks()
 {
     std::vector<transfer_request> requests;
-    with_planner([&](auto& planner) { requests = planner.next(now()); });
+    with_planner([&](auto& planner)
+                 { requests = planner.next_requests(now()); });
     for (const auto& wanted : requests)
     {
-        if (wanted.how == transfer_request::kind::origin)
+        if (wanted.source == transfer_request::source_kind::origin)
             request_from_origin(wanted.chunk);
         else
             request_from_peer(wanted);
@@ -217,16 +219,19 @@
     message::chunk_request request;
     request.manifest = target->version;
     request.chunk = wanted.chunk;
-    request.wait = wanted.how == transfer_request::kind::waiting;
+    request.wait =
+        wanted.source == transfer_request::source_kind::future_holder;
     if (!host.send(wanted.peer, request))
         with_planner(
-            [&](auto& planner)
-            { planner.refused(wanted.chunk, wanted.peer, true, 0, now()); });
+            [&](auto& planner) {
+                planner.record_refusal(wanted.chunk, wanted.peer, true, 0,
+                                       now());
+            });
 }
 
 void version_fetch::request_from_origin(chunk_index chunk)
 {
-    origin.fetch_chunk(target->chunks->of(), chunk,
+    origin.fetch_chunk(target->chunks->get_manifest(), chunk,
                        [this, chunk](weight_source from, http_result response)
                        {
                            (from == weight_source::store
@@ -244,7 +249,8 @@
 {
     target->reason =
         "the origin did not return a chunk: " + failure_text(response);
-    with_planner([&](auto& planner) { planner.origin_failed(chunk, now()); });
+    with_planner([&](auto& planner)
+                 { planner.record_origin_failure(chunk, now()); });
 }
 
 void version_fetch::handle_have(const instance_id& from,
@@ -254,8 +260,10 @@
         have.value().manifest != target->version)
         return;
     with_planner(
-        [&](auto& planner) {
-            planner.holds(from, have.value().chunks, have.value().queue, now());
+        [&](auto& planner)
+        {
+            planner.add_peer_chunks(from, have.value().chunks,
+                                    have.value().queue, now());
         });
     add_listener(from);
 }
@@ -288,16 +296,17 @@
         with_planner(
             [&](auto& planner)
             {
-                planner.heard(from, now());
-                planner.refused(response.chunk, from,
-                                response.status != message::chunk_status::busy,
-                                response.queue, now());
+                planner.record_alive(from, now());
+                planner.record_refusal(response.chunk, from,
+                                       response.status !=
+                                           message::chunk_status::busy,
+                                       response.queue, now());
             });
         return;
     }
     count_peer_bytes(from, bytes.size());
     with_planner([&](auto& planner)
-                 { planner.holds(from, {}, response.queue, now()); });
+                 { planner.add_peer_chunks(from, {}, response.queue, now()); });
     downlink.enqueue(response.chunk, std::move(bytes), from);
 }
 
@@ -316,19 +325,20 @@
 {
     auto& current = *target;
     const auto added = current.chunks->add(chunk, std::move(bytes));
-    if (added == staging::addition::corrupt)
+    if (added == chunk_store::add_result::corrupt)
     {
         ++counts.corrupt_chunks;
         host.counters().count("chunks_corrupt_total");
-        with_planner([&](auto& planner) { planner.corrupt(chunk, from); });
+        with_planner([&](auto& planner)
+                     { planner.record_corrupt(chunk, from); });
         return request_chunks();
     }
-    if (added == staging::addition::already_held)
+    if (added == chunk_store::add_result::already_held)
     {
         ++counts.duplicate_chunks;
         return;
     }
-    with_planner([&](auto& planner) { planner.held(chunk, now()); });
+    with_planner([&](auto& planner) { planner.add_chunk(chunk, now()); });
     announcer.add_chunk(chunk);
     stager.enqueue(chunk);
     uploads.serve_waiters(current.version, chunk);
@@ -358,7 +368,7 @@
 void version_fetch::peer_lost(const instance_id& peer)
 {
     announcer.peer_lost(peer);
-    with_planner([&](auto& planner) { planner.gone(peer); });
+    with_planner([&](auto& planner) { planner.record_peer_loss(peer); });
 }
 
 void version_fetch::tick()
@@ -385,8 +395,8 @@
     progress.reason = target->reason;
     if (target->chunks)
     {
-        progress.bytes_done = target->chunks->bytes();
-        progress.bytes_total = target->chunks->of().total_bytes();
+        progress.bytes_done = target->chunks->memory_bytes();
+        progress.bytes_total = target->chunks->get_manifest().total_bytes();
     }
     return progress;
 }
@@ -403,8 +413,8 @@
     std::visit(
         [&](const auto& planner)
         {
-            state["level"] = planner.level();
-            state["pending"] = planner.pending();
+            state["level"] = planner.stall_level();
+            state["pending"] = planner.open_holder_requests();
         },
         *target->planner);
     return state;
--- a/src/coursejunction/daemon/internal/version_fetch.hpp
+++ b/src/coursejunction/daemon/internal/version_fetch.hpp
@@ -34,7 +34,8 @@
 {
     digest version;
     weighting objective{weighting::time};
-    std::shared_ptr<staging> chunks; /*!< Null until the manifest arrives. */
+    std::shared_ptr<chunk_store>
+        chunks; /*!< Null until the manifest arrives. */
     std::optional<any_planner> planner;
     unsigned manifest_attempts{0};
     time_point next_manifest_request{};
@@ -133,7 +134,7 @@
             std::visit(call, *target->planner);
     }
 
-    void start_transfer(std::shared_ptr<staging> chunks);
+    void start_transfer(std::shared_ptr<chunk_store> chunks);
     void assign_participants();
     void choose_neighbours();
     void send_have(const instance_id& to, std::vector<chunk_index> chunks);
--- a/src/coursejunction/daemon/internal/weight_source_client.cpp
+++ b/src/coursejunction/daemon/internal/weight_source_client.cpp
@@ -97,7 +97,7 @@
                                          const http_result& response)
 {
     if (!response.ok())
-        sources.failed(from);
+        sources.record_failure(from);
 }
 
 std::string failure_text(const http_result& response)
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -100,7 +100,7 @@
         reply.manifest = request.value().manifest;
         const auto found = held.find(reply.manifest);
         host.send(from, reply,
-                  found ? std::string_view(found->of().text())
+                  found ? std::string_view(found->get_manifest().text())
                         : std::string_view{});
     }
 
@@ -108,7 +108,7 @@
     {
         if (!fetch.has_target())
             return;
-        uploader.set_link_fraction(governor.portion());
+        uploader.set_link_fraction(governor.link_fraction());
         fetch.tick();
     }
 
@@ -175,7 +175,7 @@
     const bool transferring =
         self->fetch.has_manifest() &&
         (!self->fetch.complete() || !self->uploader.empty());
-    self->governor.first_token(took, transferring);
+    self->governor.record_first_token(took, transferring);
 }
 
 bool transfer_service::idle() const
@@ -200,7 +200,7 @@
     nlohmann::json held = nlohmann::json::array();
     for (const auto& [version, chunks] : self->held.all())
         held.push_back({{"version", version.hex()},
-                        {"bytes", chunks->bytes()},
+                        {"bytes", chunks->memory_bytes()},
                         {"complete", chunks->complete()}});
     return nlohmann::json{{"held", std::move(held)},
                           {"wanted", self->fetch.dump()},
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -229,7 +229,7 @@
     [[nodiscard]] bool loads_too_late(const transfer_type& transfer,
                                       std::uint64_t newest) const
     {
-        const auto remaining = transfer.need();
+        const auto remaining = transfer.remaining();
         if (!remaining)
             return false;
         const auto retired_at =
@@ -255,8 +255,8 @@
         {
             if (version <= served)
                 continue;
-            transfer->fetch();
-            if (!transfer->complete() && !transfer->stands_still(now))
+            transfer->allow_fetching();
+            if (!transfer->complete() && !transfer->is_stalled(now))
                 return;
         }
     }
@@ -272,7 +272,7 @@
         std::vector<candidate_version> candidates;
         for (const auto& [version, transfer] : transfers)
             candidates.push_back(
-                {version, transfer->complete(), transfer->stands_still(now)});
+                {version, transfer->complete(), transfer->is_stalled(now)});
         const auto chosen =
             select_next_version(candidates, served, staged_version);
         if (chosen == staged_version)
@@ -284,7 +284,7 @@
             transfers, [&](const auto& item)
             { return item.first < chosen || item.first == staged_version; });
         staged_version = chosen;
-        transfers.at(chosen)->stage();
+        transfers.at(chosen)->allow_staging();
         return chosen;
     }
 
@@ -303,10 +303,10 @@
         transfer->start();
     }
 
-    [[nodiscard]] typename transfer_type::surroundings surroundings()
+    [[nodiscard]] typename transfer_type::context surroundings()
     {
-        typename transfer_type::surroundings made;
-        made.origin = [this]
+        typename transfer_type::context made;
+        made.origin_address = [this]
         {
             const auto* config = fleet.configuration();
             const auto* service =
@@ -321,10 +321,10 @@
             return service != nullptr ? service->origin_rate : byte_rate{0};
         };
         made.participants = [this] { return participants(); };
-        made.peer_port = [this](const instance_id& id)
+        made.peer_endpoint = [this](const instance_id& id)
         { return node.peer_endpoint(id.value()); };
         made.uploads = &uploads;
-        made.window = peer_call_window;
+        made.download_window = peer_call_window;
         return made;
     }
 
@@ -485,11 +485,11 @@
     {
         const auto now = event_loop::now();
         const auto& transfer = transfers.at(version);
-        if (!verifying.expired() || !transfer->staged() ||
+        if (!verifying.expired() || !transfer->is_staged() ||
             !may_close_now(*transfer, now))
             return;
         verifying = transfer;
-        transfer->verify(
+        transfer->verify_staged(
             [this, version](bool intact)
             {
                 verifying.reset();
@@ -516,7 +516,7 @@
             others.push_back(
                 {instance_id(address), !peer.last_heartbeat.upstream.open,
                  peer.last_heartbeat.upstream.version < wanted.version &&
-                     transfer.whole_at(peer.last_heartbeat.chunks)});
+                     transfer.any_complete(peer.last_heartbeat.chunks)});
         }
         const auto since_published =
             now - fleet.published_at(wanted.model, wanted.version);
@@ -636,7 +636,7 @@
             if (detail == chunk_detail::all ||
                 (detail == chunk_detail::in_transfer &&
                  (version > served || recently_published(version))))
-                into.chunks.push_back(transfer->possession());
+                into.chunks.push_back(transfer->held_chunks());
         }
     }
 
@@ -655,12 +655,12 @@
             return;
         }
         for (const auto& [version, transfer] : transfers)
-            transfer->peer_lives(instance_id(from));
+            transfer->record_peer_alive(instance_id(from));
         for (const auto& possession : heartbeat.chunks)
         {
             const auto found = transfers.find(possession.version);
             if (found != transfers.end())
-                found->second->peer_holds(instance_id(from), possession);
+                found->second->add_peer_chunks(instance_id(from), possession);
         }
     }
 
@@ -705,10 +705,11 @@
             const auto text = transfer->manifest_lines();
             return reply.send(text.empty() ? 404 : 200, {}, text);
         }
-        transfer->give(static_cast<chunk_index>(parse_number(
-                           query_parameter(request.target, "index"))),
-                       !query_parameter(request.target, "wait").empty(),
-                       query_parameter(request.target, "by"), std::move(reply));
+        transfer->serve_chunk(static_cast<chunk_index>(parse_number(
+                                  query_parameter(request.target, "index"))),
+                              !query_parameter(request.target, "wait").empty(),
+                              query_parameter(request.target, "by"),
+                              std::move(reply));
     }
 
     event_loop& loop;
@@ -724,7 +725,7 @@
     /*! @brief Limits the chunks that all transfers together request from peers
      * at once. */
     std::shared_ptr<call_window> peer_call_window{std::make_shared<call_window>(
-        transfer_options.holder_calls, transfer_options.slow_chunk)};
+        transfer_options.max_holder_calls, transfer_options.slow_chunk_time)};
     std::map<std::uint64_t, std::shared_ptr<transfer_type>> transfers;
     std::optional<engine_report> last_report;
     std::uint64_t status_sequence{0};
--- a/tests/daemon/internal/engine_stager.cpp
+++ b/tests/daemon/internal/engine_stager.cpp
@@ -41,7 +41,7 @@
 {
     const auto bytes = fixtures::model_bytes(6);
     const auto chunks =
-        std::make_shared<cj::staging>(fixtures::manifest_of(bytes));
+        std::make_shared<cj::chunk_store>(fixtures::manifest_of(bytes));
     for (cj::chunk_index at = 0; at < 6; ++at)
         chunks->add(at, bytes.substr(at * fixtures::chunk_bytes,
                                      fixtures::chunk_bytes));
@@ -49,7 +49,7 @@
     int completed = 0;
     ci::engine_stager<recording_engine> stager(engine, [&](const cj::digest&)
                                                { ++completed; });
-    stager.start(chunks->of().id(), chunks);
+    stager.start(chunks->get_manifest().id(), chunks);
     stager.advance();
     stager.advance();
     REQUIRE(engine.manifest_callbacks.size() == 1);
--- a/tests/daemon/internal/have_announcer.cpp
+++ b/tests/daemon/internal/have_announcer.cpp
@@ -19,7 +19,7 @@
         [&](const cj::instance_id& to, chunk_list chunks)
         { sent.emplace_back(to, std::move(chunks)); });
     const auto bytes = fixtures::model_bytes(3);
-    cj::staging chunks(fixtures::manifest_of(bytes));
+    cj::chunk_store chunks(fixtures::manifest_of(bytes));
     const auto add = [&](cj::chunk_index chunk)
     {
         chunks.add(chunk, bytes.substr(chunk * fixtures::chunk_bytes,
--- a/tests/transfer/call_window.cpp
+++ b/tests/transfer/call_window.cpp
@@ -5,10 +5,10 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("chunks on their way to a narrow link are few", "[transfer]")
+SCENARIO("a narrow link limits concurrent chunk downloads", "[transfer]")
 {
     cj::call_window window(4, 800ms);
-    THEN("a whole link takes as many as usual of every kind")
+    THEN("a link with its full rate leaves every limit unchanged")
     {
         CHECK(window.limit(4) == 4);
         CHECK(window.limit(8) == 8);
@@ -16,29 +16,29 @@
     }
     GIVEN("chunks that take long")
     {
-        window.took(900ms);
+        window.record_duration(900ms);
         CHECK(window.limit(8) == 2);
-        window.took(2s);
-        window.took(2s);
+        window.record_duration(2s);
+        window.record_duration(2s);
         CHECK(window.limit(8) == 1);
-        THEN("those that take neither long nor little change nothing")
+        THEN("a chunk of medium duration changes nothing")
         {
-            window.took(600ms);
+            window.record_duration(600ms);
             CHECK(window.limit(8) == 1);
         }
-        THEN("it opens step by step when they come soon")
+        THEN("the limit rises by one for each fast chunk")
         {
-            window.took(100ms);
+            window.record_duration(100ms);
             CHECK(window.limit(8) == 2);
-            window.took(100ms);
-            window.took(100ms);
+            window.record_duration(100ms);
+            window.record_duration(100ms);
             CHECK(window.limit(8) == 8);
         }
     }
-    GIVEN("a window that does not look at times")
+    GIVEN("a window without a threshold for slow chunks")
     {
-        cj::call_window open(4, 0ms);
-        open.took(60s);
-        CHECK(open.limit(16) == 16);
+        cj::call_window unlimited(4, 0ms);
+        unlimited.record_duration(60s);
+        CHECK(unlimited.limit(16) == 16);
     }
 }
--- a/tests/transfer/origin_fallback.cpp
+++ b/tests/transfer/origin_fallback.cpp
@@ -4,47 +4,47 @@
 
 using namespace coursejunction;
 
-TEST_CASE("a weight store stands in for the origin")
+TEST_CASE("the weight store is used when the origin fails")
 {
     origin_fallback sources(true);
     REQUIRE(sources.current() == weight_source::origin);
 
-    SECTION("the origin fails, so the store is asked")
+    SECTION("a failure of the origin switches to the store")
     {
-        sources.failed(weight_source::origin);
+        sources.record_failure(weight_source::origin);
         REQUIRE(sources.current() == weight_source::store);
 
-        SECTION("the store fails too, so the origin is asked again")
+        SECTION("a failure of the store switches back")
         {
-            sources.failed(weight_source::store);
+            sources.record_failure(weight_source::store);
             REQUIRE(sources.current() == weight_source::origin);
         }
     }
-    SECTION("two calls fail together: only the first moves on")
+    SECTION("of two calls that fail together only the first switches")
     {
-        sources.failed(weight_source::origin);
-        sources.failed(weight_source::origin);
+        sources.record_failure(weight_source::origin);
+        sources.record_failure(weight_source::origin);
         REQUIRE(sources.current() == weight_source::store);
 
-        SECTION("and both fail at the store: the origin's turn has come")
+        SECTION("two that fail at the store switch back once")
         {
-            sources.failed(weight_source::store);
-            sources.failed(weight_source::store);
+            sources.record_failure(weight_source::store);
+            sources.record_failure(weight_source::store);
             REQUIRE(sources.current() == weight_source::origin);
         }
     }
-    SECTION("a late failure of the source left behind changes nothing")
+    SECTION("a late failure of the previous source changes nothing")
     {
-        sources.failed(weight_source::origin);
-        sources.failed(weight_source::store);
-        sources.failed(weight_source::store);
+        sources.record_failure(weight_source::origin);
+        sources.record_failure(weight_source::store);
+        sources.record_failure(weight_source::store);
         REQUIRE(sources.current() == weight_source::origin);
     }
 }
 
-TEST_CASE("without a weight store the origin is asked for ever")
+TEST_CASE("without a weight store the origin stays selected")
 {
     origin_fallback sources(false);
-    sources.failed(weight_source::origin);
+    sources.record_failure(weight_source::origin);
     REQUIRE(sources.current() == weight_source::origin);
 }
