--- a/src/coursejunction/control/configuration_view.hpp
+++ b/src/coursejunction/control/configuration_view.hpp
@@ -35,13 +35,15 @@
     bool offer(configuration next)
     {
         known = true;
-        if (next.number() <= in_force.number() || diverges_from(next))
+        if (next.current_revision() <= in_force.current_revision() ||
+            diverges_from(next))
         {
-            refused_older += next.number() < in_force.number() ? 1 : 0;
+            refused_older +=
+                next.current_revision() < in_force.current_revision() ? 1 : 0;
             return false;
         }
         in_force = std::move(next);
-        written = in_force.text();
+        written = in_force.to_json();
         return true;
     }
 
@@ -59,20 +61,23 @@
     }
 
     /*! @brief Returns the text of the configuration in force. */
-    [[nodiscard]] const std::string& text() const noexcept { return written; }
+    [[nodiscard]] const std::string& json_text() const noexcept
+    {
+        return written;
+    }
 
     /*! @brief Tells whether anybody has yet said what is in force. */
-    [[nodiscard]] bool ready() const noexcept { return known; }
+    [[nodiscard]] bool has_configuration() const noexcept { return known; }
 
     /*! @brief Returns how many older ones were refused. */
-    [[nodiscard]] std::uint64_t refused() const noexcept
+    [[nodiscard]] std::uint64_t refused_older_count() const noexcept
     {
         return refused_older;
     }
 
 private:
     configuration in_force;
-    std::string written{configuration().text()};
+    std::string written{configuration().to_json()};
     bool known{false};
     std::uint64_t refused_older{0};
 };
--- a/src/coursejunction/control/configuration_writer.hpp
+++ b/src/coursejunction/control/configuration_writer.hpp
@@ -27,7 +27,7 @@
     std::string text;
     /*! @brief Index that a watch waits above: of the service when the key is
      * absent, since a watch above 0 is answered at once. */
-    std::uint64_t watched{0};
+    std::uint64_t watch_index{0};
 };
 
 /*! @brief What became of one compare-and-swap. */
@@ -44,7 +44,7 @@
 struct write_result
 {
     /*! @brief The configuration in force after it, when it was accepted. */
-    result<configuration> end;
+    result<configuration> outcome;
     write_id id;
 };
 
@@ -55,15 +55,16 @@
              std::function<void(swap_outcome)> swapped)
 {
     store.read(read);
-    store.swap(std::uint64_t{}, std::string{}, swapped);
-    store.later(std::function<void()>{});
+    store.compare_and_swap(std::uint64_t{}, std::string{}, swapped);
+    store.retry_later(std::function<void()>{});
     {
-        store.expired()
+        store.deadline_passed()
         } -> std::convertible_to<bool>;
 };
 
 /*! @brief One write from an operator, from first read to a certain end or to
- * "unknown" when the service stays silent until the store says `expired`.
+ * "unknown" when the service stays silent until the store says
+ * `deadline_passed`.
  * @tparam Store A `Configuration_store`; it must outlive the write. */
 template <typename Store>
 class configuration_writer
@@ -142,14 +143,14 @@
 
     [[nodiscard]] bool written(const configuration& stored) const
     {
-        return change ? stored.written(id).has_value()
+        return change ? stored.revision_of_write(id).has_value()
                       : stored.descends_from(known);
     }
 
     [[nodiscard]] result<configuration>
     next_of(const configuration& stored) const
     {
-        auto whole = known.join(stored, write_id("join-" + id.value()));
+        auto whole = known.merge(stored, write_id("join-" + id.value()));
         if (!change)
             return whole;
         return whole.apply(*change, id);
@@ -157,10 +158,11 @@
 
     void swap(std::uint64_t index, configuration next)
     {
-        const auto text = next.text();
-        store.swap(index, text,
-                   [self = this->shared_from_this(), next = std::move(next)](
-                       swap_outcome end) { self->on_swap(end, next); });
+        const auto text = next.to_json();
+        store.compare_and_swap(index, text,
+                               [self = this->shared_from_this(),
+                                next = std::move(next)](swap_outcome end)
+                               { self->on_swap(end, next); });
     }
 
     void on_swap(swap_outcome end, const configuration& next)
@@ -187,9 +189,9 @@
     /*! @param why Told to the operator when the time is over. */
     void again(error_kind when_expired, const char* why)
     {
-        if (!store.expired())
-            return store.later([self = this->shared_from_this()]
-                               { self->read(); });
+        if (!store.deadline_passed())
+            return store.retry_later([self = this->shared_from_this()]
+                                     { self->read(); });
         const auto kind = maybe_written ? error_kind::unknown : when_expired;
         finish(failure(kind, kind == error_kind::unknown
                                  ? "the change may or may not take effect"
--- a/src/coursejunction/control/key_value_client.cpp
+++ b/src/coursejunction/control/key_value_client.cpp
@@ -157,8 +157,9 @@
                  { done(internal::swap_result(end)); });
 }
 
-void key_value_client::swap(const std::string& key, std::uint64_t index,
-                            std::string text, swap_callback done)
+void key_value_client::compare_and_swap(const std::string& key,
+                                        std::uint64_t index, std::string text,
+                                        swap_callback done)
 {
     put("/v1/kv/" + key + "?cas=" + std::to_string(index), std::move(text),
         std::move(done));
@@ -224,19 +225,20 @@
     self->client.read(configuration_key, std::move(done));
 }
 
-void configuration_store::swap(std::uint64_t index, std::string text,
-                               key_value_client::swap_callback done)
+void configuration_store::compare_and_swap(std::uint64_t index,
+                                           std::string text,
+                                           key_value_client::swap_callback done)
 {
-    self->client.swap(configuration_key, index, std::move(text),
-                      std::move(done));
+    self->client.compare_and_swap(configuration_key, index, std::move(text),
+                                  std::move(done));
 }
 
-void configuration_store::later(std::function<void()> task)
+void configuration_store::retry_later(std::function<void()> task)
 {
     self->pause = self->loop.after(self->pauses.next(), std::move(task));
 }
 
-bool configuration_store::expired() const
+bool configuration_store::deadline_passed() const
 {
     return event_loop::now() >= self->deadline;
 }
--- a/src/coursejunction/control/key_value_client.hpp
+++ b/src/coursejunction/control/key_value_client.hpp
@@ -49,8 +49,8 @@
 
     /*! @brief Writes a key if its index is still the given one; 0 means that
      * it must be absent. */
-    void swap(const std::string& key, std::uint64_t index, std::string text,
-              swap_callback done);
+    void compare_and_swap(const std::string& key, std::uint64_t index,
+                          std::string text, swap_callback done);
 
     /*! @brief Opens a session; what it holds is deleted when it ends. */
     void open_session(std::chrono::seconds ttl, session_callback done);
@@ -60,7 +60,7 @@
                  std::string text, swap_callback done);
 
     /*! @brief Returns how many calls were made. */
-    [[nodiscard]] std::uint64_t calls() const noexcept { return made; }
+    [[nodiscard]] std::uint64_t call_count() const noexcept { return made; }
 
 private:
     void put(const std::string& path, std::string body, swap_callback done);
@@ -81,12 +81,12 @@
     ~configuration_store();
 
     void read(key_value_client::read_callback done);
-    void swap(std::uint64_t index, std::string text,
-              key_value_client::swap_callback done);
+    void compare_and_swap(std::uint64_t index, std::string text,
+                          key_value_client::swap_callback done);
     /*! @brief Runs work after a pause that grows and is drawn: operators whose
      * tries failed together do not come back together. */
-    void later(std::function<void()> task);
-    [[nodiscard]] bool expired() const;
+    void retry_later(std::function<void()> task);
+    [[nodiscard]] bool deadline_passed() const;
 
 private:
     struct implementation;
--- a/src/coursejunction/daemon/internal/any_planner.cpp
+++ b/src/coursejunction/daemon/internal/any_planner.cpp
@@ -6,7 +6,7 @@
 {
 
 any_planner make_planner(const manifest& of, const node_settings& settings,
-                         weighting weigh, time_point now)
+                         rollout_objective weigh, time_point now)
 {
     planner_limits limits;
     limits.seed =
@@ -25,7 +25,8 @@
     case transfer_policy::swarm:
         break;
     }
-    const double extra = weigh == weighting::time ? settings.origin_extra : 0;
+    const double extra =
+        weigh == rollout_objective::time ? settings.origin_extra_fraction : 0;
     return transfer_planner<swarm_policy>(of, own, limits, swarm_policy(extra),
                                           now);
 }
--- a/src/coursejunction/daemon/internal/any_planner.hpp
+++ b/src/coursejunction/daemon/internal/any_planner.hpp
@@ -25,7 +25,7 @@
  * @param weigh What the deployment weighs more; only a swarm heeds it. */
 [[nodiscard]] any_planner make_planner(const manifest& of,
                                        const node_settings& settings,
-                                       weighting weigh, time_point now);
+                                       rollout_objective weigh, time_point now);
 
 } // namespace coursejunction::internal
 
--- a/src/coursejunction/daemon/internal/configuration_restorer.cpp
+++ b/src/coursejunction/daemon/internal/configuration_restorer.cpp
@@ -95,17 +95,18 @@
 void configuration_restorer::restored(const write_result& got)
 {
     store.reset();
-    if (!got.end)
+    if (!got.outcome)
     {
         log::warning("configuration_not_restored",
-                     {{"reason", got.end.error().message}});
+                     {{"reason", got.outcome.error().message}});
         return compare();
     }
     log::state(
         "configuration_restored",
-        {{"revision", std::to_string(got.end.value().number().value())}});
-    stored(got.end.value());
-    found(got.end.value());
+        {{"revision",
+          std::to_string(got.outcome.value().current_revision().value())}});
+    stored(got.outcome.value());
+    found(got.outcome.value());
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/configuration_watch.cpp
+++ b/src/coursejunction/daemon/internal/configuration_watch.cpp
@@ -35,7 +35,7 @@
                     {
                         if (got)
                             take(got.value());
-                        else if (!view.ready())
+                        else if (!view.has_configuration())
                             retry_read = loop.after(watch_retry,
                                                     [this] { read_first(); });
                     });
@@ -68,7 +68,7 @@
         retry_watch = loop.after(watch_retry, [this] { watch(); });
         return;
     }
-    index = got.value().watched;
+    index = got.value().watch_index;
     take(got.value());
     watch();
 }
--- a/src/coursejunction/daemon/internal/fenced_orders.cpp
+++ b/src/coursejunction/daemon/internal/fenced_orders.cpp
@@ -20,7 +20,7 @@
 fenced_orders::fenced_orders(node& owner, order_callback allowed,
                              order_callback refused)
     : host(owner), allow(std::move(allowed)), refuse(std::move(refused)),
-      guard(owner.settings().upstream_fenced), process_id(random_id())
+      guard(owner.settings().upstream_checks_fencing), process_id(random_id())
 {
 }
 
@@ -66,10 +66,10 @@
         return request();
     }
     const fencing_token next(std::max(newest.token, highest).value() + 1);
-    host.key_values().swap(fence_key(host.settings().instance), stored.index,
-                           to_text({next, owner_text()}),
-                           [this, next](swap_outcome done)
-                           { taken(next, done); });
+    host.key_values().compare_and_swap(
+        fence_key(host.settings().instance), stored.index,
+        to_text({next, owner_text()}),
+        [this, next](swap_outcome done) { taken(next, done); });
 }
 
 void fenced_orders::taken(fencing_token next, swap_outcome done)
--- a/src/coursejunction/daemon/internal/heartbeat_gossip.cpp
+++ b/src/coursejunction/daemon/internal/heartbeat_gossip.cpp
@@ -39,7 +39,7 @@
 
 void heartbeat_gossip::announce()
 {
-    for (const auto& id : members.neighbours(
+    for (const auto& id : members.gossip_neighbours(
              settings.instance, settings.gossip_neighbours, event_loop::now()))
         beat_to(id);
 }
@@ -53,7 +53,9 @@
     beat.instance = settings.instance.value();
     beat.incarnation = incarnation;
     beat.sequence = ++beats;
-    beat.revision = view.ready() ? view.current().number().value() : 0;
+    beat.revision = view.has_configuration()
+                        ? view.current().current_revision().value()
+                        : 0;
     beat.leaving = leaving;
     socket->send(listed->peer_address,
                  seal_datagram(ring, frame_type::heartbeat, encode(beat)));
@@ -78,7 +80,7 @@
 {
     const auto sealed =
         seal_datagram(ring, frame_type::crash_news, encode(news));
-    for (const auto& id : members.neighbours(
+    for (const auto& id : members.gossip_neighbours(
              settings.instance, settings.gossip_neighbours, event_loop::now()))
     {
         const auto* listed = members.find(id);
@@ -100,14 +102,14 @@
 {
     const instance_id from(beat.instance);
     const auto now = event_loop::now();
-    if (!members.heard({from, beat.incarnation, beat.sequence, beat.leaving},
-                       now))
+    if (!members.record_heartbeat(
+            {from, beat.incarnation, beat.sequence, beat.leaving}, now))
     {
         counters.count("heartbeats_replayed_total");
         return;
     }
-    const auto own = view.current().number().value();
-    if (beat.revision > own || !view.ready())
+    const auto own = view.current().current_revision().value();
+    if (beat.revision > own || !view.has_configuration())
         return newer(from, beat.revision);
     if (beat.revision == own || now - answered[from] <= answer_gap)
         return;
--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -41,7 +41,7 @@
     return host.settings();
 }
 
-void version_fetch::want(const digest& version, weighting weigh)
+void version_fetch::want(const digest& version, rollout_objective weigh)
 {
     if (wanted && wanted->version == version)
     {
@@ -189,7 +189,7 @@
         return;
     }
     const auto total = parsed.value().total_bytes();
-    if (static_cast<double>(total) > settings().staged_limit)
+    if (static_cast<double>(total) > settings().max_staged_bytes)
     {
         wanted->reason = "the version has " + std::to_string(total) +
                          " bytes, more than staged_limit";
--- a/src/coursejunction/daemon/internal/version_fetch.hpp
+++ b/src/coursejunction/daemon/internal/version_fetch.hpp
@@ -33,7 +33,7 @@
 struct wanted_version
 {
     digest version;
-    weighting weigh{weighting::time};
+    rollout_objective weigh{rollout_objective::time};
     std::shared_ptr<staging> chunks;
     std::optional<any_planner> planner;
     unsigned manifest_attempts{0};
@@ -55,7 +55,7 @@
                   held_versions& versions, chunk_uploader& sender);
 
     /*! @brief Sets the wanted version; another one under way is stopped. */
-    void want(const digest& version, weighting weigh);
+    void want(const digest& version, rollout_objective weigh);
 
     /*! @brief Stops wanting anything. */
     void stop();
--- a/src/coursejunction/daemon/node.cpp
+++ b/src/coursejunction/daemon/node.cpp
@@ -192,11 +192,11 @@
         if (!expected)
             return links.accept(who.instance, id);
         if (*expected == who.instance)
-            return members.answered(who.instance);
+            return members.record_response(who.instance);
         // Another instance has taken over the address.
         links.drop(id);
         hub->close(id);
-        members.failed(*expected, now());
+        members.record_failure(*expected, now());
         hooks.peer_lost(*expected);
     }
 
@@ -220,7 +220,7 @@
         const bool was_dialled = links.dialled(*instance) == id;
         links.drop(id);
         if (was_dialled)
-            members.failed(*instance, now());
+            members.record_failure(*instance, now());
         hooks.peer_lost(*instance);
     }
 
@@ -253,15 +253,17 @@
     {
         if (view.diverges_from(next))
             return restorer.diverged(std::move(next));
-        const bool was_ready = view.ready();
+        const bool was_ready = view.has_configuration();
         const bool newer = view.offer(std::move(next));
         if (newer)
         {
-            counters.set("configuration_revision",
-                         static_cast<double>(view.current().number().value()));
-            log::state("configuration_in_force",
-                       {{"revision",
-                         std::to_string(view.current().number().value())}});
+            counters.set(
+                "configuration_revision",
+                static_cast<double>(view.current().current_revision().value()));
+            log::state(
+                "configuration_in_force",
+                {{"revision",
+                  std::to_string(view.current().current_revision().value())}});
             restorer.changed();
             announce();
         }
@@ -303,14 +305,14 @@
     void pulled(const instance_id& from, const frame& one)
     {
         const auto pull = decode<message::configuration_pull>(one.head);
-        const auto number = view.current().number().value();
-        if (!pull || !view.ready() || pull.value().known >= number)
+        const auto number = view.current().current_revision().value();
+        if (!pull || !view.has_configuration() || pull.value().known >= number)
             return;
         message::configuration_snapshot reply;
         reply.number = number;
         const auto connection = connection_to(from);
         if (!connection.empty())
-            hub->send(connection, reply, view.text());
+            hub->send(connection, reply, view.json_text());
     }
 
     void snapshot(const frame& one)
@@ -339,7 +341,7 @@
         pull_asked = newest;
         pull_at = now();
         message::configuration_pull ask;
-        ask.known = view.current().number().value();
+        ask.known = view.current().current_revision().value();
         hub->send(connection, ask);
     }
 
@@ -375,7 +377,7 @@
             return reply->send(200, "text/plain; version=0.0.4", {},
                                metrics_text());
         if (request.path == "/health")
-            return reply->send(leaving || !view.ready() ? 503 : 200,
+            return reply->send(leaving || !view.has_configuration() ? 503 : 200,
                                "text/plain", {},
                                leaving ? "leaving\n" : "ok\n");
         if (request.path == "/dump")
@@ -392,9 +394,9 @@
         counters.set("frames_refused", static_cast<double>(counts.refused));
         counters.set("gossip_bytes", static_cast<double>(gossip.bytes()));
         counters.set("key_value_calls",
-                     static_cast<double>(key_values.calls()));
+                     static_cast<double>(key_values.call_count()));
         counters.set("configuration_older_refused",
-                     static_cast<double>(view.refused()));
+                     static_cast<double>(view.refused_older_count()));
         return counters.text();
     }
 
@@ -408,13 +410,13 @@
             {"incarnation", started},
             {"leaving", leaving},
             {"designated", watch.designated()},
-            {"revision", view.current().number().value()},
-            {"ready", view.ready()},
-            {"configuration", internal::json::parse(view.text())},
+            {"revision", view.current().current_revision().value()},
+            {"ready", view.has_configuration()},
+            {"configuration", internal::json::parse(view.json_text())},
             {"members", internal::members_dump(members, now())},
             {"connections", hub->size()},
             {"traffic", internal::traffic_dump(hub->counters(), gossip.bytes(),
-                                               key_values.calls())},
+                                               key_values.call_count())},
             {"state", internal::json::parse(hooks.dump())}}
             .dump();
     }
--- a/src/coursejunction/daemon/report_service.cpp
+++ b/src/coursejunction/daemon/report_service.cpp
@@ -163,7 +163,7 @@
         if (one.instance != from.value())
             return;
         if (one.leaving)
-            host.members().left(from);
+            host.members().record_leaving(from);
         if (!one.deployment.empty())
             permits.update_replica(deployment_name(one.deployment), from,
                                    internal::is_closed(one),
@@ -198,9 +198,10 @@
         reply.version = ask.version;
         const deployment_name name(ask.deployment);
         const auto* spec = host.view().current().find(name);
-        reply.granted = spec != nullptr && halls.contains(hall_id(ask.hall)) &&
-                        !spec->paused && spec->version.hex() == ask.version &&
-                        permits.request(name, from, spec->max_closed, now());
+        reply.granted =
+            spec != nullptr && halls.contains(hall_id(ask.hall)) &&
+            !spec->paused && spec->version.hex() == ask.version &&
+            permits.request(name, from, spec->max_closed_per_hall, now());
         host.counters().count("permits_total", 1,
                               {{"granted", reply.granted ? "yes" : "no"}});
         host.send(from, reply);
--- a/src/coursejunction/daemon/resource_api.cpp
+++ b/src/coursejunction/daemon/resource_api.cpp
@@ -158,7 +158,7 @@
         silent.push_back(hall.value());
     return {{"name", spec.name.value()},
             {"version", spec.version.hex()},
-            {"revision", spec.changed.value()},
+            {"revision", spec.changed_revision.value()},
             {"paused", spec.paused},
             {"wanted", wanted},
             {"replicas", replicas.size()},
@@ -239,7 +239,7 @@
     void deployments(const std::vector<std::string>& parts,
                      const http_request& from, const reply_pointer& reply)
     {
-        if (!host.view().ready() && from.method == "GET")
+        if (!host.view().has_configuration() && from.method == "GET")
             return internal::send_error(reply, error_kind::unavailable,
                                         "no configuration is known yet");
         const auto name = parts.size() == 2 ? parts[1] : std::string{};
@@ -264,7 +264,7 @@
         if (spec == nullptr)
             return internal::send_error(reply, error_kind::not_found,
                                         "no deployment " + name.value());
-        internal::send_json(reply, 200, json::parse(spec->json()));
+        internal::send_json(reply, 200, json::parse(spec->to_json()));
     }
 
     void list(const http_request& from, const reply_pointer& reply)
@@ -273,7 +273,7 @@
             return send_list(reply);
         const auto after = std::strtoull(
             from.parameter("revision").value_or("0").c_str(), nullptr, 10);
-        if (host.view().current().number().value() > after)
+        if (host.view().current().current_revision().value() > after)
             return send_list(reply);
         if (watches.size() >= internal::max_watches)
             return internal::send_error(reply, error_kind::unavailable,
@@ -296,15 +296,15 @@
         const auto& now = host.view().current();
         json items = json::array();
         for (const auto& [name, spec] : now.deployments())
-            items.push_back(json::parse(spec.json()));
-        internal::send_json(
-            reply, 200,
-            {{"revision", now.number().value()}, {"items", std::move(items)}});
+            items.push_back(json::parse(spec.to_json()));
+        internal::send_json(reply, 200,
+                            {{"revision", now.current_revision().value()},
+                             {"items", std::move(items)}});
     }
 
     void configuration_changed()
     {
-        const auto number = host.view().current().number().value();
+        const auto number = host.view().current().current_revision().value();
         for (auto it = watches.begin(); it != watches.end();)
         {
             if (it->after >= number)
@@ -331,7 +331,7 @@
         configuration_change change;
         change.kind = kind;
         change.name = spec.value().name;
-        change.read = spec.value().changed;
+        change.base_revision = spec.value().changed_revision;
         change.spec = std::move(spec.value());
         start(std::move(change), reply);
     }
@@ -346,7 +346,8 @@
         configuration_change change;
         change.kind = action::remove;
         change.name = name;
-        change.read = revision(std::strtoull(number->c_str(), nullptr, 10));
+        change.base_revision =
+            revision(std::strtoull(number->c_str(), nullptr, 10));
         start(std::move(change), reply);
     }
 
@@ -366,35 +367,35 @@
     void written(const deployment_name& name, const write_result& got,
                  const reply_pointer& reply)
     {
-        if (!got.end)
+        if (!got.outcome)
         {
             host.counters().count("configuration_writes_total", 1,
                                   {{"result", std::string(internal::name_of(
-                                                  got.end.error().kind))}});
-            json body{{"error", internal::name_of(got.end.error().kind)},
-                      {"message", got.end.error().message}};
-            if (got.end.error().kind == error_kind::unknown)
+                                                  got.outcome.error().kind))}});
+            json body{{"error", internal::name_of(got.outcome.error().kind)},
+                      {"message", got.outcome.error().message}};
+            if (got.outcome.error().kind == error_kind::unknown)
                 body["write"] = got.id.value();
             return internal::send_json(
-                reply, internal::status_of(got.end.error().kind), body);
+                reply, internal::status_of(got.outcome.error().kind), body);
         }
         host.counters().count("configuration_writes_total", 1,
                               {{"result", "accepted"}});
-        host.adopt(got.end.value());
-        const auto* spec = got.end.value().find(name);
+        host.adopt(got.outcome.value());
+        const auto* spec = got.outcome.value().find(name);
         internal::send_json(
             reply, 200,
             {{"write", got.id.value()},
-             {"revision", got.end.value().number().value()},
+             {"revision", got.outcome.value().current_revision().value()},
              {"deployment",
-              spec == nullptr ? json() : json::parse(spec->json())}});
+              spec == nullptr ? json() : json::parse(spec->to_json())}});
     }
 
     /*! @brief Says what became of a write. What is in force was accepted, also
      * when the service has lost it since. */
     void find_write(const write_id& id, const reply_pointer& reply)
     {
-        const auto known = host.view().current().written(id);
+        const auto known = host.view().current().revision_of_write(id);
         if (known)
             return send_accepted(id, *known, reply);
         host.key_values().read(
@@ -404,8 +405,8 @@
                 if (!got)
                     return internal::send_error(reply, got.error());
                 const auto stored = configuration::parse(got.value().text);
-                const auto made =
-                    stored ? stored.value().written(id) : std::nullopt;
+                const auto made = stored ? stored.value().revision_of_write(id)
+                                         : std::nullopt;
                 if (!made)
                     return internal::send_json(
                         reply, 404,
@@ -446,7 +447,8 @@
                 }
                 internal::send_json(
                     reply, 200,
-                    {{"revision", host.view().current().number().value()},
+                    {{"revision",
+                      host.view().current().current_revision().value()},
                      {"items", std::move(items)}});
             });
     }
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -105,7 +105,7 @@
 
     void reconcile()
     {
-        if (plain || !host.view().ready())
+        if (plain || !host.view().has_configuration())
             return;
         const auto& wanted = host.view().current();
         const auto assigned = assign_deployments(wanted, slots());
@@ -122,7 +122,7 @@
         copy.set_target(replica_target{spec->name, spec->model, spec->adapter,
                                        spec->version, spec->paused});
         transfer.participants(sharers(assigned, wanted, spec->version));
-        transfer.want(spec->version, spec->weigh);
+        transfer.want(spec->version, spec->objective);
         changed();
     }
 
@@ -340,7 +340,7 @@
         now_state.region = settings.region.value();
         now_state.hall = settings.hall.value();
         now_state.kind = settings.upstream_kind;
-        now_state.revision = host.view().current().number().value();
+        now_state.revision = host.view().current().current_revision().value();
         now_state.running = static_cast<std::uint32_t>(runs.size());
         now_state.slots = static_cast<std::uint32_t>(slots_now());
         now_state.leaving = host.is_leaving();
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -122,7 +122,7 @@
 
 transfer_service::~transfer_service() = default;
 
-void transfer_service::want(const digest& version, weighting weigh)
+void transfer_service::want(const digest& version, rollout_objective weigh)
 {
     self->fetching.want(version, weigh);
 }
--- a/src/coursejunction/daemon/transfer_service.hpp
+++ b/src/coursejunction/daemon/transfer_service.hpp
@@ -57,7 +57,7 @@
 
     /*! @brief Sets the wanted version; another one under way is stopped, its
      * chunks that both have in common are kept. */
-    void want(const digest& version, weighting weigh);
+    void want(const digest& version, rollout_objective weigh);
 
     /*! @brief Stops wanting anything; what is held is still served. */
     void want_nothing();
--- a/src/coursejunction/member/member_table.cpp
+++ b/src/coursejunction/member/member_table.cpp
@@ -44,7 +44,7 @@
     return true;
 }
 
-bool member_table::heard(const heartbeat_sample& sample, time_point)
+bool member_table::record_heartbeat(const heartbeat_sample& sample, time_point)
 {
     if (!contains(sample.id))
         return true;
@@ -61,20 +61,20 @@
     return true;
 }
 
-void member_table::failed(const instance_id& id, time_point now)
+void member_table::record_failure(const instance_id& id, time_point now)
 {
     if (contains(id))
         observed[id].failed_at = now;
 }
 
-void member_table::answered(const instance_id& id)
+void member_table::record_response(const instance_id& id)
 {
     const auto found = observed.find(id);
     if (found != observed.end())
         found->second.failed_at.reset();
 }
 
-void member_table::left(const instance_id& id)
+void member_table::record_leaving(const instance_id& id)
 {
     if (contains(id))
         observed[id].leaving = true;
@@ -96,7 +96,8 @@
         return true;
     if (seen->second.leaving)
         return false;
-    return !seen->second.failed_at || now - *seen->second.failed_at > suspicion;
+    return !seen->second.failed_at ||
+           now - *seen->second.failed_at > suspicion_time;
 }
 
 std::vector<member> member_table::select(role kind,
@@ -112,9 +113,9 @@
     return chosen;
 }
 
-std::vector<instance_id> member_table::neighbours(const instance_id& own,
-                                                  size_type count,
-                                                  time_point now) const
+std::vector<instance_id> member_table::gossip_neighbours(const instance_id& own,
+                                                         size_type count,
+                                                         time_point now) const
 {
     std::vector<instance_id> others;
     for (const auto& [id, one] : listed_members)
--- a/src/coursejunction/member/member_table.hpp
+++ b/src/coursejunction/member/member_table.hpp
@@ -53,7 +53,7 @@
     using size_type = std::size_t;
 
     /*! @brief How long a failed attempt keeps a member suspect. */
-    static constexpr milliseconds suspicion{2000};
+    static constexpr milliseconds suspicion_time{2000};
 
     /*! @brief Replaces the list.
      * @return Whether anything changed. */
@@ -61,16 +61,16 @@
 
     /*! @brief Takes a heartbeat.
      * @return False for a replayed or older one. */
-    bool heard(const heartbeat_sample& sample, time_point now);
+    bool record_heartbeat(const heartbeat_sample& sample, time_point now);
 
     /*! @brief Notes that a member could not be reached. */
-    void failed(const instance_id& id, time_point now);
+    void record_failure(const instance_id& id, time_point now);
 
     /*! @brief Notes that a member has answered. */
-    void answered(const instance_id& id);
+    void record_response(const instance_id& id);
 
     /*! @brief Notes that a member said that it is leaving. */
-    void left(const instance_id& id);
+    void record_leaving(const instance_id& id);
 
     /*! @brief Returns a listed member, or null. */
     [[nodiscard]] const member* find(const instance_id& id) const;
@@ -86,7 +86,8 @@
      * its successors on a ring, so that everybody has some who speak to it,
      * half of them random but fixed. */
     [[nodiscard]] std::vector<instance_id>
-    neighbours(const instance_id& own, size_type count, time_point now) const;
+    gossip_neighbours(const instance_id& own, size_type count,
+                      time_point now) const;
 
     /*! @brief Returns the entries that gather a hall's reports and grant its
      * permits: the first ranks of a rendezvous among the hall's entries or,
--- a/src/coursejunction/resource/configuration.cpp
+++ b/src/coursejunction/resource/configuration.cpp
@@ -38,7 +38,7 @@
     return read;
 }
 
-std::string configuration::text() const
+std::string configuration::to_json() const
 {
     json list = json::array();
     for (const auto& [name, spec] : specs)
@@ -60,17 +60,18 @@
     const bool exists = found != specs.end();
     const auto conflict = [&]
     {
-        return failure(error_kind::conflict,
-                       "deployment " + change.name.value() +
-                           " is at revision " +
-                           std::to_string(found->second.changed.value()));
+        return failure(
+            error_kind::conflict,
+            "deployment " + change.name.value() + " is at revision " +
+                std::to_string(found->second.changed_revision.value()));
     };
     if (change.kind == action::create && exists)
         return conflict();
     if (change.kind != action::create && !exists)
         return failure(error_kind::not_found,
                        "no deployment " + change.name.value());
-    if (change.kind != action::create && change.read != found->second.changed)
+    if (change.kind != action::create &&
+        change.base_revision != found->second.changed_revision)
         return conflict();
 
     auto next = *this;
@@ -82,15 +83,15 @@
     else
     {
         auto spec = change.spec;
-        spec.changed = next.current;
+        spec.changed_revision = next.current;
         if (exists && found->second.version != spec.version)
-            spec.previous = found->second.version;
+            spec.previous_version = found->second.version;
         else if (exists)
-            spec.previous = found->second.previous;
+            spec.previous_version = found->second.previous_version;
         next.specs[change.name] = std::move(spec);
     }
     next.add_write(id);
-    if (next.text().size() > max_bytes)
+    if (next.to_json().size() > max_bytes)
         return failure(error_kind::invalid,
                        "configuration: would exceed one megabyte");
     return next;
@@ -104,8 +105,8 @@
     return keeps(last) || (!writes.empty() && last.made < writes.front().made);
 }
 
-configuration configuration::join(const configuration& stored,
-                                  const write_id& id) const
+configuration configuration::merge(const configuration& stored,
+                                   const write_id& id) const
 {
     if (descends_from(stored))
         return *this;
@@ -130,9 +131,9 @@
 bool configuration::knows(const configuration& other,
                           const deployment& spec) const
 {
-    const auto made = std::find_if(other.writes.begin(), other.writes.end(),
-                                   [&](const write& one)
-                                   { return one.made == spec.changed; });
+    const auto made = std::find_if(
+        other.writes.begin(), other.writes.end(),
+        [&](const write& one) { return one.made == spec.changed_revision; });
     return made == other.writes.end() || keeps(*made);
 }
 
@@ -154,7 +155,7 @@
         taken = spec;
         // A number that either side gave out would not tell readers of the
         // other side that it was changed.
-        taken.changed = current;
+        taken.changed_revision = current;
     }
 }
 
@@ -175,7 +176,8 @@
         writes.pop_front();
 }
 
-std::optional<revision> configuration::written(const write_id& id) const
+std::optional<revision>
+configuration::revision_of_write(const write_id& id) const
 {
     const auto found =
         std::find_if(writes.begin(), writes.end(),
--- a/src/coursejunction/resource/configuration.hpp
+++ b/src/coursejunction/resource/configuration.hpp
@@ -32,7 +32,7 @@
     action kind{action::create};
     deployment_name name;
     deployment spec;
-    revision read;
+    revision base_revision;
 };
 
 /*! @brief All deployments, one revision, and the last writes that made it.
@@ -52,11 +52,11 @@
 
     configuration() = default;
 
-    /*! @brief Reads a configuration as `text` wrote it. */
+    /*! @brief Reads a configuration as `to_json` wrote it. */
     [[nodiscard]] static result<configuration> parse(std::string_view text);
 
     /*! @brief Returns the configuration as JSON. */
-    [[nodiscard]] std::string text() const;
+    [[nodiscard]] std::string to_json() const;
 
     /*! @brief Makes the next configuration.
      * @return The next one, `conflict` with the current revision of the
@@ -75,11 +75,12 @@
      * that both have is taken from the service, whose change is the later one.
      * @return The newer one, if one descends from the other; else a new one
      * that descends from both. */
-    [[nodiscard]] configuration join(const configuration& stored,
-                                     const write_id& id) const;
+    [[nodiscard]] configuration merge(const configuration& stored,
+                                      const write_id& id) const;
 
     /*! @brief Returns the revision that a write made, if it is still kept. */
-    [[nodiscard]] std::optional<revision> written(const write_id& id) const;
+    [[nodiscard]] std::optional<revision>
+    revision_of_write(const write_id& id) const;
 
     /*! @brief Returns the deployment of a name, or null. */
     [[nodiscard]] const deployment* find(const deployment_name& name) const;
@@ -91,7 +92,7 @@
     }
 
     /*! @brief Returns the revision; zero before the first write. */
-    [[nodiscard]] revision number() const noexcept { return current; }
+    [[nodiscard]] revision current_revision() const noexcept { return current; }
 
 private:
     struct write
--- a/src/coursejunction/resource/deployment.cpp
+++ b/src/coursejunction/resource/deployment.cpp
@@ -190,14 +190,14 @@
     return read;
 }
 
-weighting read_weighting(field_reader& reader)
+rollout_objective read_objective(field_reader& reader)
 {
     const auto text = reader.text("weigh", false);
     if (text == "origin")
-        return weighting::origin;
+        return rollout_objective::origin;
     if (!text.empty() && text != "time")
         reader.fault("weigh", "must be time or origin");
-    return weighting::time;
+    return rollout_objective::time;
 }
 
 json to_json(const deployment& from)
@@ -215,14 +215,16 @@
                  {"role", from.engine_role},
                  {"version", from.version.hex()},
                  {"placements", std::move(placements)},
-                 {"max_closed_per_hall", from.max_closed},
-                 {"weigh", from.weigh == weighting::time ? "time" : "origin"},
+                 {"max_closed_per_hall", from.max_closed_per_hall},
+                 {"weigh", from.objective == rollout_objective::time
+                               ? "time"
+                               : "origin"},
                  {"paused", from.paused},
-                 {"revision", from.changed.value()}};
+                 {"revision", from.changed_revision.value()}};
     if (!from.adapter.empty())
         written["adapter"] = from.adapter;
-    if (!from.previous.empty())
-        written["previous"] = from.previous.hex();
+    if (!from.previous_version.empty())
+        written["previous"] = from.previous_version.hex();
     return written;
 }
 
@@ -244,13 +246,13 @@
     if (!engine_role.empty())
         read.engine_role = engine_role;
     read.version = reader.hash("version", true);
-    read.previous = reader.hash("previous", false);
+    read.previous_version = reader.hash("previous", false);
     read.placements = read_placements(reader, from);
-    read.max_closed = static_cast<std::size_t>(
+    read.max_closed_per_hall = static_cast<std::size_t>(
         reader.number("max_closed_per_hall", 1, 1, max_replicas));
-    read.weigh = read_weighting(reader);
+    read.objective = read_objective(reader);
     read.paused = reader.flag("paused");
-    read.changed = revision(
+    read.changed_revision = revision(
         static_cast<std::uint64_t>(reader.number("revision", 0, 0, INT64_MAX)));
     reader.only({"name", "model", "adapter", "role", "version", "previous",
                  "placements", "max_closed_per_hall", "weigh", "paused",
@@ -270,7 +272,7 @@
     return internal::from_json(parsed);
 }
 
-std::string deployment::json() const
+std::string deployment::to_json() const
 {
     return internal::to_json(*this).dump();
 }
--- a/src/coursejunction/resource/deployment.hpp
+++ b/src/coursejunction/resource/deployment.hpp
@@ -18,7 +18,7 @@
 {
 
 /*! @brief What a rollout saves first. */
-enum class weighting : std::uint8_t
+enum class rollout_objective : std::uint8_t
 {
     time,  /*!< Time to N replicas; spare origin capacity may be used. */
     origin /*!< Origin bytes; one copy, however long it takes. */
@@ -42,19 +42,19 @@
     std::string adapter;
     std::string engine_role{"serve"};
     digest version;
-    digest previous;
+    digest previous_version;
     std::vector<placement> placements;
-    std::size_t max_closed{1};
-    weighting weigh{weighting::time};
+    std::size_t max_closed_per_hall{1};
+    rollout_objective objective{rollout_objective::time};
     bool paused{false};
-    revision changed;
+    revision changed_revision;
 
     /*! @brief Reads a spec as an operator wrote it (JSON).
      * @return The spec, or `invalid` with a line that names the field. */
     [[nodiscard]] static result<deployment> parse(std::string_view text);
 
     /*! @brief Returns the spec as JSON. */
-    [[nodiscard]] std::string json() const;
+    [[nodiscard]] std::string to_json() const;
 
     friend bool operator==(const deployment&, const deployment&) = default;
 };
--- a/src/coursejunction/resource/fwd.hpp
+++ b/src/coursejunction/resource/fwd.hpp
@@ -9,7 +9,7 @@
 namespace coursejunction
 {
 
-enum class weighting : std::uint8_t;
+enum class rollout_objective : std::uint8_t;
 struct placement;
 struct deployment;
 struct configuration_change;
--- a/src/coursejunction/settings/gateway_settings.cpp
+++ b/src/coursejunction/settings/gateway_settings.cpp
@@ -61,8 +61,8 @@
     constexpr milliseconds usual_drain{800};
     constexpr std::int64_t usual_percent = 34;
     constexpr std::int64_t whole = 100;
-    made.drain_time = file.duration("rollout", "drain_time", usual_drain);
-    made.closed_part =
+    made.drain_timeout = file.duration("rollout", "drain_time", usual_drain);
+    made.max_closed_fraction =
         static_cast<double>(
             file.number("rollout", "closed_percent", usual_percent, 1, whole)) /
         static_cast<double>(whole);
@@ -86,8 +86,8 @@
     made.store_address = endpoint(file, "store", "address");
     if (made.kind == role::entry)
     {
-        made.caller_address = endpoint(file, "callers", "address");
-        made.ready_address = endpoint(file, "callers", "ready_address");
+        made.listen_address = endpoint(file, "callers", "address");
+        made.readiness_address = endpoint(file, "callers", "ready_address");
     }
     else
     {
@@ -97,7 +97,7 @@
     }
     made.status_port = static_cast<std::uint16_t>(
         file.number("status", "port", 0, 0, highest_port));
-    made.version_time =
+    made.version_deadline =
         file.duration("bounds", "version_time", milliseconds(8000));
     made.stop_grace = file.duration("bounds", "stop_grace", milliseconds(8000));
     const auto checked = file.finish();
--- a/src/coursejunction/settings/gateway_settings.hpp
+++ b/src/coursejunction/settings/gateway_settings.hpp
@@ -27,21 +27,22 @@
     std::vector<std::string> seeds; /*!< IPv4 addresses of entries. */
     std::string log_level;
 
-    std::string caller_address;   /*!< Of an entry, `IP:port`. */
-    std::string ready_address;    /*!< Of an entry, `IP:port`. */
-    std::string store_address;    /*!< `IP:port`. */
-    std::string upstream_address; /*!< Of a side, `IP:port`. */
-    byte_rate link_rate{0};       /*!< Of a side's instance, bytes a second. */
-    std::uint16_t status_port{0}; /*!< Metrics and state dump; 0 for none. */
-
-    milliseconds version_time{0}; /*!< A named version is used within this. */
+    std::string listen_address;    /*!< Of an entry, `IP:port`. */
+    std::string readiness_address; /*!< Of an entry, `IP:port`. */
+    std::string store_address;     /*!< `IP:port`. */
+    std::string upstream_address;  /*!< Of a side, `IP:port`. */
+    byte_rate link_rate{0};        /*!< Of a side's instance, bytes a second. */
+    std::uint16_t status_port{0};  /*!< Metrics and state dump; 0 for none. */
+
+    milliseconds version_deadline{
+        0}; /*!< A named version is used within this. */
     milliseconds stop_grace{0};
 
     /*! @brief Of a side: how long running requests may finish before an order
      * cuts the rest, which are resumed elsewhere. */
-    milliseconds drain_time{0};
+    milliseconds drain_timeout{0};
     /*! @brief Of a side: part of a hall's upstreams that close at once. */
-    double closed_part{0};
+    double max_closed_fraction{0};
 
     /*! @brief Reads and checks a settings file.
      * @return The settings, or `invalid` with one line that names file,
--- a/src/coursejunction/settings/node_settings.cpp
+++ b/src/coursejunction/settings/node_settings.cpp
@@ -105,7 +105,7 @@
     into.upstream_kind = file.text("upstream", "kind", "model");
     if (into.upstream_kind != "model" && into.upstream_kind != "plain")
         file.fault("upstream", "kind", "must be model or plain");
-    into.upstream_fenced = file.flag("upstream", "checks_orders", true);
+    into.upstream_checks_fencing = file.flag("upstream", "checks_orders", true);
     into.upstream_slots = static_cast<std::size_t>(
         file.number("upstream", "slots", 16, 1, 100'000));
     into.labels = split_list(file.text("upstream", "labels", ""));
@@ -119,11 +119,12 @@
     into.download_rate = file.bytes("transfer", "download_rate", 0.0, true);
     into.transfer_neighbours = static_cast<std::size_t>(
         file.number("transfer", "neighbours", 24, 1, 256));
-    into.staged_limit =
+    into.max_staged_bytes =
         file.bytes("transfer", "staged_limit", 2048 * mebibyte, false);
-    into.origin_extra = static_cast<double>(file.number(
-                            "transfer", "origin_extra_percent", 0, 0, 400)) /
-                        100;
+    into.origin_extra_fraction =
+        static_cast<double>(
+            file.number("transfer", "origin_extra_percent", 0, 0, 400)) /
+        100;
     const auto policy = file.text("transfer", "policy", "swarm");
     if (policy == "stripes")
         into.policy = transfer_policy::stripes;
--- a/src/coursejunction/settings/node_settings.hpp
+++ b/src/coursejunction/settings/node_settings.hpp
@@ -69,7 +69,7 @@
 
     std::string upstream_url;
     std::string upstream_kind;
-    bool upstream_fenced{true};
+    bool upstream_checks_fencing{true};
     std::size_t upstream_slots{0};
     std::vector<std::string> labels;
 
@@ -79,8 +79,8 @@
     byte_rate download_rate{0};
     std::size_t transfer_neighbours{0};
     transfer_policy policy{transfer_policy::swarm};
-    double origin_extra{0};
-    double staged_limit{0};
+    double origin_extra_fraction{0};
+    double max_staged_bytes{0};
 
     std::size_t max_request_bytes{0};
     std::size_t max_streams{0};
--- a/tests/control/configuration_writer.cpp
+++ b/tests/control/configuration_writer.cpp
@@ -50,8 +50,8 @@
         done(copy);
     }
 
-    void swap(std::uint64_t index, const std::string& text,
-              const std::function<void(cj::swap_outcome)>& done)
+    void compare_and_swap(std::uint64_t index, const std::string& text,
+                          const std::function<void(cj::swap_outcome)>& done)
     {
         const auto what = next();
         settle_late();
@@ -73,13 +73,13 @@
         done(swapped ? cj::swap_outcome::swapped : cj::swap_outcome::lost_race);
     }
 
-    void later(const std::function<void()>& task)
+    void retry_later(const std::function<void()>& task)
     {
         ++waits;
         task();
     }
 
-    bool expired() const { return waits >= patience; }
+    bool deadline_passed() const { return waits >= patience; }
 
     bool apply(std::uint64_t index, const std::string& text)
     {
@@ -104,7 +104,7 @@
         apply(value.index,
               now.apply(create(name), cj::write_id("other-" + name))
                   .value()
-                  .text());
+                  .to_json());
     }
 
     void settle_late()
@@ -163,7 +163,7 @@
     fake_store store;
     GIVEN("a service that answers")
     {
-        CHECK(write(store, "tutor").end);
+        CHECK(write(store, "tutor").outcome);
         CHECK(stored(store, "tutor"));
     }
     GIVEN("an answer lost after the write took effect")
@@ -172,8 +172,8 @@
         const auto got = write(store, "tutor");
         THEN("it is accepted once")
         {
-            REQUIRE(got.end);
-            CHECK(got.end.value().number() == cj::revision(1));
+            REQUIRE(got.outcome);
+            CHECK(got.outcome.value().current_revision() == cj::revision(1));
         }
     }
     GIVEN("a lost answer, and then an outage that lasts")
@@ -183,8 +183,8 @@
         const auto got = write(store, "tutor");
         THEN("the operator is told that it is unknown")
         {
-            REQUIRE_FALSE(got.end);
-            CHECK(got.end.error().kind == cj::error_kind::unknown);
+            REQUIRE_FALSE(got.outcome);
+            CHECK(got.outcome.error().kind == cj::error_kind::unknown);
         }
     }
     GIVEN("an outage from the start")
@@ -193,27 +193,27 @@
         const auto got = write(store, "tutor");
         THEN("the operator is told that nothing was changed")
         {
-            REQUIRE_FALSE(got.end);
-            CHECK(got.end.error().kind == cj::error_kind::unavailable);
+            REQUIRE_FALSE(got.outcome);
+            CHECK(got.outcome.error().kind == cj::error_kind::unavailable);
             CHECK_FALSE(stored(store, "tutor"));
         }
     }
     GIVEN("another operator who changes something else in between")
     {
         store.interfere("notes");
-        CHECK(write(store, "tutor").end);
+        CHECK(write(store, "tutor").outcome);
         CHECK(stored(store, "notes"));
     }
     GIVEN("a read that is older than what is in force")
     {
-        const auto known = write(store, "notes").end.value();
+        const auto known = write(store, "notes").outcome.value();
         write(store, "ledger", known);
         store.stale_reads = 1;
         const auto got = write(store, "tutor", known);
         THEN("it is not built on")
         {
-            REQUIRE(got.end);
-            CHECK(got.end.value().number() == cj::revision(3));
+            REQUIRE(got.outcome);
+            CHECK(got.outcome.value().current_revision() == cj::revision(3));
             CHECK(store.value.index == 3);
             CHECK(stored(store, "notes"));
             CHECK(stored(store, "ledger"));
@@ -222,13 +222,13 @@
     }
     GIVEN("nothing but reads that are older than what is in force")
     {
-        const auto known = write(store, "notes").end.value();
+        const auto known = write(store, "notes").outcome.value();
         store.stale_reads = 100;
         const auto got = write(store, "tutor", known);
         THEN("the operator is told that nothing was changed")
         {
-            REQUIRE_FALSE(got.end);
-            CHECK(got.end.error().kind == cj::error_kind::unavailable);
+            REQUIRE_FALSE(got.outcome);
+            CHECK(got.outcome.error().kind == cj::error_kind::unavailable);
             CHECK_FALSE(stored(store, "tutor"));
         }
     }
@@ -242,7 +242,7 @@
     fake_store store;
     write(store, "notes");
     store.take_copy();
-    const auto known = write(store, "ledger").end.value();
+    const auto known = write(store, "ledger").outcome.value();
     store.restore();
     REQUIRE_FALSE(stored(store, "ledger"));
 
@@ -251,9 +251,9 @@
         const auto got = write(store, "tutor", known);
         THEN("it is accepted, and what was lost is written with it")
         {
-            REQUIRE(got.end);
-            CHECK(got.end.value().number() == cj::revision(3));
-            CHECK(got.end.value().descends_from(known));
+            REQUIRE(got.outcome);
+            CHECK(got.outcome.value().current_revision() == cj::revision(3));
+            CHECK(got.outcome.value().descends_from(known));
             CHECK(stored(store, "notes"));
             CHECK(stored(store, "ledger"));
             CHECK(stored(store, "tutor"));
@@ -261,14 +261,14 @@
     }
     WHEN("somebody who knows only the copy was faster")
     {
-        const auto other = write(store, "other").end.value();
-        CHECK(other.number() == known.number());
+        const auto other = write(store, "other").outcome.value();
+        CHECK(other.current_revision() == known.current_revision());
         const auto got = write(store, "tutor", known);
         THEN("nothing that was acknowledged is lost")
         {
-            REQUIRE(got.end);
-            CHECK(got.end.value().descends_from(known));
-            CHECK(got.end.value().descends_from(other));
+            REQUIRE(got.outcome);
+            CHECK(got.outcome.value().descends_from(known));
+            CHECK(got.outcome.value().descends_from(other));
             CHECK(stored(store, "ledger"));
             CHECK(stored(store, "other"));
             CHECK(stored(store, "tutor"));
@@ -290,7 +290,7 @@
         const auto got = write(store, "tutor");
         THEN("the write is accepted, after a pause for each of them")
         {
-            CHECK(got.end);
+            CHECK(got.outcome);
             CHECK(stored(store, "tutor"));
             CHECK(store.waits == 3);
         }
@@ -301,8 +301,8 @@
         const auto got = write(store, "tutor");
         THEN("the operator is told in time that nothing was changed")
         {
-            REQUIRE_FALSE(got.end);
-            CHECK(got.end.error().kind == cj::error_kind::unavailable);
+            REQUIRE_FALSE(got.outcome);
+            CHECK(got.outcome.error().kind == cj::error_kind::unavailable);
             CHECK_FALSE(stored(store, "tutor"));
             CHECK(store.swaps <= store.patience + 1);
         }
@@ -319,32 +319,32 @@
                      store.faults.push_back(static_cast<fault>(number % 5));
                  const auto got = write(store, "tutor");
                  store.settle_late();
-                 if (got.end)
+                 if (got.outcome)
                      RC_ASSERT(stored(store, "tutor"));
-                 else if (got.end.error().kind != cj::error_kind::unknown)
+                 else if (got.outcome.error().kind != cj::error_kind::unknown)
                      RC_ASSERT(!stored(store, "tutor"));
                  // Once only, whatever was tried again.
                  RC_ASSERT(store.value.index <= 1U);
              });
-    rc::prop("a view's revision never falls",
-             [](const std::vector<std::uint8_t>& order)
-             {
-                 std::vector<cj::configuration> all(1);
-                 for (int at = 0; at < 8; ++at)
-                     all.push_back(
-                         all.back()
-                             .apply(create("d" + std::to_string(at)), {})
-                             .value());
-                 cj::configuration_view view;
-                 std::uint64_t highest = 0;
-                 for (const auto at : order)
-                 {
-                     const auto& offered = all[at % all.size()];
-                     view.offer(offered);
-                     highest = std::max(highest, offered.number().value());
-                     RC_ASSERT(view.current().number().value() == highest);
-                 }
-             });
+    rc::prop(
+        "a view's revision never falls",
+        [](const std::vector<std::uint8_t>& order)
+        {
+            std::vector<cj::configuration> all(1);
+            for (int at = 0; at < 8; ++at)
+                all.push_back(all.back()
+                                  .apply(create("d" + std::to_string(at)), {})
+                                  .value());
+            cj::configuration_view view;
+            std::uint64_t highest = 0;
+            for (const auto at : order)
+            {
+                const auto& offered = all[at % all.size()];
+                view.offer(offered);
+                highest = std::max(highest, offered.current_revision().value());
+                RC_ASSERT(view.current().current_revision().value() == highest);
+            }
+        });
 }
 
 namespace
@@ -358,9 +358,9 @@
         store, known, cj::write_id(cj::random_id()),
         [&](const cj::write_result& end)
         {
-            INFO((end.end ? "" : end.end.error().message));
-            REQUIRE(end.end);
-            got = end.end.value();
+            INFO((end.outcome ? "" : end.outcome.error().message));
+            REQUIRE(end.outcome);
+            got = end.outcome.value();
         });
     return got;
 }
@@ -372,11 +372,12 @@
     fake_store store;
     write(store, "notes");
     store.take_copy();
-    const auto known = write(store, "ledger").end.value();
+    const auto known = write(store, "ledger").outcome.value();
     GIVEN("a service that has lost nothing")
     {
         const auto swaps = store.swaps;
-        CHECK(restore(store, known)->number() == known.number());
+        CHECK(restore(store, known)->current_revision() ==
+              known.current_revision());
         THEN("nothing is written")
         {
             CHECK(store.swaps == swaps);
@@ -387,20 +388,23 @@
         store.restore();
         WHEN("two who know what it lost restore it")
         {
-            CHECK(restore(store, known)->number() == known.number());
+            CHECK(restore(store, known)->current_revision() ==
+                  known.current_revision());
             const auto swaps = store.swaps;
-            CHECK(restore(store, known)->number() == known.number());
+            CHECK(restore(store, known)->current_revision() ==
+                  known.current_revision());
             THEN("the first one writes it as it was")
             {
-                CHECK(store.value.text == known.text());
+                CHECK(store.value.text == known.to_json());
                 CHECK(store.swaps == swaps);
             }
         }
         WHEN("its answers are lost")
         {
             store.faults = {fault::none, fault::lose_answer, fault::refuse};
-            CHECK(restore(store, known)->number() == known.number());
-            CHECK(store.value.text == known.text());
+            CHECK(restore(store, known)->current_revision() ==
+                  known.current_revision());
+            CHECK(store.value.text == known.to_json());
         }
     }
 }
@@ -436,7 +440,7 @@
                 default:
                     accepted.push_back("d" + std::to_string(accepted.size()));
                     view.offer(write(store, accepted.back(), view.current())
-                                   .end.value());
+                                   .outcome.value());
                     break;
                 }
             }
@@ -445,7 +449,7 @@
                     *restore(store, views[at % count].current()));
             for (const auto& view : views)
             {
-                RC_ASSERT(view.text() == views[0].text());
+                RC_ASSERT(view.json_text() == views[0].json_text());
                 for (const auto& name : accepted)
                     RC_ASSERT(view.current().find(cj::deployment_name(name)) !=
                               nullptr);
--- a/tests/control/key_value_client.cpp
+++ b/tests/control/key_value_client.cpp
@@ -177,7 +177,7 @@
             [this](const cj::write_result& end)
             {
                 ++told;
-                good += end.end ? 1 : 0;
+                good += end.outcome ? 1 : 0;
             });
     }
 
@@ -251,8 +251,8 @@
         loop.on_loop(
             [&]
             {
-                values->swap("a/key", 0, std::string(bytes, 'x'),
-                             [&](auto end) { got = end; });
+                values->compare_and_swap("a/key", 0, std::string(bytes, 'x'),
+                                         [&](auto end) { got = end; });
             });
         wait([&] { return got.has_value(); });
         return *got;
--- a/tests/member/member_table.cpp
+++ b/tests/member/member_table.cpp
@@ -36,32 +36,32 @@
 
     GIVEN("an attempt that failed")
     {
-        table.failed(id, now);
+        table.record_failure(id, now);
         CHECK_FALSE(table.usable(id, now));
         THEN("it is tried again after a while, or once it is heard")
         {
             CHECK(table.usable(id, now + 3s));
-            CHECK(table.heard({id, 1, 1, false}, now));
+            CHECK(table.record_heartbeat({id, 1, 1, false}, now));
             CHECK(table.usable(id, now));
         }
     }
     GIVEN("a heartbeat")
     {
-        CHECK(table.heard({id, 5, 7, false}, now));
+        CHECK(table.record_heartbeat({id, 5, 7, false}, now));
         THEN("a replayed or older one is refused")
         {
-            CHECK_FALSE(table.heard({id, 5, 7, true}, now));
-            CHECK_FALSE(table.heard({id, 4, 9, true}, now));
+            CHECK_FALSE(table.record_heartbeat({id, 5, 7, true}, now));
+            CHECK_FALSE(table.record_heartbeat({id, 4, 9, true}, now));
             CHECK(table.usable(id, now));
         }
         THEN("a leaving mark sticks although the list lags")
         {
-            CHECK(table.heard({id, 5, 8, true}, now));
-            CHECK(table.heard({id, 5, 9, false}, now));
+            CHECK(table.record_heartbeat({id, 5, 8, true}, now));
+            CHECK(table.record_heartbeat({id, 5, 9, false}, now));
             CHECK_FALSE(table.usable(id, now));
             AND_THEN("a new process under the same id is used again")
             {
-                CHECK(table.heard({id, 6, 1, false}, now));
+                CHECK(table.record_heartbeat({id, 6, 1, false}, now));
                 CHECK(table.usable(id, now));
             }
         }
@@ -71,7 +71,7 @@
         const cj::hall_id north("north");
         REQUIRE(table.designated_entries(north, 2, now).front() ==
                 cj::instance_id("entry-1"));
-        table.failed(cj::instance_id("entry-1"), now);
+        table.record_failure(cj::instance_id("entry-1"), now);
         THEN("another of its region stands in")
         {
             CHECK(table.designated_entries(north, 2, now) ==
@@ -98,7 +98,7 @@
             auto next = reached;
             for (const auto& from : reached)
             {
-                const auto to = table.neighbours(from, 8, {});
+                const auto to = table.gossip_neighbours(from, 8, {});
                 CHECK(to.size() == 8);
                 next.insert(to.begin(), to.end());
             }
--- a/tests/resource/configuration.cpp
+++ b/tests/resource/configuration.cpp
@@ -15,7 +15,7 @@
     cj::configuration_change made;
     made.kind = kind;
     made.name = cj::deployment_name(name);
-    made.read = cj::revision(read);
+    made.base_revision = cj::revision(read);
     made.spec.name = made.name;
     made.spec.model = "m";
     made.spec.version = cj::digest::of(std::string(1, version));
@@ -33,9 +33,9 @@
             .value();
     GIVEN("a deployment")
     {
-        CHECK(first.number() == cj::revision(1));
-        CHECK(first.written(cj::write_id("w1")) == cj::revision(1));
-        CHECK_FALSE(first.written(cj::write_id("w2")));
+        CHECK(first.current_revision() == cj::revision(1));
+        CHECK(first.revision_of_write(cj::write_id("w1")) == cj::revision(1));
+        CHECK_FALSE(first.revision_of_write(cj::write_id("w2")));
 
         WHEN("two operators replace what both have read")
         {
@@ -55,7 +55,7 @@
             {
                 CHECK(second.value()
                           .find(cj::deployment_name("tutor"))
-                          ->previous == cj::digest::of("a"));
+                          ->previous_version == cj::digest::of("a"));
             }
         }
         WHEN("it is created again, or another is replaced")
@@ -72,7 +72,7 @@
             const auto gone =
                 first.apply(change(action::remove, "tutor", 1), {}).value();
             CHECK(gone.deployments().empty());
-            CHECK(gone.number() == cj::revision(2));
+            CHECK(gone.current_revision() == cj::revision(2));
         }
     }
 }
@@ -91,9 +91,9 @@
                      if (next)
                          now = next.value();
                  }
-                 const auto read = cj::configuration::parse(now.text());
+                 const auto read = cj::configuration::parse(now.to_json());
                  RC_ASSERT(read);
-                 RC_ASSERT(read.value().text() == now.text());
+                 RC_ASSERT(read.value().to_json() == now.to_json());
                  RC_ASSERT(read.value().deployments() == now.deployments());
              });
     rc::prop("noise is refused", [](const std::string& noise)
@@ -121,19 +121,19 @@
     {
         CHECK(known.descends_from(shared));
         CHECK_FALSE(shared.descends_from(known));
-        CHECK(known.join(shared, id).text() == known.text());
-        CHECK(shared.join(known, id).text() == known.text());
+        CHECK(known.merge(shared, id).to_json() == known.to_json());
+        CHECK(shared.merge(known, id).to_json() == known.to_json());
     }
     GIVEN("a service that holds another change under the same revision")
     {
         const auto stored = write(shared, action::create, "other", 0, "x3");
-        CHECK(stored.number() == known.number());
+        CHECK(stored.current_revision() == known.current_revision());
         CHECK_FALSE(stored.descends_from(known));
         CHECK_FALSE(known.descends_from(stored));
-        const auto joined = known.join(stored, id);
+        const auto joined = known.merge(stored, id);
         THEN("both changes are in the next revision")
         {
-            CHECK(joined.number() == cj::revision(4));
+            CHECK(joined.current_revision() == cj::revision(4));
             CHECK(joined.descends_from(known));
             CHECK(joined.descends_from(stored));
             CHECK(has(joined, "ledger"));
@@ -145,9 +145,9 @@
         THEN("it stays removed, whichever side that was")
         {
             const auto gone = write(shared, action::remove, "notes", 2, "x3");
-            CHECK_FALSE(has(known.join(gone, id), "notes"));
-            CHECK_FALSE(has(gone.join(known, id), "notes"));
-            CHECK(has(known.join(gone, id), "ledger"));
+            CHECK_FALSE(has(known.merge(gone, id), "notes"));
+            CHECK_FALSE(has(gone.merge(known, id), "notes"));
+            CHECK(has(known.merge(gone, id), "ledger"));
         }
     }
     GIVEN("a deployment that both sides replaced")
@@ -155,7 +155,7 @@
         const auto own = write(shared, action::replace, "tutor", 1, "w3", 'b');
         const auto stored =
             write(shared, action::replace, "tutor", 1, "x3", 'c');
-        const auto joined = own.join(stored, id);
+        const auto joined = own.merge(stored, id);
         THEN("the change that the service holds counts")
         {
             CHECK(joined.find(cj::deployment_name("tutor"))->version ==
--- a/tests/resource/deployment.cpp
+++ b/tests/resource/deployment.cpp
@@ -30,7 +30,7 @@
     {
         const auto read = cj::deployment::parse(good().dump());
         REQUIRE(read);
-        CHECK(cj::deployment::parse(read.value().json()).value() ==
+        CHECK(cj::deployment::parse(read.value().to_json()).value() ==
               read.value());
     }
     GIVEN("bad ones")
--- a/tests/settings/gateway_settings.cpp
+++ b/tests/settings/gateway_settings.cpp
@@ -30,8 +30,8 @@
               std::vector<std::string>{"10.0.0.2", "10.0.0.3"});
         CHECK(read.value().link_rate == Approx(950'000));
         CHECK(read.value().stop_grace == 8000ms);
-        CHECK(read.value().drain_time == 800ms);
-        CHECK(read.value().closed_part == Approx(0.34));
+        CHECK(read.value().drain_timeout == 800ms);
+        CHECK(read.value().max_closed_fraction == Approx(0.34));
     }
     SECTION("how a side loads versions")
     {
@@ -39,8 +39,8 @@
             "s.ini",
             side_text + "[rollout]\ndrain_time=300ms\nclosed_percent=25\n");
         REQUIRE(read);
-        CHECK(read.value().drain_time == 300ms);
-        CHECK(read.value().closed_part == Approx(0.25));
+        CHECK(read.value().drain_timeout == 300ms);
+        CHECK(read.value().max_closed_fraction == Approx(0.25));
         const auto wrong = cj::gateway_settings::parse(
             "s.ini", side_text + "[rollout]\nclosed_percent=0\n");
         REQUIRE_FALSE(wrong);
