--- a/src/coursejunction/control/configuration_view.hpp
+++ b/src/coursejunction/control/configuration_view.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The configuration that is in force in this process.
+ * @brief The configuration that this process acts on.
  */
 #ifndef COURSEJUNCTION_CONTROL_CONFIGURATION_VIEW_HPP
 #define COURSEJUNCTION_CONTROL_CONFIGURATION_VIEW_HPP
@@ -15,14 +15,15 @@
 namespace coursejunction
 {
 
-/*! @brief Holds the newest configuration seen; each descends from the one
- * before, whoever brings it: the key-value service, a peer or a stale read. */
+/*! @brief Holds the newest configuration that was offered. It replaces the
+ * current one only by a descendant with a higher revision, so an older or
+ * diverging copy from the key-value service or a peer can't take over. */
 class configuration_view
 {
 public:
-    /*! @brief Offers a configuration as text.
-     * @return True when it is newer and now in force, false when it is not
-     * newer, or `invalid`. */
+    /*! @brief Offers a configuration as JSON.
+     * @return True when it became the current one, false when it is not newer
+     * or has diverged, `invalid` when it cannot be parsed. */
     [[nodiscard]] result<bool> offer(std::string_view text)
     {
         auto parsed = configuration::parse(text);
@@ -31,54 +32,57 @@
         return offer(std::move(parsed.value()));
     }
 
-    /*! @brief Offers a parsed configuration. */
+    /*! @brief Offers a parsed configuration.
+     * @return True when it became the current one. */
     bool offer(configuration next)
     {
-        known = true;
-        if (next.current_revision() <= in_force.current_revision() ||
+        offered = true;
+        if (next.current_revision() <= active.current_revision() ||
             diverges_from(next))
         {
             refused_older +=
-                next.current_revision() < in_force.current_revision() ? 1 : 0;
+                next.current_revision() < active.current_revision() ? 1 : 0;
             return false;
         }
-        in_force = std::move(next);
-        written = in_force.to_json();
+        active = std::move(next);
+        active_json = active.to_json();
         return true;
     }
 
-    /*! @brief Tells whether another one and the one in force have changes that
-     * the other lacks. */
+    /*! @brief Tells whether the current configuration and another one each
+     * contain a change that the other lacks. */
     [[nodiscard]] bool diverges_from(const configuration& other) const
     {
-        return !other.descends_from(in_force) && !in_force.descends_from(other);
+        return !other.descends_from(active) && !active.descends_from(other);
     }
 
-    /*! @brief Returns the configuration in force. */
+    /*! @brief Returns the current configuration; empty before the first
+     * offer. */
     [[nodiscard]] const configuration& current() const noexcept
     {
-        return in_force;
+        return active;
     }
 
-    /*! @brief Returns the text of the configuration in force. */
+    /*! @brief Returns the current configuration as JSON. */
     [[nodiscard]] const std::string& json_text() const noexcept
     {
-        return written;
+        return active_json;
     }
 
-    /*! @brief Tells whether anybody has yet said what is in force. */
-    [[nodiscard]] bool has_configuration() const noexcept { return known; }
+    /*! @brief Tells whether any configuration has been offered, even an empty
+     * one. */
+    [[nodiscard]] bool has_configuration() const noexcept { return offered; }
 
-    /*! @brief Returns how many older ones were refused. */
+    /*! @brief Returns how many offers had a lower revision. */
     [[nodiscard]] std::uint64_t refused_older_count() const noexcept
     {
         return refused_older;
     }
 
 private:
-    configuration in_force;
-    std::string written{configuration().to_json()};
-    bool known{false};
+    configuration active;
+    std::string active_json{configuration().to_json()};
+    bool offered{false};
     std::uint64_t refused_older{0};
 };
 
--- a/src/coursejunction/control/configuration_writer.hpp
+++ b/src/coursejunction/control/configuration_writer.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Writes the configuration by compare-and-swap, and finds out what
- * became of a write whose answer was lost.
+ * @brief Writes the configuration by compare-and-swap, and reads it back where
+ * the response to a write was lost.
  */
 #ifndef COURSEJUNCTION_CONTROL_CONFIGURATION_WRITER_HPP
 #define COURSEJUNCTION_CONTROL_CONFIGURATION_WRITER_HPP
@@ -20,35 +20,37 @@
 namespace coursejunction
 {
 
-/*! @brief A value as the key-value service returned it. */
+/*! @brief A value read from the key-value service. */
 struct stored_value
 {
-    std::uint64_t index{0}; /*!< Index of the last change; 0 when absent. */
+    std::uint64_t index{0}; /*!< Index of its last change; 0 when absent. */
     std::string text;
-    /*! @brief Index that a watch waits above: of the service when the key is
-     * absent, since a watch above 0 is answered at once. */
+    /*! @brief Index to pass to the next watch. For an absent key it is the
+     * service's own index, since a watch of index 0 returns at once. */
     std::uint64_t watch_index{0};
 };
 
-/*! @brief What became of one compare-and-swap. */
+/*! @brief Result of one compare-and-swap, or of one acquire. */
 enum class swap_outcome : std::uint8_t
 {
     swapped,
-    lost_race,
-    not_sent,
-    no_session, /*!< The session is gone; nothing was written. */
-    unknown
+    lost_race,  /*!< Another writer was first; nothing was written. */
+    not_sent,   /*!< Not sent, or refused by a rate limit; nothing written. */
+    no_session, /*!< The session has expired; nothing was written. */
+    unknown     /*!< The response was lost; it may have been written. */
 };
 
-/*! @brief What became of a change. */
+/*! @brief Result of a configuration write. */
 struct write_result
 {
-    /*! @brief The configuration in force after it, when it was accepted. */
+    /*! @brief The configuration after the write, or why it was not accepted:
+     * `unknown` when it may still take effect. */
     result<configuration> outcome;
     write_id id;
 };
 
-/*! @brief Asynchronous access to the one key that holds the configuration. */
+/*! @brief Asynchronous access to the one key that holds the configuration.
+ * `retry_later` runs a task after a pause, `deadline_passed` ends retries. */
 template <typename Store>
 concept Configuration_store =
     requires(Store store, std::function<void(result<stored_value>)> read,
@@ -62,9 +64,9 @@
         } -> std::convertible_to<bool>;
 };
 
-/*! @brief One write from an operator, from first read to a certain end or to
- * "unknown" when the service stays silent until the store says
- * `deadline_passed`.
+/*! @brief One write of the configuration: reads, merges, swaps, and retries
+ * until the result is certain or the store's deadline has passed. If a response
+ * was lost and could not be read back by then, the result is `unknown`.
  * @tparam Store A `Configuration_store`; it must outlive the write. */
 template <typename Store>
 class configuration_writer
@@ -73,10 +75,13 @@
 public:
     using done_callback = std::function<void(write_result)>;
 
-    /*! @brief Starts a write.
-     * @param known Configuration already in force. What the store lacks of it
-     * is written with the change: the compare-and-swap fails if the read was
-     * stale, and succeeds if the store came back from an older copy. */
+    /*! @brief Starts a write of one change.
+     * @param id Identifies the write in the stored configuration; it makes
+     * retries idempotent.
+     * @param known Configuration that this process already acts on. Changes in
+     * it that the store lacks are written too: the compare-and-swap fails if
+     * the read was stale, and succeeds if the store was rolled back to an older
+     * copy. */
     static void start(Store& store, configuration_change change, write_id id,
                       configuration known, done_callback done)
     {
@@ -84,8 +89,8 @@
               std::move(done));
     }
 
-    /*! @brief Starts to write what the store lacks of a configuration that was
-     * acknowledged; it ends at once when it lacks nothing. */
+    /*! @brief Starts to write back acknowledged changes that the store lacks
+     * after a rollback. Writes nothing when the store has all of them. */
     static void restore(Store& store, configuration known, write_id id,
                         done_callback done)
     {
@@ -94,114 +99,121 @@
     }
 
 private:
-    static constexpr const char* silent =
-        "the key-value service does not answer; nothing was changed";
-    static constexpr const char* outrun =
-        "others change the configuration all the time; nothing was changed";
+    static constexpr const char* unreachable_message =
+        "the key-value service does not respond; nothing was changed";
+    static constexpr const char* contention_message =
+        "other writers changed the configuration before each attempt; "
+        "nothing was changed";
 
     using optional_change = std::optional<configuration_change>;
 
     static void begin(Store& store, optional_change change, write_id id,
                       configuration known, done_callback done)
     {
-        auto made = std::shared_ptr<configuration_writer>(
+        auto writer = std::shared_ptr<configuration_writer>(
             new configuration_writer(store, std::move(change), std::move(id),
                                      std::move(known), std::move(done)));
-        made->read();
+        writer->read();
     }
 
-    configuration_writer(Store& target, optional_change what, write_id own,
-                         configuration least, done_callback call)
-        : store(target), change(std::move(what)), id(std::move(own)),
-          known(std::move(least)), done(std::move(call))
+    configuration_writer(Store& target, optional_change wanted_change,
+                         write_id own_id, configuration acknowledged,
+                         done_callback callback)
+        : store(target), change(std::move(wanted_change)),
+          id(std::move(own_id)), known(std::move(acknowledged)),
+          done(std::move(callback))
     {
     }
 
     void read()
     {
-        store.read([self = this->shared_from_this()](result<stored_value> got)
-                   { self->on_read(std::move(got)); });
+        store.read(
+            [self = this->shared_from_this()](result<stored_value> response)
+            { self->on_read(std::move(response)); });
     }
 
-    void on_read(result<stored_value> got)
+    void on_read(result<stored_value> response)
     {
-        if (!got)
-            return again(error_kind::unavailable, silent);
-        auto now = got.value().index == 0
-                       ? result<configuration>(configuration())
-                       : configuration::parse(got.value().text);
-        if (!now)
+        if (!response)
+            return retry_or_fail(error_kind::unavailable, unreachable_message);
+        auto stored = response.value().index == 0
+                          ? result<configuration>(configuration())
+                          : configuration::parse(response.value().text);
+        if (!stored)
             return finish(failure(error_kind::refused,
-                                  "stored configuration cannot be read"));
-        if (written(now.value()))
-            return finish(std::move(now.value()));
-        auto next = next_of(now.value());
+                                  "cannot parse the stored configuration"));
+        if (already_applied(stored.value()))
+            return finish(std::move(stored.value()));
+        auto next = make_next(stored.value());
         if (!next)
             return finish(failure(next.error().kind, next.error().message));
-        swap(got.value().index, std::move(next.value()));
+        compare_and_swap(response.value().index, std::move(next.value()));
     }
 
-    [[nodiscard]] bool written(const configuration& stored) const
+    [[nodiscard]] bool already_applied(const configuration& stored) const
     {
         return change ? stored.revision_of_write(id).has_value()
                       : stored.descends_from(known);
     }
 
     [[nodiscard]] result<configuration>
-    next_of(const configuration& stored) const
+    make_next(const configuration& stored) const
     {
-        auto whole = known.merge(stored, write_id("join-" + id.value()));
+        auto merged = known.merge(stored, write_id("join-" + id.value()));
         if (!change)
-            return whole;
-        return whole.apply(*change, id);
+            return merged;
+        return merged.apply(*change, id);
     }
 
-    void swap(std::uint64_t index, configuration next)
+    void compare_and_swap(std::uint64_t index, configuration next)
     {
         const auto text = next.to_json();
         store.compare_and_swap(index, text,
                                [self = this->shared_from_this(),
-                                next = std::move(next)](swap_outcome end)
-                               { self->on_swap(end, next); });
+                                next = std::move(next)](swap_outcome outcome)
+                               { self->on_swap(outcome, next); });
     }
 
-    void on_swap(swap_outcome end, const configuration& next)
+    void on_swap(swap_outcome outcome, const configuration& next)
     {
-        switch (end)
+        switch (outcome)
         {
         case swap_outcome::swapped:
             return finish(next);
         case swap_outcome::lost_race:
-            // Whoever was faster may not be the last: all read and write the
-            // whole, over links that they share.
-            return again(error_kind::unavailable, outrun);
+            // Pauses first: each attempt transfers the whole configuration
+            // over a link that all writers share, and more may be ahead.
+            return retry_or_fail(error_kind::unavailable, contention_message);
         case swap_outcome::not_sent:
         case swap_outcome::no_session:
-            return again(error_kind::unavailable, silent);
+            return retry_or_fail(error_kind::unavailable, unreachable_message);
         case swap_outcome::unknown:
-            // The write may have taken effect, or may still: read back. The
-            // same write id makes a second try harmless.
-            maybe_written = true;
-            return again(error_kind::unknown, silent);
+            // The write may have taken effect, or may do so later: read it
+            // back. The write id makes a second attempt harmless.
+            may_have_written = true;
+            return retry_or_fail(error_kind::unknown, unreachable_message);
         }
     }
 
-    /*! @param why Told to the operator when the time is over. */
-    void again(error_kind when_expired, const char* why)
+    /*! @brief Schedules another attempt, or ends the write once the deadline
+     * has passed.
+     * @param message Error message in that case, unless the outcome is
+     * unknown. */
+    void retry_or_fail(error_kind default_kind, const char* message)
     {
         if (!store.deadline_passed())
             return store.retry_later([self = this->shared_from_this()]
                                      { self->read(); });
-        const auto kind = maybe_written ? error_kind::unknown : when_expired;
+        const auto kind = may_have_written ? error_kind::unknown : default_kind;
         finish(failure(kind, kind == error_kind::unknown
                                  ? "the change may or may not take effect"
-                                 : why));
+                                 : message));
     }
 
-    void finish(result<configuration> end)
+    void finish(result<configuration> outcome)
     {
-        const auto call = std::move(done);
-        call({std::move(end), id});
+        const auto callback = std::move(done);
+        callback({std::move(outcome), id});
     }
 
     Store& store;
@@ -209,7 +221,7 @@
     write_id id;
     configuration known;
     done_callback done;
-    bool maybe_written{false};
+    bool may_have_written{false};
 };
 
 } // namespace coursejunction
--- a/tests/control/configuration_writer.cpp
+++ b/tests/control/configuration_writer.cpp
@@ -24,62 +24,63 @@
     return change;
 }
 
-/*! @brief What the fake service does with one call. */
+/*! @brief Fault that the fake store injects into one call. */
 enum class fault
 {
     none,
-    refuse,       /*!< Not sent. */
-    lose_answer,  /*!< Carried out, answer lost. */
-    lose_request, /*!< Not carried out, answer lost. */
-    late          /*!< Carried out only after the next call. */
+    not_sent,      /*!< The call is not sent. */
+    lose_response, /*!< Carried out, but the response is lost. */
+    lose_request,  /*!< Not carried out, and the caller can't know that. */
+    delayed        /*!< Carried out at the next call, response lost. */
 };
 
-/*! @brief The one key, in memory, with faults in a given order. */
+/*! @brief A `Configuration_store` in memory that injects faults in a given
+ * order. */
 class fake_store
 {
 public:
     void read(const std::function<void(cj::result<cj::stored_value>)>& done)
     {
-        const auto what = next();
-        settle_late();
-        if (what != fault::none)
+        const auto injected = next_fault();
+        apply_delayed();
+        if (injected != fault::none)
             return done(cj::failure(cj::error_kind::unavailable, "down"));
         if (stale_reads == 0)
             return done(value);
         --stale_reads;
-        done(copy);
+        done(snapshot);
     }
 
     void compare_and_swap(std::uint64_t index, const std::string& text,
                           const std::function<void(cj::swap_outcome)>& done)
     {
-        const auto what = next();
-        settle_late();
+        const auto injected = next_fault();
+        apply_delayed();
         ++swaps;
         if (rivals > 0)
-            interfere("rival" + std::to_string(rivals--));
-        if (what == fault::refuse)
+            write_as_other("rival" + std::to_string(rivals--));
+        if (injected == fault::not_sent)
             return done(cj::swap_outcome::not_sent);
-        if (what == fault::lose_request)
+        if (injected == fault::lose_request)
             return done(cj::swap_outcome::unknown);
-        if (what == fault::late)
+        if (injected == fault::delayed)
         {
-            late = {index, text};
+            delayed_write = {index, text};
             return done(cj::swap_outcome::unknown);
         }
         const bool swapped = apply(index, text);
-        if (what == fault::lose_answer)
+        if (injected == fault::lose_response)
             return done(cj::swap_outcome::unknown);
         done(swapped ? cj::swap_outcome::swapped : cj::swap_outcome::lost_race);
     }
 
     void retry_later(const std::function<void()>& task)
     {
-        ++waits;
+        ++pauses;
         task();
     }
 
-    bool deadline_passed() const { return waits >= patience; }
+    bool deadline_passed() const { return pauses >= max_pauses; }
 
     bool apply(std::uint64_t index, const std::string& text)
     {
@@ -89,50 +90,50 @@
         return true;
     }
 
-    void take_copy() { copy = value; }
+    void take_snapshot() { snapshot = value; }
 
-    /*! @brief Comes back from the copy: later writes are gone, and their
-     * indices are given out again. */
-    void restore() { value = copy; }
+    /*! @brief Rolls the store back to the snapshot: later writes are gone, and
+     * their indices are assigned again. */
+    void roll_back() { value = snapshot; }
 
-    /*! @brief Another writer changes something else in between. */
-    void interfere(const std::string& name)
+    /*! @brief Creates another deployment as another writer. */
+    void write_as_other(const std::string& name)
     {
-        auto now = value.index == 0
-                       ? cj::configuration()
-                       : cj::configuration::parse(value.text).value();
+        auto stored = value.index == 0
+                          ? cj::configuration()
+                          : cj::configuration::parse(value.text).value();
         apply(value.index,
-              now.apply(create(name), cj::write_id("other-" + name))
+              stored.apply(create(name), cj::write_id("other-" + name))
                   .value()
                   .to_json());
     }
 
-    void settle_late()
+    void apply_delayed()
     {
-        if (!late)
+        if (!delayed_write)
             return;
-        apply(late->index, late->text);
-        late.reset();
+        apply(delayed_write->index, delayed_write->text);
+        delayed_write.reset();
     }
 
     cj::stored_value value;
-    cj::stored_value copy;
+    cj::stored_value snapshot;
     std::deque<fault> faults;
-    std::optional<cj::stored_value> late;
-    int waits{0};
-    int patience{20};
-    int rivals{0}; /*!< Others who each write just before one of our swaps. */
+    std::optional<cj::stored_value> delayed_write;
+    int pauses{0};
+    int max_pauses{20}; /*!< Pauses until the deadline has passed. */
+    int rivals{0};      /*!< Other writers; each writes before one swap. */
     int swaps{0};
-    int stale_reads{0}; /*!< Reads that are answered from the copy. */
+    int stale_reads{0}; /*!< Reads answered from the snapshot. */
 
 private:
-    fault next()
+    fault next_fault()
     {
         if (faults.empty())
             return fault::none;
-        const auto what = faults.front();
+        const auto injected = faults.front();
         faults.pop_front();
-        return what;
+        return injected;
     }
 };
 
@@ -142,7 +143,7 @@
     std::optional<cj::write_result> got;
     cj::configuration_writer<fake_store>::start(
         store, create(name), cj::write_id("write-" + name), known,
-        [&](cj::write_result end) { got.emplace(std::move(end)); });
+        [&](cj::write_result written) { got.emplace(std::move(written)); });
     REQUIRE(got);
     return *got;
 }
@@ -158,30 +159,31 @@
 
 } // namespace
 
-SCENARIO("a write finds out what became of it", "[control]")
+SCENARIO("a configuration write reports a certain result or unknown",
+         "[control]")
 {
     fake_store store;
-    GIVEN("a service that answers")
+    GIVEN("a service that responds")
     {
         CHECK(write(store, "tutor").outcome);
         CHECK(stored(store, "tutor"));
     }
-    GIVEN("an answer lost after the write took effect")
+    GIVEN("a response lost after the write took effect")
     {
-        store.faults = {fault::none, fault::lose_answer};
+        store.faults = {fault::none, fault::lose_response};
         const auto got = write(store, "tutor");
-        THEN("it is accepted once")
+        THEN("the write is reported as accepted and applied only once")
         {
             REQUIRE(got.outcome);
             CHECK(got.outcome.value().current_revision() == cj::revision(1));
         }
     }
-    GIVEN("a lost answer, and then an outage that lasts")
+    GIVEN("a lost response, then an outage beyond the deadline")
     {
-        store.faults = {fault::none, fault::lose_answer};
-        store.faults.insert(store.faults.end(), 100, fault::refuse);
+        store.faults = {fault::none, fault::lose_response};
+        store.faults.insert(store.faults.end(), 100, fault::not_sent);
         const auto got = write(store, "tutor");
-        THEN("the operator is told that it is unknown")
+        THEN("the result is unknown")
         {
             REQUIRE_FALSE(got.outcome);
             CHECK(got.outcome.error().kind == cj::error_kind::unknown);
@@ -189,28 +191,28 @@
     }
     GIVEN("an outage from the start")
     {
-        store.faults.assign(100, fault::refuse);
+        store.faults.assign(100, fault::not_sent);
         const auto got = write(store, "tutor");
-        THEN("the operator is told that nothing was changed")
+        THEN("the write fails as unavailable, with nothing stored")
         {
             REQUIRE_FALSE(got.outcome);
             CHECK(got.outcome.error().kind == cj::error_kind::unavailable);
             CHECK_FALSE(stored(store, "tutor"));
         }
     }
-    GIVEN("another operator who changes something else in between")
+    GIVEN("another writer that has changed something else")
     {
-        store.interfere("notes");
+        store.write_as_other("notes");
         CHECK(write(store, "tutor").outcome);
         CHECK(stored(store, "notes"));
     }
-    GIVEN("a read that is older than what is in force")
+    GIVEN("one stale read, older than the known configuration")
     {
         const auto known = write(store, "notes").outcome.value();
         write(store, "ledger", known);
         store.stale_reads = 1;
         const auto got = write(store, "tutor", known);
-        THEN("it is not built on")
+        THEN("the write is not based on the stale value")
         {
             REQUIRE(got.outcome);
             CHECK(got.outcome.value().current_revision() == cj::revision(3));
@@ -220,12 +222,12 @@
             CHECK(stored(store, "tutor"));
         }
     }
-    GIVEN("nothing but reads that are older than what is in force")
+    GIVEN("only stale reads, older than the known configuration")
     {
         const auto known = write(store, "notes").outcome.value();
         store.stale_reads = 100;
         const auto got = write(store, "tutor", known);
-        THEN("the operator is told that nothing was changed")
+        THEN("the write fails as unavailable, with nothing stored")
         {
             REQUIRE_FALSE(got.outcome);
             CHECK(got.outcome.error().kind == cj::error_kind::unavailable);
@@ -234,22 +236,22 @@
     }
 }
 
-// The service acknowledges changes, goes away and comes back from a copy that
-// lacks them. If a writer took its older value for a stale read, every change
-// would be refused from then on.
-SCENARIO("a writer goes on when the service comes back older", "[control]")
+// The service acknowledges changes and is then restored from an older copy that
+// lacks them. A writer that mistook the older value for a stale read would fail
+// every later change.
+SCENARIO("writes succeed after a rollback of the service", "[control]")
 {
     fake_store store;
     write(store, "notes");
-    store.take_copy();
+    store.take_snapshot();
     const auto known = write(store, "ledger").outcome.value();
-    store.restore();
+    store.roll_back();
     REQUIRE_FALSE(stored(store, "ledger"));
 
-    WHEN("an operator makes the next change")
+    WHEN("the next change is written")
     {
         const auto got = write(store, "tutor", known);
-        THEN("it is accepted, and what was lost is written with it")
+        THEN("it is accepted and the lost change is written with it")
         {
             REQUIRE(got.outcome);
             CHECK(got.outcome.value().current_revision() == cj::revision(3));
@@ -259,12 +261,12 @@
             CHECK(stored(store, "tutor"));
         }
     }
-    WHEN("somebody who knows only the copy was faster")
+    WHEN("a writer that knows only the copy writes first")
     {
         const auto other = write(store, "other").outcome.value();
         CHECK(other.current_revision() == known.current_revision());
         const auto got = write(store, "tutor", known);
-        THEN("nothing that was acknowledged is lost")
+        THEN("no acknowledged change is lost")
         {
             REQUIRE(got.outcome);
             CHECK(got.outcome.value().descends_from(known));
@@ -276,58 +278,58 @@
     }
 }
 
-// Others change the configuration just before each of our writes, so that each
-// comes too late. A writer that read and wrote the whole again at once would
-// keep the link full that all of them need, for as long as the others go on,
-// and its operator would wait without an end.
-SCENARIO("a writer that comes too late rests before it tries again",
+// Another writer changes the configuration before each swap, so that each swap
+// fails. A writer that retried at once would transfer the whole configuration
+// over and over, fill the link that all writers share, and never end while the
+// others go on.
+SCENARIO("a writer that lost the race pauses before the next attempt",
          "[control]")
 {
     fake_store store;
-    GIVEN("three others who are faster")
+    GIVEN("three writers that are faster")
     {
         store.rivals = 3;
         const auto got = write(store, "tutor");
-        THEN("the write is accepted, after a pause for each of them")
+        THEN("the write is accepted after three pauses")
         {
             CHECK(got.outcome);
             CHECK(stored(store, "tutor"));
-            CHECK(store.waits == 3);
+            CHECK(store.pauses == 3);
         }
     }
-    GIVEN("others who are faster all the time")
+    GIVEN("another writer before every swap")
     {
         store.rivals = 200;
         const auto got = write(store, "tutor");
-        THEN("the operator is told in time that nothing was changed")
+        THEN("the write fails as unavailable by the deadline")
         {
             REQUIRE_FALSE(got.outcome);
             CHECK(got.outcome.error().kind == cj::error_kind::unavailable);
             CHECK_FALSE(stored(store, "tutor"));
-            CHECK(store.swaps <= store.patience + 1);
+            CHECK(store.swaps <= store.max_pauses + 1);
         }
     }
 }
 
-TEST_CASE("what a writer says is true under any faults", "[control]")
+TEST_CASE("the reported result is true under any faults", "[control]")
 {
-    rc::prop("accepted means stored, refused means not stored",
+    rc::prop("accepted means stored, failed means not stored",
              [](const std::vector<std::uint8_t>& numbers)
              {
                  fake_store store;
                  for (const auto number : numbers)
                      store.faults.push_back(static_cast<fault>(number % 5));
                  const auto got = write(store, "tutor");
-                 store.settle_late();
+                 store.apply_delayed();
                  if (got.outcome)
                      RC_ASSERT(stored(store, "tutor"));
                  else if (got.outcome.error().kind != cj::error_kind::unknown)
                      RC_ASSERT(!stored(store, "tutor"));
-                 // Once only, whatever was tried again.
+                 // Applied at most once, however often it was attempted.
                  RC_ASSERT(store.value.index <= 1U);
              });
     rc::prop(
-        "a view's revision never falls",
+        "the revision of a view never decreases",
         [](const std::vector<std::uint8_t>& order)
         {
             std::vector<cj::configuration> all(1);
@@ -356,22 +358,22 @@
     std::optional<cj::configuration> got;
     cj::configuration_writer<fake_store>::restore(
         store, known, cj::write_id(cj::random_id()),
-        [&](const cj::write_result& end)
+        [&](const cj::write_result& written)
         {
-            INFO((end.outcome ? "" : end.outcome.error().message));
-            REQUIRE(end.outcome);
-            got = end.outcome.value();
+            INFO((written.outcome ? "" : written.outcome.error().message));
+            REQUIRE(written.outcome);
+            got = written.outcome.value();
         });
     return got;
 }
 
 } // namespace
 
-SCENARIO("what the service lost is written again", "[control]")
+SCENARIO("a restore writes back what the service lost", "[control]")
 {
     fake_store store;
     write(store, "notes");
-    store.take_copy();
+    store.take_snapshot();
     const auto known = write(store, "ledger").outcome.value();
     GIVEN("a service that has lost nothing")
     {
@@ -383,25 +385,25 @@
             CHECK(store.swaps == swaps);
         }
     }
-    GIVEN("a service that came back from its copy")
+    GIVEN("a service that was rolled back")
     {
-        store.restore();
-        WHEN("two who know what it lost restore it")
+        store.roll_back();
+        WHEN("two processes restore the lost change")
         {
             CHECK(restore(store, known)->current_revision() ==
                   known.current_revision());
             const auto swaps = store.swaps;
             CHECK(restore(store, known)->current_revision() ==
                   known.current_revision());
-            THEN("the first one writes it as it was")
+            THEN("only the first one writes, and the value is as before")
             {
                 CHECK(store.value.text == known.to_json());
                 CHECK(store.swaps == swaps);
             }
         }
-        WHEN("its answers are lost")
+        WHEN("a response is lost and a read fails")
         {
-            store.faults = {fault::none, fault::lose_answer, fault::refuse};
+            store.faults = {fault::none, fault::lose_response, fault::not_sent};
             CHECK(restore(store, known)->current_revision() ==
                   known.current_revision());
             CHECK(store.value.text == known.to_json());
@@ -409,10 +411,10 @@
     }
 }
 
-TEST_CASE("no acknowledged change is lost with a copy", "[control]")
+TEST_CASE("no acknowledged change is lost by rollbacks", "[control]")
 {
     rc::prop(
-        "all who restore agree, and hold every change that was accepted",
+        "all views agree after restores and hold every accepted change",
         [](const std::vector<std::uint8_t>& steps)
         {
             constexpr std::size_t count = 3;
@@ -425,10 +427,10 @@
                 switch (step / count % 6)
                 {
                 case 0:
-                    store.take_copy();
+                    store.take_snapshot();
                     break;
                 case 1:
-                    store.restore();
+                    store.roll_back();
                     break;
                 case 2:
                     view.offer(views[(step + 1) % count].current());
--- a/tests/control/key_value_client.cpp
+++ b/tests/control/key_value_client.cpp
@@ -21,22 +21,23 @@
 namespace
 {
 
-/*! @brief The service with its one value behind a link that all share. */
-class distant_service
+/*! @brief A key-value service with one key, behind a narrow link that all
+ * calls share. */
+class narrow_link_service
 {
 public:
-    /*! @brief Values that the link carries in a second. */
+    /*! @brief Calls that the link carries in a second. */
     static constexpr double link_rate = 20;
 
-    /*! @brief Longest call; five at once are whole in it. */
+    /*! @brief Time limit of a call; five concurrent calls fit into it. */
     static constexpr cj::milliseconds limit{250};
 
-    explicit distant_service(cj::event_loop& loop) : link(loop, link_rate)
+    explicit narrow_link_service(cj::event_loop& loop) : link(loop, link_rate)
     {
         auto made = cj::stream_server::create(
             loop, "127.0.0.1", 0, {},
             [this](cj::stream_request request, cj::stream_reply reply)
-            { take(std::move(request), std::move(reply)); });
+            { handle(std::move(request), std::move(reply)); });
         server = std::move(made.value());
     }
 
@@ -55,29 +56,31 @@
     }
 
 private:
-    void take(cj::stream_request request, cj::stream_reply reply)
+    void handle(cj::stream_request request, cj::stream_reply reply)
     {
-        const auto to = std::make_shared<cj::stream_reply>(std::move(reply));
-        const auto id = link.carry([this, request = std::move(request), to]
-                                   { answer(request, *to); });
-        to->on_left([this, id] { link.give_up(id); });
+        const auto shared_reply =
+            std::make_shared<cj::stream_reply>(std::move(reply));
+        const auto id =
+            link.carry([this, request = std::move(request), shared_reply]
+                       { respond(request, *shared_reply); });
+        shared_reply->on_left([this, id] { link.give_up(id); });
     }
 
-    void answer(const cj::stream_request& request, cj::stream_reply& to)
+    void respond(const cj::stream_request& request, cj::stream_reply& reply)
     {
         if (request.method == "PUT")
-            return to.send(200, {}, swap(request) ? "true" : "false");
+            return reply.send(200, {}, swap(request) ? "true" : "false");
         if (index == 0)
-            return to.send(404, {}, "");
-        const nlohmann::json one{{"ModifyIndex", index},
-                                 {"Value", cj::to_base64(value)}};
-        to.send(200, {}, nlohmann::json::array({one}).dump());
+            return reply.send(404, {}, "");
+        const nlohmann::json item{{"ModifyIndex", index},
+                                  {"Value", cj::to_base64(value)}};
+        reply.send(200, {}, nlohmann::json::array({item}).dump());
     }
 
     bool swap(const cj::stream_request& request)
     {
-        const auto known = request.target.find("cas=");
-        if (std::stoull(request.target.substr(known + 4)) != index)
+        const auto cas = request.target.find("cas=");
+        if (std::stoull(request.target.substr(cas + 4)) != index)
             return false;
         value = request.body;
         ++index;
@@ -101,23 +104,24 @@
     return change;
 }
 
-/*! @brief Operators who each change something else at the same moment, at
- * entries far from the service. */
-class operators
+/*! @brief Writers that each create another deployment at the same moment, over
+ * the narrow link. */
+class concurrent_writers
 {
 public:
-    operators()
+    concurrent_writers()
     {
         loop.on_loop(
             [&]
             {
                 service.emplace(loop.loop);
                 client.emplace(loop.loop);
-                values.emplace(*client, service->url(), distant_service::limit);
+                values.emplace(*client, service->url(),
+                               narrow_link_service::limit);
             });
     }
 
-    ~operators()
+    ~concurrent_writers()
     {
         loop.on_loop(
             [&]
@@ -129,33 +133,33 @@
         loop.stop();
     }
 
-    operators(const operators&) = delete;
-    operators& operator=(const operators&) = delete;
+    concurrent_writers(const concurrent_writers&) = delete;
+    concurrent_writers& operator=(const concurrent_writers&) = delete;
 
-    void write(std::size_t count, cj::milliseconds patience)
+    void write(std::size_t count, cj::milliseconds deadline)
     {
         loop.on_loop(
             [&]
             {
                 for (std::size_t at = 0; at < count; ++at)
-                    start("d" + std::to_string(at), patience);
+                    start("d" + std::to_string(at), deadline);
             });
-        const auto until = cj::event_loop::now() + patience * 2;
-        while (ended() < count && cj::event_loop::now() < until)
+        const auto until = cj::event_loop::now() + deadline * 2;
+        while (finished() < count && cj::event_loop::now() < until)
             std::this_thread::sleep_for(10ms);
     }
 
-    std::size_t ended()
+    std::size_t finished()
     {
         std::size_t number = 0;
-        loop.on_loop([&] { number = told; });
+        loop.on_loop([&] { number = finished_count; });
         return number;
     }
 
     std::size_t accepted()
     {
         std::size_t number = 0;
-        loop.on_loop([&] { number = good; });
+        loop.on_loop([&] { number = accepted_count; });
         return number;
     }
 
@@ -167,41 +171,43 @@
     }
 
 private:
-    void start(const std::string& name, cj::milliseconds patience)
+    void start(const std::string& name, cj::milliseconds deadline)
     {
         stores.push_back(std::make_unique<cj::configuration_store>(
-            loop.loop, *values, cj::event_loop::now() + patience));
+            loop.loop, *values, cj::event_loop::now() + deadline));
         cj::configuration_writer<cj::configuration_store>::start(
             *stores.back(), create(name), cj::write_id("write-" + name),
             cj::configuration(),
-            [this](const cj::write_result& end)
+            [this](const cj::write_result& written)
             {
-                ++told;
-                good += end.outcome ? 1 : 0;
+                ++finished_count;
+                accepted_count += written.outcome ? 1 : 0;
             });
     }
 
     loopback::running_loop loop;
-    std::optional<distant_service> service;
+    std::optional<narrow_link_service> service;
     std::optional<cj::http_client> client;
     std::optional<cj::key_value_client> values;
     std::vector<std::unique_ptr<cj::configuration_store>> stores;
-    std::size_t told{0};
-    std::size_t good{0};
+    std::size_t finished_count{0};
+    std::size_t accepted_count{0};
 };
 
-/*! @brief The service alone at the end of a slow link: it gives a value part by
- * part, and answers a write after a time for each of its bytes. */
+/*! @brief A service behind a slow link: it sends a value in parts with pauses
+ * between them, and responds to a write after a time in proportion to the size
+ * of its body. */
 class slow_service
 {
 public:
     static constexpr cj::milliseconds limit{250};
-    static constexpr cj::milliseconds each_part{100};
+    static constexpr cj::milliseconds part_interval{100};
     static constexpr std::size_t parts = 10;
     static constexpr std::size_t write_rate = 400'000; /*!< Bytes a second. */
 
-    /*! @param given Parts after which it falls silent. */
-    explicit slow_service(std::size_t given) : most(given)
+    /*! @param max_parts Parts after which it stops responding; with 0, writes
+     * get no response either. */
+    explicit slow_service(std::size_t max_parts) : parts_to_send(max_parts)
     {
         loop.on_loop(
             [&]
@@ -210,7 +216,7 @@
                     loop.loop, "127.0.0.1", 0, {},
                     [this](const cj::stream_request& request,
                            cj::stream_reply reply)
-                    { take(request, std::move(reply)); });
+                    { handle(request, std::move(reply)); });
                 server = std::move(made.value());
                 client.emplace(loop.loop);
                 values.emplace(*client,
@@ -225,7 +231,7 @@
         loop.on_loop(
             [&]
             {
-                pause.stop();
+                send_timer.stop();
                 client.reset();
                 server.reset();
             });
@@ -241,7 +247,7 @@
         loop.on_loop(
             [&]
             { values->read("a/key", [&](auto end) { got.emplace(end); }); });
-        wait([&] { return got.has_value(); });
+        wait_until([&] { return got.has_value(); });
         return *got;
     }
 
@@ -254,96 +260,98 @@
                 values->compare_and_swap("a/key", 0, std::string(bytes, 'x'),
                                          [&](auto end) { got = end; });
             });
-        wait([&] { return got.has_value(); });
+        wait_until([&] { return got.has_value(); });
         return *got;
     }
 
 private:
-    void take(const cj::stream_request& request, cj::stream_reply reply)
+    void handle(const cj::stream_request& request, cj::stream_reply reply)
     {
-        open = std::move(reply);
+        current_reply = std::move(reply);
         if (request.method == "PUT")
         {
-            if (most == 0)
+            if (parts_to_send == 0)
                 return;
-            const auto takes = 1000 * request.body.size() / write_rate;
-            pause = loop.loop.after(cj::milliseconds(takes),
-                                    [this] { open.send(200, {}, "true"); });
+            const auto transfer_ms = 1000 * request.body.size() / write_rate;
+            send_timer =
+                loop.loop.after(cj::milliseconds(transfer_ms), [this]
+                                { current_reply.send(200, {}, "true"); });
             return;
         }
-        const nlohmann::json one{{"ModifyIndex", 7},
-                                 {"Value", cj::to_base64("v")}};
-        text = nlohmann::json::array({one}).dump();
-        given = 0;
-        open.begin(200, {});
-        give();
+        const nlohmann::json item{{"ModifyIndex", 7},
+                                  {"Value", cj::to_base64("v")}};
+        text = nlohmann::json::array({item}).dump();
+        sent_parts = 0;
+        current_reply.begin(200, {});
+        send_part();
     }
 
-    void give()
+    void send_part()
     {
-        if (given == most)
+        if (sent_parts == parts_to_send)
             return;
-        const auto each = text.size() / parts + 1;
-        open.write(text.substr(std::min(given * each, text.size()), each));
-        if (++given == parts)
-            return open.finish();
-        pause = loop.loop.after(each_part, [this] { give(); });
+        const auto part_size = text.size() / parts + 1;
+        current_reply.write(text.substr(
+            std::min(sent_parts * part_size, text.size()), part_size));
+        if (++sent_parts == parts)
+            return current_reply.finish();
+        send_timer = loop.loop.after(part_interval, [this] { send_part(); });
     }
 
-    template <typename Over>
-    void wait(Over over)
+    template <typename Condition>
+    void wait_until(Condition condition)
     {
-        for (bool ended = false; !ended;)
+        for (bool met = false; !met;)
         {
             std::this_thread::sleep_for(10ms);
-            loop.on_loop([&] { ended = over(); });
+            loop.on_loop([&] { met = condition(); });
         }
     }
 
-    std::size_t most;
+    std::size_t parts_to_send;
     loopback::running_loop loop;
     std::unique_ptr<cj::stream_server> server;
     std::optional<cj::http_client> client;
     std::optional<cj::key_value_client> values;
-    cj::stream_reply open;
+    cj::stream_reply current_reply;
     std::string text;
-    std::size_t given{0};
-    cj::timer pause;
+    std::size_t sent_parts{0};
+    cj::timer send_timer;
 };
 
 } // namespace
 
-// The value is large, or many read it at once over one link, so that it comes
-// slowly. If a read were given up after the time in which the service usually
-// answers, the whole would be read again from nothing, by everybody, without an
-// end: entries that start would never know what is in force.
-SCENARIO("a value that keeps coming is read to its end", "[control]")
+// A large value, or many readers on one link, make a read slow. If a read that
+// makes progress were cancelled after the usual response time, every process
+// would start over again and again, and entries that start would never get the
+// configuration.
+SCENARIO("a slow read that makes progress is not cancelled", "[control]")
 {
-    GIVEN("a service whose answers take longer than a call may be silent")
+    GIVEN("responses that take longer than the limit on silence")
     {
         slow_service service(slow_service::parts);
-        THEN("a value that comes part by part is read")
+        THEN("a value that arrives in parts is read")
         {
             const auto got = service.read();
             REQUIRE(got);
             CHECK(got.value().index == 7);
             CHECK(got.value().text == "v");
         }
-        THEN("a write has the time that its bytes take")
+        THEN("a write gets time in proportion to its size")
         {
             CHECK(service.write(400'000) == cj::swap_outcome::swapped);
         }
     }
-    GIVEN("a service that falls silent")
+    GIVEN("a service that stops responding")
     {
         const auto began = cj::event_loop::now();
-        THEN("half a value is given up soon")
+        THEN("a read of half a value fails within 2 s")
         {
             slow_service service(slow_service::parts / 2);
             CHECK_FALSE(service.read());
             CHECK(cj::event_loop::now() - began < 2s);
         }
-        THEN("so is a small write")
+        THEN("a small write fails within 2 s")
         {
             slow_service service(0);
             CHECK(service.write(60) == cj::swap_outcome::unknown);
@@ -352,35 +360,34 @@
     }
 }
 
-// The configuration is one value. Eight operators change it at the same moment
-// over a link on which five calls at once end in time. If all that failed came
-// back after the same pause, they would fill the link together again and
-// again: in five seconds, in which it carries a hundred values, no change at
-// all would be accepted.
-SCENARIO("operators who write at once do not keep each other from it",
-         "[control]")
+// The configuration is one value. Eight writers change it at the same moment
+// over a link on which five concurrent calls end in time. If all failed ones
+// retried after the same pause, they would overload the link together each
+// time: in five seconds, in which the link carries a hundred values, not one
+// change would be accepted.
+SCENARIO("concurrent writers do not starve each other", "[control]")
 {
     GIVEN("a service behind a narrow link")
     {
-        operators many;
+        concurrent_writers writers;
         WHEN("two write at the same moment")
         {
-            many.write(2, 5000ms);
+            writers.write(2, 5000ms);
             THEN("both changes are accepted")
             {
-                CHECK(many.accepted() == 2);
+                CHECK(writers.accepted() == 2);
             }
         }
-        WHEN("more write than the link can take at once")
+        WHEN("more write than the link can serve in time")
         {
             constexpr std::size_t count = 8;
-            constexpr std::size_t most = 6;
-            many.write(count, 5000ms);
-            THEN("most are accepted, and each hears what became of its own")
+            constexpr std::size_t min_accepted = 6;
+            writers.write(count, 5000ms);
+            THEN("most are accepted, and each write reports its result")
             {
-                CHECK(many.ended() == count);
-                CHECK(many.accepted() >= most);
-                CHECK(many.stored() >= many.accepted());
+                CHECK(writers.finished() == count);
+                CHECK(writers.accepted() >= min_accepted);
+                CHECK(writers.stored() >= writers.accepted());
             }
         }
     }
