--- a/src/coursejunction/member/member_table.cpp
+++ b/src/coursejunction/member/member_table.cpp
@@ -10,18 +10,19 @@
 namespace internal
 {
 
-/*! @brief Returns ids in the order of their hashes, starting after `own`. */
+/*! @brief Returns ids in the order of their hashes, starting after that of
+ * `own` and wrapping around. */
 std::vector<instance_id> ring_after(const instance_id& own,
                                     std::vector<instance_id> ids)
 {
-    const auto place = [](const instance_id& id)
+    const auto ring_position = [](const instance_id& id)
     { return std::pair(stable_hash(id.value()), id); };
     std::sort(ids.begin(), ids.end(),
               [&](const auto& left, const auto& right)
-              { return place(left) < place(right); });
-    const auto start =
-        std::find_if(ids.begin(), ids.end(),
-                     [&](const auto& id) { return place(own) < place(id); });
+              { return ring_position(left) < ring_position(right); });
+    const auto start = std::find_if(
+        ids.begin(), ids.end(),
+        [&](const auto& id) { return ring_position(own) < ring_position(id); });
     std::rotate(ids.begin(), start, ids.end());
     return ids;
 }
@@ -31,16 +32,16 @@
 bool member_table::assign(std::vector<member> listed)
 {
     std::map<instance_id, member> next;
-    for (auto& one : listed)
+    for (auto& item : listed)
     {
-        const auto id = one.id;
-        next.insert_or_assign(id, std::move(one));
+        const auto id = item.id;
+        next.insert_or_assign(id, std::move(item));
     }
     if (next == listed_members)
         return false;
     listed_members = std::move(next);
-    std::erase_if(observed, [&](const auto& one)
-                  { return !listed_members.contains(one.first); });
+    std::erase_if(observations, [&](const auto& item)
+                  { return !listed_members.contains(item.first); });
     return true;
 }
 
@@ -48,36 +49,36 @@
 {
     if (!contains(sample.id))
         return true;
-    auto& seen = observed[sample.id];
-    const auto fresh = std::pair(sample.incarnation, sample.sequence);
-    if (fresh <= std::pair(seen.incarnation, seen.sequence))
+    auto& last = observations[sample.id];
+    const auto received = std::pair(sample.incarnation, sample.sequence);
+    if (received <= std::pair(last.incarnation, last.sequence))
         return false;
-    if (sample.incarnation > seen.incarnation)
-        seen.leaving = false;
-    seen.incarnation = sample.incarnation;
-    seen.sequence = sample.sequence;
-    seen.leaving = seen.leaving || sample.leaving;
-    seen.failed_at.reset();
+    if (sample.incarnation > last.incarnation)
+        last.leaving = false;
+    last.incarnation = sample.incarnation;
+    last.sequence = sample.sequence;
+    last.leaving = last.leaving || sample.leaving;
+    last.failed_at.reset();
     return true;
 }
 
 void member_table::record_failure(const instance_id& id, time_point now)
 {
     if (contains(id))
-        observed[id].failed_at = now;
+        observations[id].failed_at = now;
 }
 
 void member_table::record_response(const instance_id& id)
 {
-    const auto found = observed.find(id);
-    if (found != observed.end())
+    const auto found = observations.find(id);
+    if (found != observations.end())
         found->second.failed_at.reset();
 }
 
 void member_table::record_leaving(const instance_id& id)
 {
     if (contains(id))
-        observed[id].leaving = true;
+        observations[id].leaving = true;
 }
 
 const member* member_table::find(const instance_id& id) const
@@ -91,13 +92,13 @@
     const auto* listed = find(id);
     if (listed == nullptr || listed->leaving)
         return false;
-    const auto seen = observed.find(id);
-    if (seen == observed.end())
+    const auto found = observations.find(id);
+    if (found == observations.end())
         return true;
-    if (seen->second.leaving)
+    if (found->second.leaving)
         return false;
-    return !seen->second.failed_at ||
-           now - *seen->second.failed_at > suspicion_time;
+    return !found->second.failed_at ||
+           now - *found->second.failed_at > suspicion_time;
 }
 
 std::vector<member> member_table::select(role kind,
@@ -105,10 +106,11 @@
                                          time_point now) const
 {
     std::vector<member> chosen;
-    for (const auto& [id, one] : listed_members)
+    for (const auto& [id, listed] : listed_members)
     {
-        if (one.kind == kind && (!hall || one.hall == *hall) && usable(id, now))
-            chosen.push_back(one);
+        if (listed.kind == kind && (!hall || listed.hall == *hall) &&
+            usable(id, now))
+            chosen.push_back(listed);
     }
     return chosen;
 }
@@ -118,7 +120,7 @@
                                                          time_point now) const
 {
     std::vector<instance_id> others;
-    for (const auto& [id, one] : listed_members)
+    for (const auto& [id, listed] : listed_members)
     {
         if (id != own && usable(id, now))
             others.push_back(id);
@@ -140,20 +142,21 @@
 {
     const auto entries = select(role::entry, std::nullopt, now);
     const auto region = region_of(hall);
-    const auto ids_where = [&](auto keep)
+    const auto ids_where = [&](auto condition)
     {
         std::vector<instance_id> ids;
-        for (const auto& one : entries)
+        for (const auto& entry : entries)
         {
-            if (keep(one))
-                ids.push_back(one.id);
+            if (condition(entry))
+                ids.push_back(entry.id);
         }
         return ids;
     };
-    auto ids = ids_where([&](const member& one) { return one.hall == hall; });
+    auto ids =
+        ids_where([&](const member& entry) { return entry.hall == hall; });
     if (ids.empty())
-        ids =
-            ids_where([&](const member& one) { return one.region == region; });
+        ids = ids_where([&](const member& entry)
+                        { return entry.region == region; });
     if (ids.empty())
         ids = ids_where([](const member&) { return true; });
     return rendezvous_rank(hall.value(), ids, count);
@@ -161,9 +164,9 @@
 
 region_id member_table::region_of(const hall_id& hall) const
 {
-    const auto found =
-        std::find_if(listed_members.begin(), listed_members.end(),
-                     [&](const auto& one) { return one.second.hall == hall; });
+    const auto found = std::find_if(
+        listed_members.begin(), listed_members.end(),
+        [&](const auto& item) { return item.second.hall == hall; });
     return found == listed_members.end() ? region_id() : found->second.region;
 }
 
--- a/tests/member/member_table.cpp
+++ b/tests/member/member_table.cpp
@@ -10,69 +10,70 @@
 namespace
 {
 
-cj::member make(const std::string& id, cj::role kind, const std::string& hall,
-                const std::string& region = "east")
+cj::member make_member(const std::string& id, cj::role kind,
+                       const std::string& hall,
+                       const std::string& region = "east")
 {
-    cj::member one;
-    one.id = cj::instance_id(id);
-    one.kind = kind;
-    one.hall = cj::hall_id(hall);
-    one.region = cj::region_id(region);
-    one.peer_address = "127.0.0.1:1";
-    return one;
+    cj::member made;
+    made.id = cj::instance_id(id);
+    made.kind = kind;
+    made.hall = cj::hall_id(hall);
+    made.region = cj::region_id(region);
+    made.peer_address = "127.0.0.1:1";
+    return made;
 }
 
 } // namespace
 
-SCENARIO("members are listed, heard and doubted", "[member]")
+SCENARIO("heartbeats and failed attempts correct the instance list", "[member]")
 {
     cj::member_table table;
     const cj::time_point now{10s};
     const cj::instance_id id("side-1");
-    table.assign({make("side-1", cj::role::side, "north"),
-                  make("entry-1", cj::role::entry, "north"),
-                  make("entry-2", cj::role::entry, "south"),
-                  make("entry-3", cj::role::entry, "lake", "west")});
+    table.assign({make_member("side-1", cj::role::side, "north"),
+                  make_member("entry-1", cj::role::entry, "north"),
+                  make_member("entry-2", cj::role::entry, "south"),
+                  make_member("entry-3", cj::role::entry, "lake", "west")});
 
-    GIVEN("an attempt that failed")
+    GIVEN("a failed attempt")
     {
         table.record_failure(id, now);
         CHECK_FALSE(table.usable(id, now));
-        THEN("it is tried again after a while, or once it is heard")
+        THEN("the member is usable after 3 s, or after a heartbeat")
         {
             CHECK(table.usable(id, now + 3s));
             CHECK(table.record_heartbeat({id, 1, 1, false}, now));
             CHECK(table.usable(id, now));
         }
     }
-    GIVEN("a heartbeat")
+    GIVEN("a recorded heartbeat")
     {
         CHECK(table.record_heartbeat({id, 5, 7, false}, now));
-        THEN("a replayed or older one is refused")
+        THEN("a replayed or older one is ignored")
         {
             CHECK_FALSE(table.record_heartbeat({id, 5, 7, true}, now));
             CHECK_FALSE(table.record_heartbeat({id, 4, 9, true}, now));
             CHECK(table.usable(id, now));
         }
-        THEN("a leaving mark sticks although the list lags")
+        THEN("leaving stays set although the list lags behind")
         {
             CHECK(table.record_heartbeat({id, 5, 8, true}, now));
             CHECK(table.record_heartbeat({id, 5, 9, false}, now));
             CHECK_FALSE(table.usable(id, now));
-            AND_THEN("a new process under the same id is used again")
+            AND_THEN("a new process with the same id is usable")
             {
                 CHECK(table.record_heartbeat({id, 6, 1, false}, now));
                 CHECK(table.usable(id, now));
             }
         }
     }
-    GIVEN("a hall whose only entry is lost")
+    GIVEN("a hall whose only entry is suspected")
     {
         const cj::hall_id north("north");
         REQUIRE(table.designated_entries(north, 2, now).front() ==
                 cj::instance_id("entry-1"));
         table.record_failure(cj::instance_id("entry-1"), now);
-        THEN("another of its region stands in")
+        THEN("an entry of its region is designated instead")
         {
             CHECK(table.designated_entries(north, 2, now) ==
                   std::vector{cj::instance_id("entry-2")});
@@ -80,20 +81,20 @@
     }
 }
 
-SCENARIO("gossip neighbours reach everybody", "[member]")
+SCENARIO("gossip reaches every instance", "[member]")
 {
-    GIVEN("two hundred instances that see the same list")
+    GIVEN("two hundred instances with the same list")
     {
         constexpr std::size_t count = 200;
         std::vector<cj::member> all;
         for (std::size_t at = 0; at < count; ++at)
-            all.push_back(
-                make("i-" + std::to_string(at), cj::role::side, "north"));
+            all.push_back(make_member("i-" + std::to_string(at), cj::role::side,
+                                      "north"));
         cj::member_table table;
         table.assign(all);
         std::set<cj::instance_id> reached{all.front().id};
         std::size_t rounds = 0;
-        for (bool grown = true; grown; ++rounds)
+        for (bool spreading = true; spreading; ++rounds)
         {
             auto next = reached;
             for (const auto& from : reached)
@@ -102,10 +103,10 @@
                 CHECK(to.size() == 8);
                 next.insert(to.begin(), to.end());
             }
-            grown = next.size() > reached.size();
+            spreading = next.size() > reached.size();
             reached = std::move(next);
         }
-        THEN("news reaches all of them in a few rounds")
+        THEN("an update reaches all of them within seven rounds")
         {
             CHECK(reached.size() == count);
             CHECK(rounds <= 7);
