--- a/src/coursejunction/resource/configuration.cpp
+++ b/src/coursejunction/resource/configuration.cpp
@@ -12,43 +12,48 @@
 
 result<configuration> configuration::parse(std::string_view text)
 {
-    const auto from = json::parse(text, nullptr, false);
-    if (!from.is_object() || !from.contains("revision") ||
-        !from["revision"].is_number_unsigned() ||
-        !from.contains("deployments") || !from["deployments"].is_array() ||
-        !from.contains("writes") || !from["writes"].is_array())
-        return failure(error_kind::invalid, "not a configuration");
-    configuration read;
-    read.current = revision(from["revision"].get<std::uint64_t>());
-    for (const auto& one : from["deployments"])
+    const auto object = json::parse(text, nullptr, false);
+    if (!object.is_object() || !object.contains("revision") ||
+        !object["revision"].is_number_unsigned() ||
+        !object.contains("deployments") || !object["deployments"].is_array() ||
+        !object.contains("writes") || !object["writes"].is_array())
+        return failure(error_kind::invalid,
+                       "configuration: must be an object with a revision, "
+                       "deployments and writes");
+    configuration parsed;
+    parsed.current = revision(object["revision"].get<std::uint64_t>());
+    for (const auto& item : object["deployments"])
     {
-        auto spec = internal::from_json(one);
+        auto spec = internal::from_json(item);
         if (!spec)
             return failure(spec.error().kind, spec.error().message);
-        read.specs.emplace(spec.value().name, spec.value());
+        parsed.specs.emplace(spec.value().name, spec.value());
     }
-    for (const auto& one : from["writes"])
+    for (const auto& item : object["writes"])
     {
-        if (!one.is_array() || one.size() != 2 || !one[0].is_string() ||
-            !one[1].is_number_unsigned())
-            return failure(error_kind::invalid, "not a list of writes");
-        read.writes.push_back({write_id(one[0].get<std::string>()),
-                               revision(one[1].get<std::uint64_t>())});
+        if (!item.is_array() || item.size() != 2 || !item[0].is_string() ||
+            !item[1].is_number_unsigned())
+            return failure(
+                error_kind::invalid,
+                "configuration: each write must be a pair of write id "
+                "and revision");
+        parsed.writes.push_back({write_id(item[0].get<std::string>()),
+                                 revision(item[1].get<std::uint64_t>())});
     }
-    return read;
+    return parsed;
 }
 
 std::string configuration::to_json() const
 {
-    json list = json::array();
+    json deployment_list = json::array();
     for (const auto& [name, spec] : specs)
-        list.push_back(internal::to_json(spec));
-    json kept = json::array();
-    for (const auto& one : writes)
-        kept.push_back({one.id.value(), one.made.value()});
+        deployment_list.push_back(internal::to_json(spec));
+    json recorded = json::array();
+    for (const auto& write : writes)
+        recorded.push_back({write.id.value(), write.made.value()});
     return json{{"revision", current.value()},
-                {"deployments", std::move(list)},
-                {"writes", std::move(kept)}}
+                {"deployments", std::move(deployment_list)},
+                {"writes", std::move(recorded)}}
         .dump();
 }
 
@@ -90,10 +95,10 @@
             spec.previous_version = found->second.previous_version;
         next.specs[change.name] = std::move(spec);
     }
-    next.add_write(id);
+    next.record_write(id);
     if (next.to_json().size() > max_bytes)
         return failure(error_kind::invalid,
-                       "configuration: would exceed one megabyte");
+                       "configuration: would exceed 1000000 bytes");
     return next;
 }
 
@@ -102,7 +107,8 @@
     if (other.writes.empty() || other.current > current)
         return other.current <= current;
     const auto& last = other.writes.back();
-    return keeps(last) || (!writes.empty() && last.made < writes.front().made);
+    return has_recorded(last) ||
+           (!writes.empty() && last.made < writes.front().made);
 }
 
 configuration configuration::merge(const configuration& stored,
@@ -112,76 +118,80 @@
         return *this;
     if (stored.descends_from(*this))
         return stored;
-    auto joined = *this;
-    joined.current = revision(std::max(current, stored.current).value() + 1);
-    joined.take_changes(stored);
-    joined.add_writes(stored);
-    joined.add_write(id);
-    return joined;
+    auto merged = *this;
+    merged.current = revision(std::max(current, stored.current).value() + 1);
+    merged.merge_deployments(stored);
+    merged.merge_writes(stored);
+    merged.record_write(id);
+    return merged;
 }
 
-bool configuration::keeps(const write& one) const
+bool configuration::has_recorded(const recorded_write& write) const
 {
-    return std::find(writes.begin(), writes.end(), one) != writes.end();
+    return std::find(writes.begin(), writes.end(), write) != writes.end();
 }
 
-/*! @brief Tells whether the write that made a deployment of another one is
- * part of this one. The other's own writes come before those that it joined
- * under the same revision. */
-bool configuration::knows(const configuration& other,
-                          const deployment& spec) const
+/*! @brief Tells whether this configuration includes the write that last changed
+ * a deployment of another one. Of several writes that the other one has under
+ * the same revision, its own comes first, before those it merged. */
+bool configuration::includes_change(const configuration& other,
+                                    const deployment& spec) const
 {
-    const auto made = std::find_if(
-        other.writes.begin(), other.writes.end(),
-        [&](const write& one) { return one.made == spec.changed_revision; });
-    return made == other.writes.end() || keeps(*made);
+    const auto made =
+        std::find_if(other.writes.begin(), other.writes.end(),
+                     [&](const recorded_write& write)
+                     { return write.made == spec.changed_revision; });
+    return made == other.writes.end() || has_recorded(*made);
 }
 
-/*! @brief Takes what another one has changed and this one does not know. It
- * has removed what it knows and has not. */
-void configuration::take_changes(const configuration& from)
+/*! @brief Takes over deployments that another configuration changed by writes
+ * that this one does not include. A deployment that is absent there was removed
+ * there if the other one includes the write that last changed it here; it is
+ * removed here too. */
+void configuration::merge_deployments(const configuration& other)
 {
     const auto own = *this;
     std::erase_if(specs,
-                  [&](const auto& one) {
-                      return from.find(one.first) == nullptr &&
-                             from.knows(own, one.second);
+                  [&](const auto& item)
+                  {
+                      return other.find(item.first) == nullptr &&
+                             other.includes_change(own, item.second);
                   });
-    for (const auto& [name, spec] : from.specs)
+    for (const auto& [name, spec] : other.specs)
     {
-        if (own.knows(from, spec))
+        if (own.includes_change(other, spec))
             continue;
-        auto& taken = specs[name];
-        taken = spec;
-        // A number that either side gave out would not tell readers of the
-        // other side that it was changed.
-        taken.changed_revision = current;
+        auto& merged = specs[name];
+        merged = spec;
+        // The revision of the merge: an operator who read this deployment from
+        // either configuration has to see that it changed.
+        merged.changed_revision = current;
     }
 }
 
-void configuration::add_writes(const configuration& from)
+void configuration::merge_writes(const configuration& other)
 {
-    std::copy_if(from.writes.begin(), from.writes.end(),
-                 std::back_inserter(writes),
-                 [&](const write& one) { return !keeps(one); });
+    std::copy_if(
+        other.writes.begin(), other.writes.end(), std::back_inserter(writes),
+        [&](const recorded_write& write) { return !has_recorded(write); });
     std::stable_sort(writes.begin(), writes.end(),
-                     [](const write& left, const write& right)
+                     [](const recorded_write& left, const recorded_write& right)
                      { return left.made < right.made; });
 }
 
-void configuration::add_write(const write_id& id)
+void configuration::record_write(const write_id& id)
 {
     writes.push_back({id, current});
-    while (writes.size() > kept_writes)
+    while (writes.size() > max_recorded_writes)
         writes.pop_front();
 }
 
 std::optional<revision>
 configuration::revision_of_write(const write_id& id) const
 {
-    const auto found =
-        std::find_if(writes.begin(), writes.end(),
-                     [&](const write& one) { return one.id == id; });
+    const auto found = std::find_if(writes.begin(), writes.end(),
+                                    [&](const recorded_write& write)
+                                    { return write.id == id; });
     if (found == writes.end())
         return std::nullopt;
     return found->made;
--- a/src/coursejunction/resource/deployment.hpp
+++ b/src/coursejunction/resource/deployment.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief The resource that operators declare: which weights run where.
+ * @brief The resource that operators declare: which model version runs on how
+ * many upstreams of each hall.
  */
 #ifndef COURSEJUNCTION_RESOURCE_DEPLOYMENT_HPP
 #define COURSEJUNCTION_RESOURCE_DEPLOYMENT_HPP
@@ -17,43 +18,46 @@
 namespace coursejunction
 {
 
-/*! @brief What a rollout saves first. */
+/*! @brief What a rollout minimises first. */
 enum class rollout_objective : std::uint8_t
 {
-    time,  /*!< Time to N replicas; spare origin capacity may be used. */
-    origin /*!< Origin bytes; one copy, however long it takes. */
+    time,  /*!< Time until all replicas serve; may use spare origin capacity. */
+    origin /*!< Bytes from the origin: one copy, however long it takes. */
 };
 
 /*! @brief How many replicas a hall runs, and on which upstreams. */
 struct placement
 {
     hall_id hall;
-    std::size_t count{0};
-    std::vector<std::string> selector;
+    std::size_t count{0};              /*!< Replicas. */
+    std::vector<std::string> selector; /*!< Labels an upstream must have. */
 
     friend bool operator==(const placement&, const placement&) = default;
 };
 
-/*! @brief Spec of one deployment. */
+/*! @brief Specification of one deployment. */
 struct deployment
 {
     deployment_name name;
     std::string model;
-    std::string adapter;
-    std::string engine_role{"serve"};
-    digest version;
-    digest previous_version;
+    std::string adapter; /*!< Passed to the engine; may be empty. */
+    std::string engine_role{"serve"}; /*!< Passed to the engine. */
+    digest version;                   /*!< SHA-256 of the manifest. */
+    digest previous_version;          /*!< Target of an abort; may be empty. */
     std::vector<placement> placements;
+    /*! @brief How many upstreams of a hall a rollout may close to requests at
+     * the same time. */
     std::size_t max_closed_per_hall{1};
     rollout_objective objective{rollout_objective::time};
-    bool paused{false};
-    revision changed_revision;
+    bool paused{false};        /*!< The rollout closes no further replicas. */
+    revision changed_revision; /*!< Revision that last changed it. */
 
-    /*! @brief Reads a spec as an operator wrote it (JSON).
-     * @return The spec, or `invalid` with a line that names the field. */
+    /*! @brief Parses a specification from JSON.
+     * @return The specification, or `invalid` with a message that names the
+     * first wrong field. */
     [[nodiscard]] static result<deployment> parse(std::string_view text);
 
-    /*! @brief Returns the spec as JSON. */
+    /*! @brief Returns the specification as JSON. */
     [[nodiscard]] std::string to_json() const;
 
     friend bool operator==(const deployment&, const deployment&) = default;
--- a/src/coursejunction/resource/internal/deployment_json.hpp
+++ b/src/coursejunction/resource/internal/deployment_json.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief JSON of a deployment, shared by the files of this module.
+ * @brief Conversion of a deployment from and to JSON, shared by the files of
+ * this module.
  */
 #ifndef COURSEJUNCTION_RESOURCE_INTERNAL_DEPLOYMENT_JSON_HPP
 #define COURSEJUNCTION_RESOURCE_INTERNAL_DEPLOYMENT_JSON_HPP
@@ -11,8 +12,8 @@
 namespace coursejunction::internal
 {
 
-[[nodiscard]] nlohmann::json to_json(const deployment& from);
-[[nodiscard]] result<deployment> from_json(const nlohmann::json& from);
+[[nodiscard]] nlohmann::json to_json(const deployment& spec);
+[[nodiscard]] result<deployment> from_json(const nlohmann::json& object);
 
 } // namespace coursejunction::internal
 
--- a/tests/resource/deployment.cpp
+++ b/tests/resource/deployment.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-nlohmann::json good()
+nlohmann::json valid_deployment()
 {
     return {{"name", "tutor"},
             {"model", "tutor-13b"},
@@ -16,66 +16,69 @@
             {"placements", {{{"hall", "antigua"}, {"count", 4}}}}};
 }
 
-std::string fault_of(const nlohmann::json& from)
+std::string parse_error(const nlohmann::json& object)
 {
-    const auto read = cj::deployment::parse(from.dump());
+    const auto read = cj::deployment::parse(object.dump());
     return read ? std::string{} : read.error().message;
 }
 
 } // namespace
 
-SCENARIO("a deployment's input is checked field by field", "[resource]")
+SCENARIO("parsing a deployment reports the first wrong field", "[resource]")
 {
-    GIVEN("a good one")
+    GIVEN("a valid deployment")
     {
-        const auto read = cj::deployment::parse(good().dump());
+        const auto read = cj::deployment::parse(valid_deployment().dump());
         REQUIRE(read);
         CHECK(cj::deployment::parse(read.value().to_json()).value() ==
               read.value());
     }
-    GIVEN("bad ones")
+    GIVEN("an invalid deployment")
     {
-        auto from = good();
-        SECTION("no JSON")
+        auto object = valid_deployment();
+        SECTION("invalid JSON")
         {
             CHECK(cj::deployment::parse("{").error().message ==
-                  "body: is not JSON");
+                  "body: is not valid JSON");
         }
         SECTION("a missing field")
         {
-            from.erase("version");
-            CHECK(fault_of(from) == "version: is missing");
+            object.erase("version");
+            CHECK(parse_error(object) == "version: is missing");
         }
         SECTION("an unknown field")
         {
-            from["replica"] = 3;
-            CHECK(fault_of(from) == "replica: is not a field of a deployment");
+            object["replica"] = 3;
+            CHECK(parse_error(object) ==
+                  "replica: is not a field of a deployment");
         }
-        SECTION("a wrong hash")
+        SECTION("a version that is not a SHA-256")
         {
-            from["version"] = "v2";
-            CHECK(fault_of(from) == "version: must be the SHA-256 of a "
-                                    "manifest, 64 hex digits");
+            object["version"] = "v2";
+            CHECK(parse_error(object) == "version: must be the SHA-256 of a "
+                                         "manifest, 64 hex digits");
         }
         SECTION("a negative count")
         {
-            from["placements"][0]["count"] = -1;
-            CHECK(fault_of(from).rfind("placements[0].count: ", 0) == 0);
+            object["placements"][0]["count"] = -1;
+            CHECK(parse_error(object).rfind("placements[0].count: ", 0) == 0);
         }
-        SECTION("a hall twice")
+        SECTION("two placements in one hall")
         {
-            from["placements"].push_back(from["placements"][0]);
-            CHECK(fault_of(from) == "placements[1].hall: stands twice");
+            object["placements"].push_back(object["placements"][0]);
+            CHECK(parse_error(object) ==
+                  "placements[1].hall: has another placement already");
         }
-        SECTION("a wrong weighting")
+        SECTION("an unknown rollout objective")
         {
-            from["weigh"] = "money";
-            CHECK(fault_of(from) == "weigh: must be time or origin");
+            object["weigh"] = "money";
+            CHECK(parse_error(object) == "weigh: must be time or origin");
         }
-        SECTION("a name that no path can hold")
+        SECTION("a name that is not usable in a URL path")
         {
-            from["name"] = "a/b";
-            CHECK(fault_of(from) == "name: must be 1 to 63 of a-z, 0-9 and -");
+            object["name"] = "a/b";
+            CHECK(parse_error(object) ==
+                  "name: must be 1 to 63 characters of a-z, 0-9 and -");
         }
     }
 }
