--- a/src/coursejunction/settings/gateway_settings.cpp
+++ b/src/coursejunction/settings/gateway_settings.cpp
@@ -11,99 +11,105 @@
 namespace internal
 {
 
-constexpr std::int64_t highest_port = 65535;
+constexpr std::int64_t max_port = 65535;
 
-std::vector<std::string> comma_list(const std::string& text)
+std::vector<std::string> split_list(const std::string& text)
 {
-    std::vector<std::string> parts;
+    std::vector<std::string> items;
     std::istringstream stream(text);
-    std::string part;
-    while (std::getline(stream, part, ','))
+    std::string item;
+    while (std::getline(stream, item, ','))
     {
-        if (!part.empty())
-            parts.push_back(part);
+        if (!item.empty())
+            items.push_back(item);
     }
-    return parts;
+    return items;
 }
 
-/*! @brief Reads the first port of a `first,last` range. */
+/*! @brief Returns the first port of a `first,last` range. */
 std::uint16_t first_port(ini_file& file)
 {
-    const auto range = comma_list(file.text("peers", "ports", std::nullopt));
+    const auto range = split_list(file.text("peers", "ports", std::nullopt));
     if (range.empty())
         return 0;
     const auto port = std::strtol(range.front().c_str(), nullptr, 10);
-    if (port < 1 || port > highest_port)
-        file.fault("peers", "ports", "must begin with a port");
+    if (port < 1 || port > max_port)
+        file.record_error("peers", "ports",
+                          "must begin with a port from 1 to 65535");
     return static_cast<std::uint16_t>(port);
 }
 
+/*! @brief Returns the addresses without their ports: all instances use the same
+ * peer port. */
 std::vector<std::string> seed_addresses(ini_file& file)
 {
     std::vector<std::string> hosts;
-    for (const auto& one : comma_list(file.text("peers", "seeds", "")))
-        hosts.push_back(one.substr(0, one.rfind(':')));
+    for (const auto& seed : split_list(file.text("peers", "seeds", "")))
+        hosts.push_back(seed.substr(0, seed.rfind(':')));
     return hosts;
 }
 
-std::string endpoint(ini_file& file, const char* section, const char* key)
+std::string read_endpoint(ini_file& file, const char* section, const char* key)
 {
     auto text = file.text(section, key, std::nullopt);
     if (!text.empty() && text.find(':') == std::string::npos)
-        file.fault(section, key, "'" + text + "' is not IP:port");
+        file.record_error(section, key, "'" + text + "' is not IP:port");
     return text;
 }
 
-/*! @brief Reads how a side loads versions; the defaults were the best of those
- * that were played (docs/PLATFORM.md). */
-void read_rollout(ini_file& file, gateway_settings& made)
+/*! @brief Reads how a sidecar loads versions. The defaults gave the best
+ * results in simulation (docs/PLATFORM.md). */
+void read_rollout(ini_file& file, gateway_settings& settings)
 {
-    constexpr milliseconds usual_drain{800};
-    constexpr std::int64_t usual_percent = 34;
-    constexpr std::int64_t whole = 100;
-    made.drain_timeout = file.duration("rollout", "drain_time", usual_drain);
-    made.max_closed_fraction =
-        static_cast<double>(
-            file.number("rollout", "closed_percent", usual_percent, 1, whole)) /
-        static_cast<double>(whole);
+    constexpr milliseconds default_drain_timeout{800};
+    constexpr std::int64_t default_percent = 34;
+    constexpr std::int64_t max_percent = 100;
+    settings.drain_timeout =
+        file.duration("rollout", "drain_time", default_drain_timeout);
+    settings.max_closed_fraction =
+        static_cast<double>(file.number("rollout", "closed_percent",
+                                        default_percent, 1, max_percent)) /
+        static_cast<double>(max_percent);
 }
 
 result<gateway_settings> read(ini_file& file)
 {
-    gateway_settings made;
+    gateway_settings settings;
     const auto kind = file.text("instance", "role", std::nullopt);
     if (kind == "side")
-        made.kind = role::side;
+        settings.kind = role::side;
     else if (kind != "entry" && !kind.empty())
-        file.fault("instance", "role", "must be entry or side");
-    made.instance = instance_id(file.text("instance", "id", std::nullopt));
-    made.hall = hall_id(file.text("instance", "hall", std::nullopt));
-    made.region = region_id(file.text("instance", "region", std::nullopt));
-    made.address = file.text("instance", "address", std::nullopt);
-    made.log_level = file.text("log", "level", "info");
-    made.peer_port = first_port(file);
-    made.seeds = seed_addresses(file);
-    made.store_address = endpoint(file, "store", "address");
-    if (made.kind == role::entry)
+        file.record_error("instance", "role", "must be entry or side");
+    settings.instance = instance_id(file.text("instance", "id", std::nullopt));
+    settings.hall = hall_id(file.text("instance", "hall", std::nullopt));
+    settings.region = region_id(file.text("instance", "region", std::nullopt));
+    settings.address = file.text("instance", "address", std::nullopt);
+    settings.log_level = file.text("log", "level", "info");
+    settings.peer_port = first_port(file);
+    settings.seeds = seed_addresses(file);
+    settings.store_address = read_endpoint(file, "store", "address");
+    if (settings.kind == role::entry)
     {
-        made.listen_address = endpoint(file, "callers", "address");
-        made.readiness_address = endpoint(file, "callers", "ready_address");
+        settings.listen_address = read_endpoint(file, "callers", "address");
+        settings.readiness_address =
+            read_endpoint(file, "callers", "ready_address");
     }
     else
     {
-        made.upstream_address = endpoint(file, "upstream", "address");
-        made.link_rate = file.bytes("link", "rate", 0.0, true);
-        read_rollout(file, made);
+        settings.upstream_address = read_endpoint(file, "upstream", "address");
+        settings.link_rate = file.bytes("link", "rate", 0.0, true);
+        read_rollout(file, settings);
     }
-    made.status_port = static_cast<std::uint16_t>(
-        file.number("status", "port", 0, 0, highest_port));
-    made.version_deadline =
+    settings.status_port = static_cast<std::uint16_t>(
+        file.number("status", "port", 0, 0, max_port));
+    settings.version_deadline =
         file.duration("bounds", "version_time", milliseconds(8000));
-    made.stop_grace = file.duration("bounds", "stop_grace", milliseconds(8000));
-    const auto checked = file.finish();
+    settings.stop_grace =
+        file.duration("bounds", "stop_grace", milliseconds(8000));
+    const auto checked = file.validate();
     if (!checked)
         return failure(checked.error().kind, checked.error().message);
-    return made;
+    return settings;
 }
 
 } // namespace internal
@@ -116,10 +122,10 @@
     return internal::read(file.value());
 }
 
-result<gateway_settings> gateway_settings::parse(const std::string& name,
+result<gateway_settings> gateway_settings::parse(const std::string& file_name,
                                                  const std::string& text)
 {
-    auto file = ini_file::parse(name, text);
+    auto file = ini_file::parse(file_name, text);
     if (!file)
         return failure(file.error().kind, file.error().message);
     return internal::read(file.value());
--- a/src/coursejunction/settings/gateway_settings.hpp
+++ b/src/coursejunction/settings/gateway_settings.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Settings of a daemon that serves an installation behind an adapter.
+ * @brief Settings of an entry or sidecar that reaches the platform of an
+ * installation through an adapter.
  */
 #ifndef COURSEJUNCTION_SETTINGS_GATEWAY_SETTINGS_HPP
 #define COURSEJUNCTION_SETTINGS_GATEWAY_SETTINGS_HPP
@@ -15,43 +16,46 @@
 namespace coursejunction
 {
 
-/*! @brief All settings of an entry or side of an installation. */
+/*! @brief All settings of an entry or sidecar of an installation. */
 struct gateway_settings
 {
     role kind{role::entry};
     instance_id instance;
     hall_id hall;
     region_id region;
-    std::string address;            /*!< IPv4. */
-    std::uint16_t peer_port{0};     /*!< TCP and UDP, alike on all instances. */
-    std::vector<std::string> seeds; /*!< IPv4 addresses of entries. */
+    std::string address;        /*!< Own IPv4 address. */
+    std::uint16_t peer_port{0}; /*!< TCP and UDP; the same on all instances. */
+    std::vector<std::string> seeds; /*!< IPv4 addresses of entries to join. */
     std::string log_level;
 
-    std::string listen_address;    /*!< Of an entry, `IP:port`. */
-    std::string readiness_address; /*!< Of an entry, `IP:port`. */
-    std::string store_address;     /*!< `IP:port`. */
-    std::string upstream_address;  /*!< Of a side, `IP:port`. */
-    byte_rate link_rate{0};        /*!< Of a side's instance, bytes a second. */
+    std::string listen_address;    /*!< Entry: `IP:port` for callers. */
+    std::string readiness_address; /*!< Entry: `IP:port` of health checks. */
+    std::string store_address;     /*!< `IP:port` of the platform's store. */
+    std::string upstream_address;  /*!< Sidecar: `IP:port` of its upstream. */
+    byte_rate link_rate{0};        /*!< Sidecar: its link, bytes a second. */
     std::uint16_t status_port{0};  /*!< Metrics and state dump; 0 for none. */
 
-    milliseconds version_deadline{
-        0}; /*!< A named version is used within this. */
-    milliseconds stop_grace{0};
+    /*! @brief Time from the publication of a version until no request may begin
+     * on older weights. */
+    milliseconds version_deadline{0};
+    milliseconds stop_grace{0}; /*!< Longest duration of a shutdown. */
 
-    /*! @brief Of a side: how long running requests may finish before an order
-     * cuts the rest, which are resumed elsewhere. */
+    /*! @brief Sidecar: how long running requests may finish before a load
+     * command interrupts the rest, which are resumed on other upstreams. */
     milliseconds drain_timeout{0};
-    /*! @brief Of a side: part of a hall's upstreams that close at once. */
+    /*! @brief Sidecar: highest fraction of a hall's upstreams that close to
+     * requests at the same time. */
     double max_closed_fraction{0};
 
     /*! @brief Reads and checks a settings file.
-     * @return The settings, or `invalid` with one line that names file,
-     * section and key. */
+     * @return The settings, or `invalid` with one line that names the file and,
+     * for a wrong value, section and key. */
     [[nodiscard]] static result<gateway_settings> load(const std::string& path);
 
-    /*! @brief Reads and checks a settings text. */
+    /*! @brief Parses and checks a settings text. Errors call it by the given
+     * file name. */
     [[nodiscard]] static result<gateway_settings>
-    parse(const std::string& name, const std::string& text);
+    parse(const std::string& file_name, const std::string& text);
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/settings/ini_file.cpp
+++ b/src/coursejunction/settings/ini_file.cpp
@@ -13,6 +13,7 @@
 namespace internal
 {
 
+/*! @brief A unit of durations (in milliseconds) or sizes (in bytes). */
 struct unit
 {
     std::string_view name;
@@ -31,16 +32,18 @@
     std::string_view unit;
 };
 
-std::optional<quantity> split(std::string_view text)
+/*! @brief Splits a number from its unit; empty if there is no unit or the
+ * number is malformed. */
+std::optional<quantity> parse_quantity(std::string_view text)
 {
     const auto end = text.find_first_not_of("0123456789.");
     if (end == 0 || end == std::string_view::npos)
         return std::nullopt;
     double amount = 0;
     const auto digits = text.substr(0, end);
-    const auto [stop, fault] =
+    const auto [stop, error] =
         std::from_chars(digits.data(), digits.data() + digits.size(), amount);
-    if (fault != std::errc{} || stop != digits.data() + digits.size())
+    if (error != std::errc{} || stop != digits.data() + digits.size())
         return std::nullopt;
     auto name = text.substr(end);
     while (!name.empty() && name.front() == ' ')
@@ -49,12 +52,13 @@
 }
 
 template <typename Units>
-std::optional<double> scaled(const Units& units, const quantity& value)
+/*! @brief Converts to the base unit; empty if the unit is not in the table. */
+std::optional<double> convert(const Units& units, const quantity& value)
 {
-    for (const auto& one : units)
+    for (const auto& known : units)
     {
-        if (one.name == value.unit)
-            return value.amount * one.factor;
+        if (known.name == value.unit)
+            return value.amount * known.factor;
     }
     return std::nullopt;
 }
@@ -71,22 +75,23 @@
     return parse(path, text.str());
 }
 
-result<ini_file> ini_file::parse(const std::string& name,
+result<ini_file> ini_file::parse(const std::string& file_name,
                                  const std::string& text)
 {
     ini_file parsed;
-    parsed.name = name;
+    parsed.file_name = file_name;
     const auto handler = [](void* user, const char* section, const char* key,
                             const char* value) -> int
     {
-        auto& into = *static_cast<ini_file*>(user);
-        into.values[{section, key}] = value;
+        auto& file = *static_cast<ini_file*>(user);
+        file.values[{section, key}] = value;
         return 1;
     };
     const int line = ini_parse_string(text.c_str(), handler, &parsed);
     if (line != 0)
-        return failure(error_kind::invalid,
-                       name + ": line " + std::to_string(line) + " is not INI");
+        return failure(error_kind::invalid, file_name + ": line " +
+                                                std::to_string(line) +
+                                                " is not valid INI");
     return parsed;
 }
 
@@ -94,23 +99,23 @@
                                   std::string_view key)
 {
     key_type full{std::string(section), std::string(key)};
-    known.insert(full);
+    requested.insert(full);
     const auto found = values.find(full);
     return found == values.end() ? nullptr : &found->second;
 }
 
-void ini_file::fault(std::string_view section, std::string_view key,
-                     std::string_view what)
+void ini_file::record_error(std::string_view section, std::string_view key,
+                            std::string_view message)
 {
-    if (!first_fault.empty())
+    if (!first_error.empty())
         return;
-    first_fault = name + ": [" + std::string(section) + "] " +
-                  std::string(key) + ": " + std::string(what);
+    first_error = file_name + ": [" + std::string(section) + "] " +
+                  std::string(key) + ": " + std::string(message);
 }
 
-void ini_file::missing(std::string_view section, std::string_view key)
+void ini_file::record_missing(std::string_view section, std::string_view key)
 {
-    fault(section, key, "value is missing");
+    record_error(section, key, "value is missing");
 }
 
 std::string ini_file::text(std::string_view section, std::string_view key,
@@ -120,7 +125,7 @@
     if (found != nullptr && !found->empty())
         return *found;
     if (!fallback)
-        missing(section, key);
+        record_missing(section, key);
     return fallback.value_or("");
 }
 
@@ -132,18 +137,18 @@
     if (found == nullptr)
     {
         if (!fallback)
-            missing(section, key);
+            record_missing(section, key);
         return fallback.value_or(low);
     }
     std::int64_t value = 0;
     const auto* end = found->data() + found->size();
-    const auto [stop, fault_code] = std::from_chars(found->data(), end, value);
-    if (fault_code != std::errc{} || stop != end)
-        fault(section, key, "'" + *found + "' is not a whole number");
+    const auto [stop, error] = std::from_chars(found->data(), end, value);
+    if (error != std::errc{} || stop != end)
+        record_error(section, key, "'" + *found + "' is not a whole number");
     else if (value < low || value > high)
-        fault(section, key,
-              "must lie between " + std::to_string(low) + " and " +
-                  std::to_string(high));
+        record_error(section, key,
+                     "must be between " + std::to_string(low) + " and " +
+                         std::to_string(high));
     return value;
 }
 
@@ -154,16 +159,17 @@
     if (found == nullptr)
     {
         if (!fallback)
-            missing(section, key);
+            record_missing(section, key);
         return fallback.value_or(milliseconds(0));
     }
-    const auto value = internal::split(*found);
-    const auto amount = value
-                            ? internal::scaled(internal::duration_units, *value)
-                            : std::nullopt;
+    const auto value = internal::parse_quantity(*found);
+    const auto amount =
+        value ? internal::convert(internal::duration_units, *value)
+              : std::nullopt;
     if (!amount)
-        fault(section, key,
-              "'" + *found + "' is no duration with a unit: ms, s, min or h");
+        record_error(section, key,
+                     "'" + *found +
+                         "' is not a duration with a unit: ms, s, min or h");
     return milliseconds(static_cast<std::int64_t>(amount.value_or(0)));
 }
 
@@ -174,20 +180,20 @@
     if (found == nullptr)
     {
         if (!fallback)
-            missing(section, key);
+            record_missing(section, key);
         return fallback.value_or(0);
     }
-    auto value = internal::split(*found);
-    const bool rated = value && value->unit.ends_with("/s");
-    if (rated)
+    auto value = internal::parse_quantity(*found);
+    const bool has_rate_unit = value && value->unit.ends_with("/s");
+    if (has_rate_unit)
         value->unit.remove_suffix(2);
     const auto amount =
-        value ? internal::scaled(internal::size_units, *value) : std::nullopt;
-    if (!amount || rated != per_second)
-        fault(section, key,
-              "'" + *found + "' needs a unit: " +
-                  (per_second ? "B/s, KiB/s, MiB/s, GiB/s or Mbit/s"
-                              : "B, KiB, MiB, GiB or Mbit"));
+        value ? internal::convert(internal::size_units, *value) : std::nullopt;
+    if (!amount || has_rate_unit != per_second)
+        record_error(section, key,
+                     "'" + *found + "' needs a unit: " +
+                         (per_second ? "B/s, KiB/s, MiB/s, GiB/s or Mbit/s"
+                                     : "B, KiB, MiB, GiB or Mbit"));
     return amount.value_or(0);
 }
 
@@ -198,22 +204,23 @@
     if (found == nullptr)
     {
         if (!fallback)
-            missing(section, key);
+            record_missing(section, key);
         return fallback.value_or(false);
     }
     if (*found != "true" && *found != "false")
-        fault(section, key, "'" + *found + "' is neither true nor false");
+        record_error(section, key,
+                     "'" + *found + "' is neither true nor false");
     return *found == "true";
 }
 
-result<bool> ini_file::finish() const
+result<bool> ini_file::validate() const
 {
-    if (!first_fault.empty())
-        return failure(error_kind::invalid, first_fault);
+    if (!first_error.empty())
+        return failure(error_kind::invalid, first_error);
     for (const auto& [key, value] : values)
     {
-        if (!known.contains(key))
-            return failure(error_kind::invalid, name + ": [" + key.first +
+        if (!requested.contains(key))
+            return failure(error_kind::invalid, file_name + ": [" + key.first +
                                                     "] " + key.second +
                                                     ": key is unknown");
     }
--- a/tests/settings/gateway_settings.cpp
+++ b/tests/settings/gateway_settings.cpp
@@ -18,9 +18,9 @@
 
 } // namespace
 
-SCENARIO("settings of an installation are checked", "[settings]")
+SCENARIO("settings of an installation are parsed and checked", "[settings]")
 {
-    SECTION("a side's")
+    SECTION("settings of a sidecar with defaults for the rollout")
     {
         const auto read = cj::gateway_settings::parse("s.ini", side_text);
         REQUIRE(read);
@@ -33,7 +33,7 @@
         CHECK(read.value().drain_timeout == 800ms);
         CHECK(read.value().max_closed_fraction == Approx(0.34));
     }
-    SECTION("how a side loads versions")
+    SECTION("rollout settings, and a fraction out of range")
     {
         const auto read = cj::gateway_settings::parse(
             "s.ini",
@@ -47,14 +47,14 @@
         CHECK(wrong.error().message.starts_with(
             "s.ini: [rollout] closed_percent: "));
     }
-    SECTION("an unknown key is named with file and section")
+    SECTION("an unknown key is reported with file and section")
     {
         const auto read = cj::gateway_settings::parse(
             "s.ini", side_text + "[log]\nlevle=info\n");
         REQUIRE_FALSE(read);
         CHECK(read.error().message == "s.ini: [log] levle: key is unknown");
     }
-    SECTION("a wrong role is refused")
+    SECTION("an unknown role is rejected")
     {
         auto text = side_text;
         text.replace(text.find("side"), 4, "edge");
--- a/tests/settings/node_settings.cpp
+++ b/tests/settings/node_settings.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-const std::string good = R"([instance]
+const std::string valid = R"([instance]
 role = side
 id = side-1
 hall = antigua
@@ -25,53 +25,57 @@
 url = http://127.0.0.1:3
 )";
 
-std::string fault_of(const std::string& text)
+std::string parse_error(const std::string& text)
 {
     const auto read = cj::node_settings::parse("a.ini", text);
     return read ? std::string{} : read.error().message;
 }
 
-std::string with(const std::string& from, const std::string& to)
+std::string replaced(const std::string& from, const std::string& to)
 {
-    auto text = good;
+    auto text = valid;
     return text.replace(text.find(from), from.size(), to);
 }
 
 } // namespace
 
-SCENARIO("settings are checked key by key", "[settings]")
+SCENARIO("settings of a daemon are parsed and checked", "[settings]")
 {
-    GIVEN("a whole file")
+    GIVEN("a valid file")
     {
-        const auto read = cj::node_settings::parse("a.ini", good);
+        const auto read = cj::node_settings::parse("a.ini", valid);
         REQUIRE(read);
         CHECK(read.value().kind == cj::role::side);
         CHECK(read.value().heartbeat_interval == cj::milliseconds(1000));
         CHECK(read.value().keys.at(1).size() == 16);
     }
-    GIVEN("faults")
+    GIVEN("invalid settings")
     {
-        THEN("each is one line with file, section and key")
+        THEN("the error is one line with file, section and key")
         {
-            CHECK(fault_of(with("hall = antigua\n", "")) ==
+            CHECK(parse_error(replaced("hall = antigua\n", "")) ==
                   "a.ini: [instance] hall: value is missing");
-            CHECK(fault_of(good + "colour = red\n") ==
+            CHECK(parse_error(valid + "colour = red\n") ==
                   "a.ini: [upstream] colour: key is unknown");
-            CHECK(fault_of(good + "[membership]\nheartbeat_interval = 5\n") ==
-                  "a.ini: [membership] heartbeat_interval: '5' is no duration "
-                  "with a unit: ms, s, min or h");
-            CHECK(fault_of(good + "[transfer]\nupload_rate = 5MiB\n") ==
+            CHECK(
+                parse_error(valid + "[membership]\nheartbeat_interval = 5\n") ==
+                "a.ini: [membership] heartbeat_interval: '5' is not a duration "
+                "with a unit: ms, s, min or h");
+            CHECK(parse_error(valid + "[transfer]\nupload_rate = 5MiB\n") ==
                   "a.ini: [transfer] upload_rate: '5MiB' needs a unit: B/s, "
                   "KiB/s, MiB/s, GiB/s or Mbit/s");
-            CHECK(fault_of(with("7000", "70000")) ==
-                  "a.ini: [instance] peer_port: must lie between 0 and 65535");
-            CHECK(fault_of(with("active_key = 1", "active_key = 2")) ==
-                  "a.ini: [security] active_key: no key has this number");
-            CHECK(fault_of(with("role = side", "role = boss")) ==
+            CHECK(parse_error(replaced("7000", "70000")) ==
+                  "a.ini: [instance] peer_port: must be between 0 and 65535");
+            CHECK(
+                parse_error(replaced("active_key = 1", "active_key = 2")) ==
+                "a.ini: [security] active_key: must be the number of a key in "
+                "[security] keys");
+            CHECK(parse_error(replaced("role = side", "role = boss")) ==
                   "a.ini: [instance] role: must be entry or side");
-            CHECK(fault_of("nonsense\n") == "a.ini: line 1 is not INI");
+            CHECK(parse_error("nonsense\n") ==
+                  "a.ini: line 1 is not valid INI");
         }
-        THEN("an unreadable file is named")
+        THEN("an unreadable file is reported by its path")
         {
             const auto read = cj::node_settings::load("/nonexistent.ini");
             REQUIRE_FALSE(read);
