--- a/src/coursejunction/cli/api_client.cpp
+++ b/src/coursejunction/cli/api_client.cpp
@@ -12,26 +12,28 @@
 
 using nlohmann::json;
 
-std::string message_of(const std::string& body)
+/*! @brief Returns the error message of a response, and how to ask for the
+ * result of a write that is unknown. */
+std::string response_error(const std::string& body)
 {
     const auto parsed = json::parse(body, nullptr, false);
     if (!parsed.is_object())
         return body;
-    auto text = parsed.value("message", body);
+    auto message = parsed.value("message", body);
     if (parsed.contains("write") && parsed["write"].is_string())
-        text += "; ask with: coursejunctionctl write " +
-                parsed["write"].get<std::string>();
-    return text;
+        message += "; ask with: coursejunctionctl write " +
+                   parsed["write"].get<std::string>();
+    return message;
 }
 
-cli_exit exit_of(int status, const std::string& body)
+cli_exit exit_code_of(int status, const std::string& body)
 {
     if (status >= 200 && status < 300)
         return cli_exit::done;
     const auto parsed = json::parse(body, nullptr, false);
-    const auto name =
+    const auto error_name =
         parsed.is_object() ? parsed.value("error", "") : std::string{};
-    if (name == "unknown")
+    if (error_name == "unknown")
         return cli_exit::unknown;
     if (status == 400 || status == 401)
         return cli_exit::usage;
@@ -46,37 +48,39 @@
 
 } // namespace internal
 
-api_client::api_client(std::string entry, std::string secret)
-    : base(std::move(entry)), token(std::move(secret))
+api_client::api_client(std::string entry_url, std::string operator_token)
+    : base_url(std::move(entry_url)), token(std::move(operator_token))
 {
 }
 
-api_answer api_client::call(const std::string& method, const std::string& path,
-                            const std::string& body, milliseconds timeout) const
+api_response api_client::call(const std::string& method,
+                              const std::string& path, const std::string& body,
+                              milliseconds timeout) const
 {
     http_call call;
     call.method = method;
-    call.url = base + path;
+    call.url = base_url + path;
     call.body = body;
     call.timeout = timeout;
     call.headers["Authorization"] = "Bearer " + token;
     call.headers["Content-Type"] = "application/json";
-    auto end = perform(call);
-    api_answer answer;
-    answer.status = end.status;
-    answer.body = std::move(end.body);
-    if (end.reach == http_reach::answered)
+    auto result = perform(call);
+    api_response response;
+    response.status = result.status;
+    response.body = std::move(result.body);
+    if (result.reach == http_reach::answered)
     {
-        answer.code = internal::exit_of(answer.status, answer.body);
-        if (!answer.ok())
-            answer.message = internal::message_of(answer.body);
-        return answer;
+        response.code = internal::exit_code_of(response.status, response.body);
+        if (!response.ok())
+            response.message = internal::response_error(response.body);
+        return response;
     }
-    const bool changes = method != "GET";
-    const bool sent = end.reach == http_reach::interrupted;
-    answer.code = changes && sent ? cli_exit::unknown : cli_exit::unavailable;
-    answer.message = base + ": " + end.fault;
-    return answer;
+    const bool is_change = method != "GET";
+    const bool sent = result.reach == http_reach::interrupted;
+    response.code =
+        is_change && sent ? cli_exit::unknown : cli_exit::unavailable;
+    response.message = base_url + ": " + result.fault;
+    return response;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/cli/api_client.hpp
+++ b/src/coursejunction/cli/api_client.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The command-line tool's way to the resource interface.
+ * @brief HTTP client of the operators' API, for the command-line tool.
  */
 #ifndef COURSEJUNCTION_CLI_API_CLIENT_HPP
 #define COURSEJUNCTION_CLI_API_CLIENT_HPP
@@ -15,44 +15,44 @@
 enum class cli_exit : int
 {
     done = 0,
-    failed = 1,      /*!< The answer makes no sense. */
+    failed = 1,      /*!< Another error, or a malformed response. */
     usage = 2,       /*!< The command line or the input is wrong. */
-    not_found = 3,   /*!< The named thing does not exist. */
-    conflict = 4,    /*!< Another operator was first. */
-    unavailable = 5, /*!< Nobody answers; nothing was changed. */
+    not_found = 3,   /*!< The named resource does not exist. */
+    conflict = 4,    /*!< Another operator changed it first. */
+    unavailable = 5, /*!< The entry is unavailable; nothing was changed. */
     unknown = 6,     /*!< The change may or may not take effect. */
-    timed_out = 7    /*!< The wait for convergence was over first. */
+    timed_out = 7    /*!< Not converged within the timeout. */
 };
 
-/*! @brief An answer of the interface. */
-struct api_answer
+/*! @brief Response of the API, or why there is none. */
+struct api_response
 {
     cli_exit code{cli_exit::failed};
-    int status{0};
+    int status{0}; /*!< HTTP status; 0 without a response. */
     std::string body;
-    std::string message;
+    std::string message; /*!< Error message, empty on success. */
 
     [[nodiscard]] bool ok() const { return code == cli_exit::done; }
 };
 
-/*! @brief Calls one entry. */
+/*! @brief Calls the API of one entry. */
 class api_client
 {
 public:
-    /*! @param entry Base URL of an entry.
-     * @param secret The operators' token. */
-    api_client(std::string entry, std::string secret);
+    /*! @param entry_url Base URL of an entry.
+     * @param operator_token Bearer token of the API. */
+    api_client(std::string entry_url, std::string operator_token);
 
-    /*! @brief Makes one call and waits for its answer. */
-    [[nodiscard]] api_answer call(const std::string& method,
-                                  const std::string& path,
-                                  const std::string& body = {},
-                                  milliseconds timeout = default_timeout) const;
+    /*! @brief Makes one call and waits for the response. */
+    [[nodiscard]] api_response
+    call(const std::string& method, const std::string& path,
+         const std::string& body = {},
+         milliseconds timeout = default_timeout) const;
 
 private:
     static constexpr milliseconds default_timeout{10'000};
 
-    std::string base;
+    std::string base_url;
     std::string token;
 };
 
--- a/src/coursejunction/cli/commands.cpp
+++ b/src/coursejunction/cli/commands.cpp
@@ -26,16 +26,16 @@
 
 constexpr std::chrono::milliseconds poll_interval{500};
 constexpr milliseconds watch_timeout{40'000};
-constexpr std::size_t short_hash = 12;
+constexpr std::size_t short_hash_length = 12;
 
-/*! @brief One run of the tool. */
-class session
+/*! @brief The commands of the tool, one for each public method. */
+class command_runner
 {
 public:
-    session(const cli_options& from, std::ostream& answers,
-            std::ostream& faults)
-        : options(from), client(from.entry, from.token), out(answers),
-          err(faults)
+    command_runner(const cli_options& chosen, std::ostream& results,
+                   std::ostream& errors)
+        : options(chosen), client(chosen.entry, chosen.token), out(results),
+          err(errors)
     {
     }
 
@@ -43,43 +43,44 @@
     {
         std::ifstream file(options.file);
         if (!file)
-            return fault(cli_exit::usage, options.file + ": cannot be read");
+            return fail(cli_exit::usage, options.file + ": cannot be read");
         std::stringstream text;
         text << file.rdbuf();
         auto spec = json::parse(text.str(), nullptr, false);
         if (!spec.is_object() || !spec.contains("name") ||
             !spec["name"].is_string())
-            return fault(cli_exit::usage,
-                         options.file + ": no JSON object with a name");
-        return put(std::move(spec));
+            return fail(cli_exit::usage,
+                        options.file + ": must be a JSON object with a name");
+        return create_or_replace(std::move(spec));
     }
 
     cli_exit get()
     {
-        const auto answer = client.call("GET", deployment_path());
-        if (!answer.ok())
-            return fault(answer);
-        print_specs(json::parse(answer.body));
+        const auto response = client.call("GET", deployment_path());
+        if (!response.ok())
+            return fail(response);
+        print_specs(json::parse(response.body));
         return cli_exit::done;
     }
 
     cli_exit watch()
     {
-        std::uint64_t seen =
+        std::uint64_t last_revision =
             std::strtoull(options.revision.c_str(), nullptr, 10);
         while (true)
         {
-            const auto answer = client.call(
-                "GET",
-                "/v1/deployments?watch=true&revision=" + std::to_string(seen),
-                {}, watch_timeout);
-            if (!answer.ok())
-                return fault(answer);
-            const auto body = json::parse(answer.body);
+            const auto response =
+                client.call("GET",
+                            "/v1/deployments?watch=true&revision=" +
+                                std::to_string(last_revision),
+                            {}, watch_timeout);
+            if (!response.ok())
+                return fail(response);
+            const auto body = json::parse(response.body);
             const auto number = body.at("revision").get<std::uint64_t>();
-            if (number <= seen)
+            if (number <= last_revision)
                 continue;
-            seen = number;
+            last_revision = number;
             print_specs(body);
             out << std::flush;
             if (!options.follow)
@@ -90,11 +91,11 @@
     cli_exit status()
     {
         if (options.follow || options.wait)
-            return wait_converged(options.name);
-        const auto answer = client.call("GET", status_path(options.name));
-        if (!answer.ok())
-            return fault(answer);
-        const auto body = json::parse(answer.body);
+            return wait_until_converged(options.name);
+        const auto response = client.call("GET", status_path(options.name));
+        if (!response.ok())
+            return fail(response);
+        const auto body = json::parse(response.body);
         if (options.json)
             out << body.dump(2) << "\n";
         else
@@ -105,13 +106,13 @@
     cli_exit remove()
     {
         json spec;
-        if (const auto code = read(spec); code != cli_exit::done)
+        if (const auto code = read_deployment(spec); code != cli_exit::done)
             return code;
         const auto number =
             options.revision.empty()
                 ? std::to_string(spec.at("revision").get<std::uint64_t>())
                 : options.revision;
-        return say(
+        return print_response(
             client.call("DELETE", deployment_path() + "?revision=" + number));
     }
 
@@ -120,38 +121,39 @@
         return change([paused](json& spec) { spec["paused"] = paused; });
     }
 
-    /*! @brief Goes back to the version before. */
+    /*! @brief Replaces the version by the previous one. */
     cli_exit abort()
     {
         json spec;
-        if (const auto code = read(spec); code != cli_exit::done)
+        if (const auto code = read_deployment(spec); code != cli_exit::done)
             return code;
         if (!spec.contains("previous"))
-            return fault(cli_exit::not_found, "there is no version before");
+            return fail(cli_exit::not_found,
+                        "the deployment has no previous version");
         spec["version"] = spec["previous"];
         return replace(spec);
     }
 
     cli_exit dump()
     {
-        const auto answer = client.call("GET", "/dump");
-        if (!answer.ok())
-            return fault(answer);
-        out << json::parse(answer.body).dump(2) << "\n";
+        const auto response = client.call("GET", "/dump");
+        if (!response.ok())
+            return fail(response);
+        out << json::parse(response.body).dump(2) << "\n";
         return cli_exit::done;
     }
 
     cli_exit write()
     {
-        return say(client.call("GET", "/v1/writes/" + options.name));
+        return print_response(client.call("GET", "/v1/writes/" + options.name));
     }
 
     cli_exit quarantine()
     {
-        const auto answer = client.call("GET", "/v1/quarantine");
-        if (!answer.ok())
-            return fault(answer);
-        const auto list = json::parse(answer.body);
+        const auto response = client.call("GET", "/v1/quarantine");
+        if (!response.ok())
+            return fail(response);
+        const auto list = json::parse(response.body);
         if (options.json)
         {
             out << list.dump(2) << "\n";
@@ -161,20 +163,24 @@
             << "STANDING" << std::setw(6) << "ENDS"
             << "LEFT\n";
         constexpr std::int64_t second = 1000;
-        for (const auto& one : list)
-            out << std::setw(34) << one.at("content").get<std::string>()
-                << std::setw(13) << one.at("standing").get<std::string>()
-                << std::setw(6) << one.at("ends").get<std::size_t>()
-                << one.at("left_ms").get<std::int64_t>() / second << " s\n";
+        for (const auto& item : list)
+            out << std::setw(34) << item.at("content").get<std::string>()
+                << std::setw(13) << item.at("standing").get<std::string>()
+                << std::setw(6) << item.at("ends").get<std::size_t>()
+                << item.at("left_ms").get<std::int64_t>() / second << " s\n";
         return cli_exit::done;
     }
 
     cli_exit lift()
     {
-        return say(client.call("DELETE", "/v1/quarantine/" + options.name));
+        return print_response(
+            client.call("DELETE", "/v1/quarantine/" + options.name));
     }
 
-    cli_exit leave() { return say(client.call("POST", "/v1/leave")); }
+    cli_exit leave()
+    {
+        return print_response(client.call("POST", "/v1/leave"));
+    }
 
     cli_exit version()
     {
@@ -195,117 +201,124 @@
         return name.empty() ? "/v1/status" : "/v1/status/" + name;
     }
 
-    cli_exit fault(cli_exit code, const std::string& message)
+    cli_exit fail(cli_exit code, const std::string& message)
     {
         err << "coursejunctionctl: " << message << "\n";
         return code;
     }
 
-    cli_exit fault(const api_answer& answer)
+    cli_exit fail(const api_response& response)
     {
-        return fault(answer.code, answer.message);
+        return fail(response.code, response.message);
     }
 
-    cli_exit say(const api_answer& answer)
+    cli_exit print_response(const api_response& response)
     {
-        if (!answer.ok())
-            return fault(answer);
-        out << json::parse(answer.body).dump(options.json ? 2 : -1) << "\n";
+        if (!response.ok())
+            return fail(response);
+        out << json::parse(response.body).dump(options.json ? 2 : -1) << "\n";
         return cli_exit::done;
     }
 
-    cli_exit read(json& into)
+    cli_exit read_deployment(json& spec)
     {
-        const auto answer = client.call("GET", deployment_path());
-        if (!answer.ok())
-            return fault(answer);
-        into = json::parse(answer.body);
+        const auto response = client.call("GET", deployment_path());
+        if (!response.ok())
+            return fail(response);
+        spec = json::parse(response.body);
         return cli_exit::done;
     }
 
     cli_exit replace(const json& spec)
     {
         const auto name = spec.at("name").get<std::string>();
-        return accepted(
+        return report_accepted(
             client.call("PUT", "/v1/deployments/" + name, spec.dump()), name);
     }
 
     cli_exit change(const std::function<void(json&)>& edit)
     {
         json spec;
-        if (const auto code = read(spec); code != cli_exit::done)
+        if (const auto code = read_deployment(spec); code != cli_exit::done)
             return code;
         edit(spec);
         return replace(spec);
     }
 
-    /*! @brief Creates or replaces. A revision in the file is the one that the
-     * operator read; without one, the current one is read here. */
-    cli_exit put(json spec)
+    /*! @brief Creates or replaces a deployment. A replacement is based on the
+     * revision in the file or, without one, on the current revision. */
+    cli_exit create_or_replace(json spec)
     {
         const auto name = spec["name"].get<std::string>();
-        const auto known = client.call("GET", "/v1/deployments/" + name);
-        if (known.code == cli_exit::not_found)
-            return accepted(client.call("POST", "/v1/deployments", spec.dump()),
-                            name);
-        if (!known.ok())
-            return fault(known);
+        const auto existing = client.call("GET", "/v1/deployments/" + name);
+        if (existing.code == cli_exit::not_found)
+            return report_accepted(
+                client.call("POST", "/v1/deployments", spec.dump()), name);
+        if (!existing.ok())
+            return fail(existing);
         if (!spec.contains("revision"))
-            spec["revision"] = json::parse(known.body).at("revision");
+            spec["revision"] = json::parse(existing.body).at("revision");
         return replace(spec);
     }
 
-    cli_exit accepted(const api_answer& answer, const std::string& name)
+    /*! @brief Prints the accepted change and, with `--wait`, waits until it has
+     * converged. */
+    cli_exit report_accepted(const api_response& response,
+                             const std::string& name)
     {
-        if (!answer.ok())
-            return fault(answer);
-        const auto body = json::parse(answer.body);
+        if (!response.ok())
+            return fail(response);
+        const auto body = json::parse(response.body);
         if (options.json)
             out << body.dump(2) << "\n";
         else
             out << name << " accepted at revision " << body.at("revision")
                 << "\n";
         out << std::flush;
-        return options.wait ? wait_converged(name) : cli_exit::done;
+        return options.wait ? wait_until_converged(name) : cli_exit::done;
     }
 
-    cli_exit wait_converged(const std::string& name)
+    /*! @brief Prints progress until the deployment, or all of them, have
+     * converged. Failed calls are repeated until the timeout. */
+    cli_exit wait_until_converged(const std::string& name)
     {
         rollout_progress progress;
         const auto until = std::chrono::steady_clock::now() + options.timeout;
         while (std::chrono::steady_clock::now() < until)
         {
-            const auto answer = client.call("GET", status_path(name));
-            if (answer.code == cli_exit::not_found ||
-                answer.code == cli_exit::usage)
-                return fault(answer);
-            if (answer.ok() &&
-                show_progress(json::parse(answer.body), progress))
+            const auto response = client.call("GET", status_path(name));
+            if (response.code == cli_exit::not_found ||
+                response.code == cli_exit::usage)
+                return fail(response);
+            if (response.ok() &&
+                show_progress(json::parse(response.body), progress))
                 return cli_exit::done;
             std::this_thread::sleep_for(poll_interval);
         }
-        return fault(cli_exit::timed_out, "not converged in time");
+        return fail(cli_exit::timed_out, "not converged within the timeout");
     }
 
-    /*! @brief Shows one line and tells whether all have converged. */
+    /*! @brief Prints one progress line and tells whether all deployments have
+     * converged. */
     bool show_progress(const json& body, rollout_progress& progress)
     {
-        rollout_sample sum;
-        bool all = true;
-        for (const auto& one : body.at("items"))
+        rollout_sample total;
+        bool all_converged = true;
+        for (const auto& item : body.at("items"))
         {
-            sum.wanted += one.at("wanted").get<std::size_t>();
-            sum.serving += one.at("serving").get<std::size_t>();
-            sum.bytes_done += one.at("bytes_done").get<std::uint64_t>();
-            sum.bytes_total += one.at("bytes_total").get<std::uint64_t>();
-            sum.origin_bytes += one.at("origin_bytes").get<std::uint64_t>();
-            all = all && one.at("converged").get<bool>();
+            total.wanted += item.at("wanted").get<std::size_t>();
+            total.serving += item.at("serving").get<std::size_t>();
+            total.bytes_done += item.at("bytes_done").get<std::uint64_t>();
+            total.bytes_total += item.at("bytes_total").get<std::uint64_t>();
+            total.origin_bytes += item.at("origin_bytes").get<std::uint64_t>();
+            all_converged = all_converged && item.at("converged").get<bool>();
         }
-        progress.add(sum,
-                     std::chrono::time_point_cast<std::chrono::microseconds>(
-                         std::chrono::steady_clock::now()));
-        err << "\r" << progress.line() << (all ? "\n" : "") << std::flush;
-        return all;
+        progress.add_sample(
+            total, std::chrono::time_point_cast<std::chrono::microseconds>(
+                       std::chrono::steady_clock::now()));
+        err << "\r" << progress.line() << (all_converged ? "\n" : "")
+            << std::flush;
+        return all_converged;
     }
 
     void print_specs(const json& body)
@@ -320,23 +333,25 @@
             << "HALLS\n";
         if (!body.contains("items"))
             return print_spec(body);
-        for (const auto& one : body.at("items"))
-            print_spec(one);
+        for (const auto& item : body.at("items"))
+            print_spec(item);
     }
 
-    void print_spec(const json& one)
+    void print_spec(const json& spec)
     {
         std::string halls;
-        for (const auto& where : one.at("placements"))
+        for (const auto& placed : spec.at("placements"))
             halls += (halls.empty() ? "" : " ") +
-                     where.at("hall").get<std::string>() + "=" +
-                     std::to_string(where.at("count").get<std::size_t>());
-        out << std::left << std::setw(20) << one.at("name").get<std::string>()
-            << std::setw(16) << one.at("model").get<std::string>()
+                     placed.at("hall").get<std::string>() + "=" +
+                     std::to_string(placed.at("count").get<std::size_t>());
+        out << std::left << std::setw(20) << spec.at("name").get<std::string>()
+            << std::setw(16) << spec.at("model").get<std::string>()
             << std::setw(14)
-            << one.at("version").get<std::string>().substr(0, short_hash)
-            << std::setw(10) << one.at("revision").get<std::uint64_t>() << halls
-            << (one.at("paused").get<bool>() ? " (paused)" : "") << "\n";
+            << spec.at("version").get<std::string>().substr(0,
+                                                            short_hash_length)
+            << std::setw(10) << spec.at("revision").get<std::uint64_t>()
+            << halls << (spec.at("paused").get<bool>() ? " (paused)" : "")
+            << "\n";
     }
 
     void print_status(const json& body)
@@ -344,12 +359,12 @@
         out << std::left << std::setw(20) << "NAME" << std::setw(16) << "HALL"
             << std::setw(8) << "WANTED" << std::setw(9) << "SERVING"
             << "PHASES\n";
-        for (const auto& one : body.at("items"))
+        for (const auto& item : body.at("items"))
         {
-            for (const auto& hall : one.at("halls"))
-                print_hall(one.at("name").get<std::string>(), hall);
-            for (const auto& silent : one.at("silent_halls"))
-                out << one.at("name").get<std::string>() << ": hall "
+            for (const auto& hall : item.at("halls"))
+                print_hall(item.at("name").get<std::string>(), hall);
+            for (const auto& silent : item.at("silent_halls"))
+                out << item.at("name").get<std::string>() << ": hall "
                     << silent.get<std::string>() << " does not answer\n";
         }
     }
@@ -364,10 +379,10 @@
             << hall.at("hall").get<std::string>() << std::setw(8)
             << hall.at("wanted").get<std::size_t>() << std::setw(9)
             << hall.at("serving").get<std::size_t>() << phases << "\n";
-        for (const auto& one : hall.at("troubled"))
-            out << "  " << one.at("instance").get<std::string>() << " "
-                << one.at("phase").get<std::string>() << ": "
-                << one.at("reason").get<std::string>() << "\n";
+        for (const auto& replica : hall.at("troubled"))
+            out << "  " << replica.at("instance").get<std::string>() << " "
+                << replica.at("phase").get<std::string>() << ": "
+                << replica.at("reason").get<std::string>() << "\n";
     }
 
     const cli_options& options;
@@ -378,7 +393,7 @@
 
 struct command
 {
-    std::function<cli_exit(session&)> run;
+    std::function<cli_exit(command_runner&)> run;
     const char* help;
     bool needs_name;
 };
@@ -387,48 +402,48 @@
 {
     static const std::map<std::string, command> all{
         {"apply",
-         {[](session& one) { return one.apply(); },
+         {[](command_runner& runner) { return runner.apply(); },
           "apply -f FILE [--wait]    create or replace a deployment", false}},
         {"get",
-         {[](session& one) { return one.get(); },
+         {[](command_runner& runner) { return runner.get(); },
           "get [NAME]                show deployments", false}},
         {"watch",
-         {[](session& one) { return one.watch(); },
+         {[](command_runner& runner) { return runner.watch(); },
           "watch [--revision N] [--follow]  wait for changes after N", false}},
         {"status",
-         {[](session& one) { return one.status(); },
+         {[](command_runner& runner) { return runner.status(); },
           "status [NAME] [--follow]  replicas by hall, or live progress",
           false}},
         {"pause",
-         {[](session& one) { return one.pause(true); },
+         {[](command_runner& runner) { return runner.pause(true); },
           "pause NAME                close no further replicas", true}},
         {"resume",
-         {[](session& one) { return one.pause(false); },
+         {[](command_runner& runner) { return runner.pause(false); },
           "resume NAME               go on with a paused rollout", true}},
         {"abort",
-         {[](session& one) { return one.abort(); },
+         {[](command_runner& runner) { return runner.abort(); },
           "abort NAME [--wait]       go back to the version before", true}},
         {"delete",
-         {[](session& one) { return one.remove(); },
+         {[](command_runner& runner) { return runner.remove(); },
           "delete NAME [--revision N]  remove a deployment", true}},
         {"write",
-         {[](session& one) { return one.write(); },
+         {[](command_runner& runner) { return runner.write(); },
           "write ID                  what became of a write", true}},
         {"leave",
-         {[](session& one) { return one.leave(); },
+         {[](command_runner& runner) { return runner.leave(); },
           "leave                     planned stop of the entry", false}},
         {"quarantine",
-         {[](session& one) { return one.quarantine(); },
+         {[](command_runner& runner) { return runner.quarantine(); },
           "quarantine                requests that crash upstreams", false}},
         {"lift",
-         {[](session& one) { return one.lift(); },
+         {[](command_runner& runner) { return runner.lift(); },
           "lift CONTENT              let a quarantined request run again",
           true}},
         {"dump",
-         {[](session& one) { return one.dump(); },
+         {[](command_runner& runner) { return runner.dump(); },
           "dump                      whole state of the process", false}},
         {"version",
-         {[](session& one) { return one.version(); },
+         {[](command_runner& runner) { return runner.version(); },
           "version                   print the version", false}}};
     return all;
 }
@@ -438,8 +453,8 @@
 std::string command_help()
 {
     std::string text = "\nCommands:\n";
-    for (const auto& [name, one] : internal::commands())
-        text += std::string("  ") + one.help + "\n";
+    for (const auto& [name, entry] : internal::commands())
+        text += std::string("  ") + entry.help + "\n";
     text += "\nExit codes: 0 done, 1 failed, 2 wrong usage or input, "
             "3 not found, 4 conflict,\n5 nobody answers and nothing was "
             "changed, 6 outcome unknown, 7 wait timed out.\n";
@@ -452,7 +467,7 @@
     const auto found = internal::commands().find(command);
     if (found == internal::commands().end())
     {
-        err << "coursejunctionctl: no command '" << command << "'\n";
+        err << "coursejunctionctl: unknown command '" << command << "'\n";
         return cli_exit::usage;
     }
     if (found->second.needs_name && options.name.empty())
@@ -460,15 +475,15 @@
         err << "coursejunctionctl: " << command << " needs a name\n";
         return cli_exit::usage;
     }
-    internal::session one(options, out, err);
+    internal::command_runner runner(options, out, err);
     try
     {
-        return found->second.run(one);
+        return found->second.run(runner);
     }
     catch (const nlohmann::json::exception& caught)
     {
-        err << "coursejunctionctl: the answer makes no sense: " << caught.what()
-            << "\n";
+        err << "coursejunctionctl: cannot understand the response: "
+            << caught.what() << "\n";
         return cli_exit::failed;
     }
 }
--- a/src/coursejunction/cli/rollout_progress.cpp
+++ b/src/coursejunction/cli/rollout_progress.cpp
@@ -6,40 +6,40 @@
 namespace coursejunction
 {
 
-void rollout_progress::add(const rollout_sample& sample, time_point now)
+void rollout_progress::add_sample(const rollout_sample& sample, time_point now)
 {
-    if (!started)
+    if (!has_samples)
     {
         first = sample;
-        began = now;
-        started = true;
+        first_at = now;
+        has_samples = true;
     }
     last = sample;
-    seen = now;
+    last_at = now;
 }
 
 std::optional<double> rollout_progress::seconds_left() const
 {
-    const auto passed = to_seconds(seen - began);
+    const auto elapsed = to_seconds(last_at - first_at);
     if (last.bytes_total == 0 || last.bytes_done <= first.bytes_done ||
-        passed <= 0)
+        elapsed <= 0)
         return std::nullopt;
     const auto rate =
-        static_cast<double>(last.bytes_done - first.bytes_done) / passed;
+        static_cast<double>(last.bytes_done - first.bytes_done) / elapsed;
     return static_cast<double>(last.bytes_total - last.bytes_done) / rate;
 }
 
 std::string rollout_progress::line() const
 {
     constexpr double mebibyte = 1024.0 * 1024;
-    const double portion = last.bytes_total == 0
-                               ? 0
-                               : 100.0 * static_cast<double>(last.bytes_done) /
-                                     static_cast<double>(last.bytes_total);
+    const double percentage =
+        last.bytes_total == 0 ? 0
+                              : 100.0 * static_cast<double>(last.bytes_done) /
+                                    static_cast<double>(last.bytes_total);
     std::array<char, 160> text{};
     std::snprintf(text.data(), text.size(),
                   "%zu/%zu serving, %.0f%% of bytes, %.1f MiB from origin",
-                  last.serving, last.wanted, portion,
+                  last.serving, last.wanted, percentage,
                   static_cast<double>(last.origin_bytes) / mebibyte);
     std::string line(text.data());
     const auto left = seconds_left();
--- a/src/coursejunction/control/key_value_client.cpp
+++ b/src/coursejunction/control/key_value_client.cpp
@@ -40,7 +40,7 @@
 constexpr std::size_t max_response_bytes = configuration::max_bytes / 3 * 4;
 
 /*! @brief Returns the transfer time at the lowest assumed rate. */
-constexpr milliseconds transfer_time(std::size_t bytes)
+constexpr milliseconds min_rate_transfer_time(std::size_t bytes)
 {
     return milliseconds(1000 * bytes / min_rate);
 }
@@ -55,7 +55,7 @@
 {
     call.answer_time = first_byte;
     call.stall_time = stall;
-    call.timeout = first_byte + transfer_time(max_response_bytes);
+    call.timeout = first_byte + min_rate_transfer_time(max_response_bytes);
 }
 
 result<stored_value> parse_value(const std::string& body)
@@ -164,7 +164,7 @@
     call.method = "PUT";
     call.url = url + path;
     call.body = std::move(body);
-    call.timeout = timeout + internal::transfer_time(call.body.size());
+    call.timeout = timeout + internal::min_rate_transfer_time(call.body.size());
     client.start(std::move(call), [done = std::move(done)](http_result response)
                  { done(internal::swap_result(response)); });
 }
--- a/src/coursejunction/settings/gateway_settings.cpp
+++ b/src/coursejunction/settings/gateway_settings.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::int64_t max_port = 65535;
 
-std::vector<std::string> split_list(const std::string& text)
+std::vector<std::string> comma_list(const std::string& text)
 {
     std::vector<std::string> items;
     std::istringstream stream(text);
@@ -29,7 +29,7 @@
 /*! @brief Returns the first port of a `first,last` range. */
 std::uint16_t first_port(ini_file& file)
 {
-    const auto range = split_list(file.text("peers", "ports", std::nullopt));
+    const auto range = comma_list(file.text("peers", "ports", std::nullopt));
     if (range.empty())
         return 0;
     const auto port = std::strtol(range.front().c_str(), nullptr, 10);
@@ -44,7 +44,7 @@
 std::vector<std::string> seed_addresses(ini_file& file)
 {
     std::vector<std::string> hosts;
-    for (const auto& seed : split_list(file.text("peers", "seeds", "")))
+    for (const auto& seed : comma_list(file.text("peers", "seeds", "")))
         hosts.push_back(seed.substr(0, seed.rfind(':')));
     return hosts;
 }
--- a/src/coursejunction/settings/ini_file.cpp
+++ b/src/coursejunction/settings/ini_file.cpp
@@ -41,9 +41,9 @@
         return std::nullopt;
     double amount = 0;
     const auto digits = text.substr(0, end);
-    const auto [stop, error] =
+    const auto [stop, code] =
         std::from_chars(digits.data(), digits.data() + digits.size(), amount);
-    if (error != std::errc{} || stop != digits.data() + digits.size())
+    if (code != std::errc{} || stop != digits.data() + digits.size())
         return std::nullopt;
     auto name = text.substr(end);
     while (!name.empty() && name.front() == ' ')
@@ -142,8 +142,8 @@
     }
     std::int64_t value = 0;
     const auto* end = found->data() + found->size();
-    const auto [stop, error] = std::from_chars(found->data(), end, value);
-    if (error != std::errc{} || stop != end)
+    const auto [stop, code] = std::from_chars(found->data(), end, value);
+    if (code != std::errc{} || stop != end)
         record_error(section, key, "'" + *found + "' is not a whole number");
     else if (value < low || value > high)
         record_error(section, key,
