--- a/src/coursejunction/control/configuration_view.hpp
+++ b/src/coursejunction/control/configuration_view.hpp
@@ -73,7 +73,8 @@
      * one. */
     [[nodiscard]] bool has_configuration() const noexcept { return offered; }
 
-    /*! @brief Returns how many offers had a lower revision. */
+    /*! @brief Returns how many offers were refused because their revision was
+     * lower. */
     [[nodiscard]] std::uint64_t refused_older_count() const noexcept
     {
         return refused_older;
--- a/src/coursejunction/control/key_value_client.cpp
+++ b/src/coursejunction/control/key_value_client.cpp
@@ -220,11 +220,11 @@
     timer retry_timer;
 };
 
-configuration_store::configuration_store(event_loop& runner,
+configuration_store::configuration_store(event_loop& loop,
                                          key_value_client& service,
                                          time_point deadline)
     : self(std::make_unique<implementation>(
-          implementation{runner,
+          implementation{loop,
                          service,
                          deadline,
                          {internal::first_write_pause,
--- a/src/coursejunction/control/key_value_client.hpp
+++ b/src/coursejunction/control/key_value_client.hpp
@@ -55,8 +55,9 @@
     void compare_and_swap(const std::string& key, std::uint64_t index,
                           std::string text, swap_callback done);
 
-    /*! @brief Creates a session and passes its id on. The keys that it acquired
-     * are deleted when it ends. */
+    /*! @brief Creates a session and passes its id to `done`. It is not renewed:
+     * once `ttl` has passed, the service ends it and deletes the keys that it
+     * acquired. */
     void open_session(std::chrono::seconds ttl, session_callback done);
 
     /*! @brief Writes a key and locks it for a session, unless another session
@@ -84,7 +85,7 @@
 class configuration_store
 {
 public:
-    configuration_store(event_loop& runner, key_value_client& service,
+    configuration_store(event_loop& loop, key_value_client& service,
                         time_point deadline);
     ~configuration_store();
 
--- a/src/coursejunction/settings/ini_file.cpp
+++ b/src/coursejunction/settings/ini_file.cpp
@@ -51,8 +51,8 @@
     return quantity{amount, name};
 }
 
-template <typename Units>
 /*! @brief Converts to the base unit; empty if the unit is not in the table. */
+template <typename Units>
 std::optional<double> convert(const Units& units, const quantity& value)
 {
     for (const auto& known : units)
