--- a/src/coursejunction/daemon/internal/any_planner.cpp
+++ b/src/coursejunction/daemon/internal/any_planner.cpp
@@ -6,7 +6,7 @@
 {
 
 any_planner make_planner(const manifest& of, const node_settings& settings,
-                         weighting objective, time_point now)
+                         rollout_objective objective, time_point now)
 {
     planner_limits limits;
     limits.seed =
@@ -25,8 +25,9 @@
     case transfer_policy::swarm:
         break;
     }
-    const double origin_extra =
-        objective == weighting::time ? settings.origin_extra : 0;
+    const double origin_extra = objective == rollout_objective::time
+                                    ? settings.origin_extra_fraction
+                                    : 0;
     return transfer_planner<swarm_policy>(of, own, limits,
                                           swarm_policy(origin_extra), now);
 }
--- a/src/coursejunction/daemon/internal/any_planner.hpp
+++ b/src/coursejunction/daemon/internal/any_planner.hpp
@@ -27,7 +27,8 @@
  * only the swarm policy uses it. */
 [[nodiscard]] any_planner make_planner(const manifest& of,
                                        const node_settings& settings,
-                                       weighting objective, time_point now);
+                                       rollout_objective objective,
+                                       time_point now);
 
 } // namespace coursejunction::internal
 
--- a/src/coursejunction/daemon/internal/configuration_restorer.cpp
+++ b/src/coursejunction/daemon/internal/configuration_restorer.cpp
@@ -106,17 +106,18 @@
 void configuration_restorer::restored(const write_result& written)
 {
     restore_store.reset();
-    if (!written.end)
+    if (!written.outcome)
     {
         log::warning("configuration_not_restored",
-                     {{"reason", written.end.error().message}});
+                     {{"reason", written.outcome.error().message}});
         return check();
     }
     log::state(
         "configuration_restored",
-        {{"revision", std::to_string(written.end.value().number().value())}});
-    on_stored(written.end.value());
-    found(written.end.value());
+        {{"revision",
+          std::to_string(written.outcome.value().current_revision().value())}});
+    on_stored(written.outcome.value());
+    found(written.outcome.value());
 }
 
 } // namespace coursejunction::internal
--- a/src/coursejunction/daemon/internal/configuration_watch.cpp
+++ b/src/coursejunction/daemon/internal/configuration_watch.cpp
@@ -36,7 +36,7 @@
                     {
                         if (read)
                             accept(read.value());
-                        else if (!view.ready())
+                        else if (!view.has_configuration())
                             retry_read = loop.after(watch_retry_delay,
                                                     [this] { read_initial(); });
                     });
@@ -70,7 +70,7 @@
         retry_watch = loop.after(watch_retry_delay, [this] { watch(); });
         return;
     }
-    last_index = read.value().watched;
+    last_index = read.value().watch_index;
     accept(read.value());
     watch();
 }
--- a/src/coursejunction/daemon/internal/fenced_commands.cpp
+++ b/src/coursejunction/daemon/internal/fenced_commands.cpp
@@ -20,7 +20,7 @@
 fenced_commands::fenced_commands(node& owner, decision_callback allowed,
                                  decision_callback refused)
     : host(owner), allow(std::move(allowed)), refuse(std::move(refused)),
-      guard(owner.settings().upstream_fenced), process_id(random_id())
+      guard(owner.settings().upstream_checks_fencing), process_id(random_id())
 {
 }
 
@@ -67,10 +67,10 @@
         return authorize();
     }
     const fencing_token next(std::max(newest.token, highest_seen).value() + 1);
-    host.key_values().swap(fence_key(host.settings().instance), stored.index,
-                           format_token({next, owner_id()}),
-                           [this, next](swap_outcome swapped)
-                           { token_written(next, swapped); });
+    host.key_values().compare_and_swap(
+        fence_key(host.settings().instance), stored.index,
+        format_token({next, owner_id()}),
+        [this, next](swap_outcome swapped) { token_written(next, swapped); });
 }
 
 void fenced_commands::token_written(fencing_token next, swap_outcome swapped)
--- a/src/coursejunction/daemon/internal/heartbeat_gossip.cpp
+++ b/src/coursejunction/daemon/internal/heartbeat_gossip.cpp
@@ -40,7 +40,7 @@
 
 void heartbeat_gossip::send_heartbeats()
 {
-    for (const auto& id : members.neighbours(
+    for (const auto& id : members.gossip_neighbours(
              settings.instance, settings.gossip_neighbours, event_loop::now()))
         send_heartbeat(id);
 }
@@ -54,7 +54,9 @@
     sent.instance = settings.instance.value();
     sent.incarnation = incarnation;
     sent.sequence = ++last_sequence;
-    sent.revision = view.ready() ? view.current().number().value() : 0;
+    sent.revision = view.has_configuration()
+                        ? view.current().current_revision().value()
+                        : 0;
     sent.leaving = leaving;
     socket->send(receiver->peer_address,
                  seal_datagram(ring, frame_type::heartbeat, encode(sent)));
@@ -79,7 +81,7 @@
 {
     const auto sealed =
         seal_datagram(ring, frame_type::crash_news, encode(records));
-    for (const auto& id : members.neighbours(
+    for (const auto& id : members.gossip_neighbours(
              settings.instance, settings.gossip_neighbours, event_loop::now()))
     {
         const auto* receiver = members.find(id);
@@ -101,15 +103,15 @@
 {
     const instance_id from(received.instance);
     const auto now = event_loop::now();
-    if (!members.heard(
+    if (!members.record_heartbeat(
             {from, received.incarnation, received.sequence, received.leaving},
             now))
     {
         counters.count("heartbeats_replayed_total");
         return;
     }
-    const auto own = view.current().number().value();
-    if (received.revision > own || !view.ready())
+    const auto own = view.current().current_revision().value();
+    if (received.revision > own || !view.has_configuration())
         return newer(from, received.revision);
     if (received.revision == own ||
         now - last_reply[from] <= min_reply_interval)
--- a/src/coursejunction/daemon/internal/version_fetch.cpp
+++ b/src/coursejunction/daemon/internal/version_fetch.cpp
@@ -41,7 +41,8 @@
     return host.settings();
 }
 
-void version_fetch::set_target(const digest& version, weighting objective)
+void version_fetch::set_target(const digest& version,
+                               rollout_objective objective)
 {
     if (target && target->version == version)
     {
@@ -190,7 +191,7 @@
         return;
     }
     const auto total_bytes = parsed.value().total_bytes();
-    if (static_cast<double>(total_bytes) > settings().staged_limit)
+    if (static_cast<double>(total_bytes) > settings().max_staged_bytes)
     {
         target->reason = "the version has " + std::to_string(total_bytes) +
                          " bytes, which exceeds staged_limit";
--- a/src/coursejunction/daemon/internal/version_fetch.hpp
+++ b/src/coursejunction/daemon/internal/version_fetch.hpp
@@ -33,7 +33,7 @@
 struct target_version
 {
     digest version;
-    weighting objective{weighting::time};
+    rollout_objective objective{rollout_objective::time};
     std::shared_ptr<chunk_store>
         chunks; /*!< Null until the manifest arrives. */
     std::optional<any_planner> planner;
@@ -57,7 +57,7 @@
                   held_versions& versions, chunk_uploader& sender);
 
     /*! @brief Sets the target version; a download of another one is stopped. */
-    void set_target(const digest& version, weighting objective);
+    void set_target(const digest& version, rollout_objective objective);
 
     /*! @brief Stops the download; there is no target afterwards. */
     void clear_target();
--- a/src/coursejunction/daemon/node.cpp
+++ b/src/coursejunction/daemon/node.cpp
@@ -195,11 +195,11 @@
         if (!expected)
             return links.add_incoming(who.instance, id);
         if (*expected == who.instance)
-            return members.answered(who.instance);
+            return members.record_response(who.instance);
         // The address now belongs to another instance.
         links.remove(id);
         hub->close(id);
-        members.failed(*expected, now());
+        members.record_failure(*expected, now());
         hooks.peer_lost(*expected);
     }
 
@@ -223,7 +223,7 @@
         const bool was_dialled = links.outgoing(*instance) == id;
         links.remove(id);
         if (was_dialled)
-            members.failed(*instance, now());
+            members.record_failure(*instance, now());
         hooks.peer_lost(*instance);
     }
 
@@ -256,15 +256,17 @@
     {
         if (view.diverges_from(next))
             return restorer.on_diverged(std::move(next));
-        const bool was_ready = view.ready();
+        const bool was_ready = view.has_configuration();
         const bool newer = view.offer(std::move(next));
         if (newer)
         {
-            counters.set("configuration_revision",
-                         static_cast<double>(view.current().number().value()));
-            log::state("configuration_in_force",
-                       {{"revision",
-                         std::to_string(view.current().number().value())}});
+            counters.set(
+                "configuration_revision",
+                static_cast<double>(view.current().current_revision().value()));
+            log::state(
+                "configuration_in_force",
+                {{"revision",
+                  std::to_string(view.current().current_revision().value())}});
             restorer.on_changed();
             send_heartbeats();
         }
@@ -309,14 +311,14 @@
     void handle_pull(const instance_id& from, const frame& received)
     {
         const auto pull = decode<message::configuration_pull>(received.head);
-        const auto number = view.current().number().value();
-        if (!pull || !view.ready() || pull.value().known >= number)
+        const auto number = view.current().current_revision().value();
+        if (!pull || !view.has_configuration() || pull.value().known >= number)
             return;
         message::configuration_snapshot reply;
         reply.number = number;
         const auto connection = connection_to(from);
         if (!connection.empty())
-            hub->send(connection, reply, view.text());
+            hub->send(connection, reply, view.json_text());
     }
 
     void handle_snapshot(const frame& received)
@@ -346,7 +348,7 @@
         last_pulled_revision = newest;
         last_pull_at = now();
         message::configuration_pull request;
-        request.known = view.current().number().value();
+        request.known = view.current().current_revision().value();
         hub->send(connection, request);
     }
 
@@ -383,7 +385,7 @@
             return reply->send(200, "text/plain; version=0.0.4", {},
                                metrics_text());
         if (request.path == "/health")
-            return reply->send(leaving || !view.ready() ? 503 : 200,
+            return reply->send(leaving || !view.has_configuration() ? 503 : 200,
                                "text/plain", {},
                                leaving ? "leaving\n" : "ok\n");
         if (request.path == "/dump")
@@ -400,9 +402,9 @@
         counters.set("frames_refused", static_cast<double>(counts.refused));
         counters.set("gossip_bytes", static_cast<double>(gossip.total_bytes()));
         counters.set("key_value_calls",
-                     static_cast<double>(key_values.calls()));
+                     static_cast<double>(key_values.call_count()));
         counters.set("configuration_older_refused",
-                     static_cast<double>(view.refused()));
+                     static_cast<double>(view.refused_older_count()));
         return counters.text();
     }
 
@@ -416,14 +418,14 @@
             {"incarnation", started_at_ms},
             {"leaving", leaving},
             {"designated", watch.designated()},
-            {"revision", view.current().number().value()},
-            {"ready", view.ready()},
-            {"configuration", internal::json::parse(view.text())},
+            {"revision", view.current().current_revision().value()},
+            {"ready", view.has_configuration()},
+            {"configuration", internal::json::parse(view.json_text())},
             {"members", internal::members_json(members, now())},
             {"connections", hub->size()},
             {"traffic",
              internal::traffic_json(hub->counters(), gossip.total_bytes(),
-                                    key_values.calls())},
+                                    key_values.call_count())},
             {"state", internal::json::parse(hooks.dump())}}
             .dump();
     }
--- a/src/coursejunction/daemon/report_service.cpp
+++ b/src/coursejunction/daemon/report_service.cpp
@@ -170,7 +170,7 @@
         if (report.instance != from.value())
             return;
         if (report.leaving)
-            host.members().left(from);
+            host.members().record_leaving(from);
         if (!report.deployment.empty())
             permits.update_replica(deployment_name(report.deployment), from,
                                    internal::is_closed(report),
@@ -206,11 +206,11 @@
         reply.version = request.version;
         const deployment_name name(request.deployment);
         const auto* spec = host.view().current().find(name);
-        reply.granted = spec != nullptr &&
-                        designated_halls.contains(hall_id(request.hall)) &&
-                        !spec->paused &&
-                        spec->version.hex() == request.version &&
-                        permits.request(name, from, spec->max_closed, now());
+        reply.granted =
+            spec != nullptr &&
+            designated_halls.contains(hall_id(request.hall)) && !spec->paused &&
+            spec->version.hex() == request.version &&
+            permits.request(name, from, spec->max_closed_per_hall, now());
         host.counters().count("permits_total", 1,
                               {{"granted", reply.granted ? "yes" : "no"}});
         host.send(from, reply);
--- a/src/coursejunction/daemon/resource_api.cpp
+++ b/src/coursejunction/daemon/resource_api.cpp
@@ -160,7 +160,7 @@
         silent.push_back(hall.value());
     return {{"name", spec.name.value()},
             {"version", spec.version.hex()},
-            {"revision", spec.changed.value()},
+            {"revision", spec.changed_revision.value()},
             {"paused", spec.paused},
             {"wanted", wanted},
             {"replicas", replicas.size()},
@@ -244,7 +244,7 @@
                             const http_request& from,
                             const reply_pointer& reply)
     {
-        if (!host.view().ready() && from.method == "GET")
+        if (!host.view().has_configuration() && from.method == "GET")
             return internal::send_error(
                 reply, error_kind::unavailable,
                 "no configuration has been received yet");
@@ -271,7 +271,7 @@
         if (spec == nullptr)
             return internal::send_error(reply, error_kind::not_found,
                                         "no deployment named " + name.value());
-        internal::send_json(reply, 200, json::parse(spec->json()));
+        internal::send_json(reply, 200, json::parse(spec->to_json()));
     }
 
     void handle_list(const http_request& from, const reply_pointer& reply)
@@ -280,7 +280,7 @@
             return send_list(reply);
         const auto after = std::strtoull(
             from.parameter("revision").value_or("0").c_str(), nullptr, 10);
-        if (host.view().current().number().value() > after)
+        if (host.view().current().current_revision().value() > after)
             return send_list(reply);
         if (watches.size() >= internal::max_watches)
             return internal::send_error(reply, error_kind::unavailable,
@@ -303,15 +303,15 @@
         const auto& now = host.view().current();
         json items = json::array();
         for (const auto& [name, spec] : now.deployments())
-            items.push_back(json::parse(spec.json()));
-        internal::send_json(
-            reply, 200,
-            {{"revision", now.number().value()}, {"items", std::move(items)}});
+            items.push_back(json::parse(spec.to_json()));
+        internal::send_json(reply, 200,
+                            {{"revision", now.current_revision().value()},
+                             {"items", std::move(items)}});
     }
 
     void configuration_changed()
     {
-        const auto number = host.view().current().number().value();
+        const auto number = host.view().current().current_revision().value();
         for (auto it = watches.begin(); it != watches.end();)
         {
             if (it->after_revision >= number)
@@ -338,7 +338,7 @@
         configuration_change change;
         change.kind = kind;
         change.name = spec.value().name;
-        change.read = spec.value().changed;
+        change.base_revision = spec.value().changed_revision;
         change.spec = std::move(spec.value());
         start_write(std::move(change), reply);
     }
@@ -353,7 +353,8 @@
         configuration_change change;
         change.kind = action::remove;
         change.name = name;
-        change.read = revision(std::strtoull(number->c_str(), nullptr, 10));
+        change.base_revision =
+            revision(std::strtoull(number->c_str(), nullptr, 10));
         start_write(std::move(change), reply);
     }
 
@@ -373,29 +374,31 @@
     void write_finished(const deployment_name& name,
                         const write_result& written, const reply_pointer& reply)
     {
-        if (!written.end)
+        if (!written.outcome)
         {
-            host.counters().count("configuration_writes_total", 1,
-                                  {{"result", std::string(internal::error_name(
-                                                  written.end.error().kind))}});
-            json body{{"error", internal::error_name(written.end.error().kind)},
-                      {"message", written.end.error().message}};
-            if (written.end.error().kind == error_kind::unknown)
+            host.counters().count(
+                "configuration_writes_total", 1,
+                {{"result", std::string(internal::error_name(
+                                written.outcome.error().kind))}});
+            json body{
+                {"error", internal::error_name(written.outcome.error().kind)},
+                {"message", written.outcome.error().message}};
+            if (written.outcome.error().kind == error_kind::unknown)
                 body["write"] = written.id.value();
             return internal::send_json(
-                reply, internal::http_status_of(written.end.error().kind),
+                reply, internal::http_status_of(written.outcome.error().kind),
                 body);
         }
         host.counters().count("configuration_writes_total", 1,
                               {{"result", "accepted"}});
-        host.offer_configuration(written.end.value());
-        const auto* spec = written.end.value().find(name);
+        host.offer_configuration(written.outcome.value());
+        const auto* spec = written.outcome.value().find(name);
         internal::send_json(
             reply, 200,
             {{"write", written.id.value()},
-             {"revision", written.end.value().number().value()},
+             {"revision", written.outcome.value().current_revision().value()},
              {"deployment",
-              spec == nullptr ? json() : json::parse(spec->json())}});
+              spec == nullptr ? json() : json::parse(spec->to_json())}});
     }
 
     /*! @brief Sends the result of a write. A write that is part of the
@@ -403,7 +406,7 @@
      * lost it since. */
     void send_write_result(const write_id& id, const reply_pointer& reply)
     {
-        const auto known = host.view().current().written(id);
+        const auto known = host.view().current().revision_of_write(id);
         if (known)
             return send_accepted(id, *known, reply);
         host.key_values().read(
@@ -413,8 +416,9 @@
                 if (!read)
                     return internal::send_error(reply, read.error());
                 const auto stored = configuration::parse(read.value().text);
-                const auto accepted =
-                    stored ? stored.value().written(id) : std::nullopt;
+                const auto accepted = stored
+                                          ? stored.value().revision_of_write(id)
+                                          : std::nullopt;
                 if (!accepted)
                     return internal::send_json(
                         reply, 404,
@@ -455,7 +459,8 @@
                 }
                 internal::send_json(
                     reply, 200,
-                    {{"revision", host.view().current().number().value()},
+                    {{"revision",
+                      host.view().current().current_revision().value()},
                      {"items", std::move(items)}});
             });
     }
--- a/src/coursejunction/daemon/side.cpp
+++ b/src/coursejunction/daemon/side.cpp
@@ -115,7 +115,7 @@
 
     void update_target()
     {
-        if (is_plain_service || !host.view().ready())
+        if (is_plain_service || !host.view().has_configuration())
             return;
         const auto& wanted = host.view().current();
         const auto assigned = assign_deployments(wanted, candidates());
@@ -133,7 +133,7 @@
                                                 spec->adapter, spec->version,
                                                 spec->paused});
         transfer.set_participants(replicas_of(assigned, wanted, spec->version));
-        transfer.set_target(spec->version, spec->weigh);
+        transfer.set_target(spec->version, spec->objective);
         report_if_changed();
     }
 
@@ -359,7 +359,7 @@
         report.region = settings.region.value();
         report.hall = settings.hall.value();
         report.kind = settings.upstream_kind;
-        report.revision = host.view().current().number().value();
+        report.revision = host.view().current().current_revision().value();
         report.running = static_cast<std::uint32_t>(runs.size());
         report.slots = static_cast<std::uint32_t>(effective_slots());
         report.leaving = host.is_leaving();
--- a/src/coursejunction/daemon/transfer_service.cpp
+++ b/src/coursejunction/daemon/transfer_service.cpp
@@ -128,7 +128,8 @@
 
 transfer_service::~transfer_service() = default;
 
-void transfer_service::set_target(const digest& version, weighting weigh)
+void transfer_service::set_target(const digest& version,
+                                  rollout_objective weigh)
 {
     self->fetch.set_target(version, weigh);
 }
--- a/src/coursejunction/daemon/transfer_service.hpp
+++ b/src/coursejunction/daemon/transfer_service.hpp
@@ -57,7 +57,7 @@
 
     /*! @brief Sets the wanted version. The transfer of another version is
      * stopped; chunks that both have in common are kept. */
-    void set_target(const digest& version, weighting weigh);
+    void set_target(const digest& version, rollout_objective weigh);
 
     /*! @brief Stops the transfer, if any; held versions are still served to
      * peers. */
