--- a/src/coursejunction/core/suspension.hpp
+++ b/src/coursejunction/core/suspension.hpp
@@ -16,30 +16,30 @@
 
 /*! @brief A timer looks at its time at least so often, so that after a
  * suspension a limit that has passed is found within a second. */
-inline constexpr milliseconds longest_wait{1000};
+inline constexpr milliseconds max_timer_wait{1000};
 
 /*! @brief Returns how long a timer may wait before it looks again. */
-[[nodiscard]] inline std::chrono::microseconds next_look(time_point due,
-                                                         time_point now)
+[[nodiscard]] inline std::chrono::microseconds timer_wait(time_point due,
+                                                          time_point now)
 {
     return std::clamp<std::chrono::microseconds>(
-        due - now, std::chrono::microseconds(0), longest_wait);
+        due - now, std::chrono::microseconds(0), max_timer_wait);
 }
 
 /*! @brief A timer that is found late by so much shows that the process stood
  * still: a busy one is late by some 20 ms. */
-inline constexpr milliseconds late_notice{250};
+inline constexpr milliseconds suspension_lateness{250};
 
 /*! @brief After a standstill, what came meanwhile is read for so long before
  * anything is decided by the time. Otherwise upstreams count as silent, and
  * requests as late, whose answers wait in the sockets: a frozen entry sent
  * every stream on to a second upstream. */
-inline constexpr milliseconds catch_up{100};
+inline constexpr milliseconds resume_read_time{100};
 
 /*! @brief Tells whether a timer that is due shows a standstill. */
-[[nodiscard]] inline bool stood_still(time_point due, time_point now)
+[[nodiscard]] inline bool indicates_suspension(time_point due, time_point now)
 {
-    return now - due >= late_notice;
+    return now - due >= suspension_lateness;
 }
 
 /*! @brief Tells how long an instance was suspended, by its two clocks. */
--- a/src/coursejunction/fleet/hall_digest.hpp
+++ b/src/coursejunction/fleet/hall_digest.hpp
@@ -110,7 +110,7 @@
                        milliseconds age, const message::upstream_status& status)
 {
     using internal::saturated;
-    message::passed_status relayed;
+    message::relayed_status relayed;
     relayed.address = address;
     relayed.age_ms = saturated<std::uint16_t>(age.count());
     relayed.model = internal::model_index(digest.models, status.model);
@@ -132,7 +132,7 @@
  * @param digest The digest that holds the status. */
 [[nodiscard]] inline message::upstream_status
 status_in(const message::hall_digest& digest,
-          const message::passed_status& relayed)
+          const message::relayed_status& relayed)
 {
     message::upstream_status status;
     if (relayed.model < digest.models.size())
--- a/src/coursejunction/fleet/quarantine_item.cpp
+++ b/src/coursejunction/fleet/quarantine_item.cpp
@@ -16,9 +16,9 @@
 std::string quarantine_payload(const message::crash_record& record,
                                std::int64_t wall_ms)
 {
-    message::kept_quarantine stored;
+    message::stored_quarantine stored;
     stored.record = record;
-    stored.last_end = wall_ms - static_cast<std::int64_t>(record.age_ms);
+    stored.last_crash = wall_ms - static_cast<std::int64_t>(record.age_ms);
     return encode(stored);
 }
 
@@ -28,14 +28,14 @@
 {
     const auto content = request_content::parse(
         key.substr(std::min(key.size(), quarantine_prefix.size())));
-    const auto read = decode<message::kept_quarantine>(payload);
+    const auto read = decode<message::stored_quarantine>(payload);
     if (!content || !read || read.value().record.content != content.value())
         return failure(error_kind::invalid, "malformed quarantine");
     constexpr std::int64_t max_age_ms =
         std::numeric_limits<std::uint32_t>::max();
     auto record = read.value().record;
     record.age_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(
-        wall_ms - read.value().last_end, 0, max_age_ms));
+        wall_ms - read.value().last_crash, 0, max_age_ms));
     return record;
 }
 
--- a/src/coursejunction/fleet/store_mirror.hpp
+++ b/src/coursejunction/fleet/store_mirror.hpp
@@ -268,7 +268,7 @@
         // Compressed once, by the process that read it from the store. All
         // others relay what they received.
         value.packed =
-            item.packed.empty() && value.payload.size() >= least_packed
+            item.packed.empty() && value.payload.size() >= min_packed_bytes
                 ? pack(value.payload)
                 : item.packed;
         value.first_seen = now - milliseconds(item.age_ms);
--- a/src/coursejunction/fleet/version_gossip.hpp
+++ b/src/coursejunction/fleet/version_gossip.hpp
@@ -24,10 +24,10 @@
  * reads them from the store.
  * @tparam View A `fleet_view`. */
 template <typename View>
-[[nodiscard]] std::vector<message::told_version>
+[[nodiscard]] std::vector<message::reported_version>
 versions_to_gossip(const View& fleet, time_point now)
 {
-    std::vector<message::told_version> made;
+    std::vector<message::reported_version> made;
     for (const auto& [key, published_at] : fleet.versions())
     {
         const auto& [model, version] = key;
@@ -61,9 +61,9 @@
  * the model and the time that the peer reported.
  * @return Whether the view changed. */
 template <typename View, typename Estimate = trust_reported_time>
-bool merge_gossiped_versions(View& fleet,
-                             const std::vector<message::told_version>& received,
-                             time_point now, Estimate estimate = {})
+bool merge_gossiped_versions(
+    View& fleet, const std::vector<message::reported_version>& received,
+    time_point now, Estimate estimate = {})
 {
     bool changed = false;
     for (const auto& report : received)
--- a/src/coursejunction/net/event_loop.cpp
+++ b/src/coursejunction/net/event_loop.cpp
@@ -61,7 +61,7 @@
     void wait()
     {
         caught_up = false;
-        wait_for(next_look(due, event_loop::now()));
+        wait_for(timer_wait(due, event_loop::now()));
     }
 
     void wait_for(std::chrono::microseconds pause)
@@ -79,8 +79,8 @@
         const auto now = event_loop::now();
         if (now < due)
             return wait();
-        if (!std::exchange(caught_up, true) && stood_still(due, now))
-            return wait_for(catch_up);
+        if (!std::exchange(caught_up, true) && indicates_suspension(due, now))
+            return wait_for(resume_read_time);
         if (interval.count() > 0)
             start(interval);
         const auto task = call;
--- a/src/coursejunction/net/stream_client.cpp
+++ b/src/coursejunction/net/stream_client.cpp
@@ -169,7 +169,7 @@
     {
         // The timer's clock stands while suspended, `moved` goes on.
         stall.expires_after(
-            next_look(moved + call.stall_time, event_loop::now()));
+            timer_wait(moved + call.stall_time, event_loop::now()));
         stall.async_wait(
             [self = shared_from_this()](const boost::system::error_code& fault)
             {
--- a/src/coursejunction/proxy/version_controller.hpp
+++ b/src/coursejunction/proxy/version_controller.hpp
@@ -74,7 +74,7 @@
 
     /*! @brief Merges versions that a peer reported and that the store does not
      * show. */
-    void merge_reported(const std::vector<message::told_version>& reported,
+    void merge_reported(const std::vector<message::reported_version>& reported,
                         time_point now)
     {
         const auto publish_time = [&](const std::string& model,
@@ -95,7 +95,7 @@
 
     /*! @brief Returns the versions that the store does not show, to be sent to
      * peers. */
-    [[nodiscard]] std::vector<message::told_version>
+    [[nodiscard]] std::vector<message::reported_version>
     versions_to_report(time_point now) const
     {
         return versions_to_gossip(fleet, now);
--- a/src/coursejunction/wire/codec.cpp
+++ b/src/coursejunction/wire/codec.cpp
@@ -9,7 +9,7 @@
 #include <cereal/details/traits.hpp>
 
 #include "coursejunction/wire/fleet_message.hpp"
-#include "coursejunction/wire/kept_versions.hpp"
+#include "coursejunction/wire/stored_versions.hpp"
 
 namespace coursejunction
 {
@@ -215,7 +215,7 @@
 COURSEJUNCTION_CODEC(claim_answer)
 COURSEJUNCTION_CODEC(fleet_heartbeat)
 COURSEJUNCTION_CODEC(mirror_page)
-COURSEJUNCTION_CODEC(kept_quarantine)
-COURSEJUNCTION_CODEC(kept_versions)
+COURSEJUNCTION_CODEC(stored_quarantine)
+COURSEJUNCTION_CODEC(stored_versions)
 
 } // namespace coursejunction
--- a/src/coursejunction/wire/crash_record.hpp
+++ b/src/coursejunction/wire/crash_record.hpp
@@ -14,7 +14,7 @@
 {
 
 /*! @brief The end of an upstream's life under a request. */
-struct crash_end
+struct upstream_crash
 {
     static constexpr std::size_t least_bytes = 9;
     std::uint64_t id{0};
@@ -32,7 +32,7 @@
 {
     static constexpr std::size_t least_bytes = 28;
     request_content content;
-    std::vector<crash_end> crashes;
+    std::vector<upstream_crash> crashes;
     std::vector<std::uint64_t> cleared; /*!< Ends that no longer count. */
     std::uint32_t age_ms{0};            /*!< Since the last end. */
 
@@ -44,15 +44,15 @@
 };
 
 /*! @brief A quarantine as the platform's store keeps it. */
-struct kept_quarantine
+struct stored_quarantine
 {
     crash_record record;
-    std::int64_t last_end{0}; /*!< Unix time in milliseconds. */
+    std::int64_t last_crash{0}; /*!< Unix time in milliseconds. */
 
     template <typename Archive>
     void serialize(Archive& archive)
     {
-        archive(record, last_end);
+        archive(record, last_crash);
     }
 };
 
--- a/src/coursejunction/wire/fleet_message.hpp
+++ b/src/coursejunction/wire/fleet_message.hpp
@@ -59,7 +59,7 @@
 
 /*! @brief A side's status as an entry of its hall passes it on: what
  * placement needs, in 42 bytes. */
-struct passed_status
+struct relayed_status
 {
     std::uint32_t address{0}; /*!< Of the side, IPv4. */
     std::uint16_t age_ms{0};  /*!< Since that entry heard it. */
@@ -85,7 +85,7 @@
 struct hall_digest
 {
     std::vector<std::string> models;
-    std::vector<passed_status> sides;
+    std::vector<relayed_status> sides;
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -147,7 +147,7 @@
 };
 
 /*! @brief A named version that the platform's store does not show. */
-struct told_version
+struct reported_version
 {
     /*! @brief Bytes on the wire; a run longer than the message is refused. */
     static constexpr std::size_t least_bytes = 16;
@@ -187,10 +187,10 @@
     std::vector<chunk_possession> chunks; /*!< Of a side, by version. */
     entry_load load;                      /*!< Of an entry. */
     hall_digest digest; /*!< Of an entry, for entries of other halls. */
-    std::vector<crash_record> crashes;    /*!< Of an entry. */
-    std::vector<refused_caller> refusals; /*!< Of an entry, new ones. */
-    std::vector<upstream_terms> terms;    /*!< Of an entry, new ones. */
-    std::vector<told_version> versions;   /*!< Of an entry; seldom any. */
+    std::vector<crash_record> crashes;      /*!< Of an entry. */
+    std::vector<refused_caller> refusals;   /*!< Of an entry, new ones. */
+    std::vector<upstream_terms> terms;      /*!< Of an entry, new ones. */
+    std::vector<reported_version> versions; /*!< Of an entry; seldom any. */
 
     template <typename Archive>
     void serialize(Archive& archive)
--- a/src/coursejunction/wire/packed.cpp
+++ b/src/coursejunction/wire/packed.cpp
@@ -28,7 +28,7 @@
 
 result<std::string> unpack(std::string_view packed, std::size_t plain_bytes)
 {
-    if (plain_bytes > most_unpacked)
+    if (plain_bytes > max_unpacked_bytes)
         return failure(error_kind::refused, "value is too large");
     std::string plain(plain_bytes, '\0');
     uLongf size = plain_bytes;
--- a/src/coursejunction/wire/packed.hpp
+++ b/src/coursejunction/wire/packed.hpp
@@ -15,12 +15,12 @@
 
 /*! @brief Values from this size on are worth packing: smaller ones fit into a
  * few packets as they are. */
-inline constexpr std::size_t least_packed = 4096;
+inline constexpr std::size_t min_packed_bytes = 4096;
 
 /*! @brief Largest value that is unpacked, in bytes: eight times the largest
  * that the platform's store takes, so that a peer cannot make us take any
  * amount of memory. */
-inline constexpr std::size_t most_unpacked = std::size_t{8} << 20U;
+inline constexpr std::size_t max_unpacked_bytes = std::size_t{8} << 20U;
 
 /*! @brief Returns bytes in fewer bytes. Made-up routes that are nearly
  * alike, 1.7 MB of them, shrink to an eighteenth in 5 ms of a core, and take
--- a/src/coursejunction/wire/kept_versions.hpp
+++ b/src/coursejunction/wire/stored_versions.hpp
@@ -1,8 +1,8 @@
 /*! @file
  * @brief What the platform's store keeps of a model's versions.
  */
-#ifndef COURSEJUNCTION_WIRE_KEPT_VERSIONS_HPP
-#define COURSEJUNCTION_WIRE_KEPT_VERSIONS_HPP
+#ifndef COURSEJUNCTION_WIRE_STORED_VERSIONS_HPP
+#define COURSEJUNCTION_WIRE_STORED_VERSIONS_HPP
 
 #include <cstdint>
 #include <string>
@@ -11,16 +11,16 @@
 {
 
 /*! @brief A `version_record` as the platform's store keeps it. */
-struct kept_versions
+struct stored_versions
 {
     std::string model;
     std::uint64_t newest{0};
-    std::uint64_t binding{0};
+    std::uint64_t minimum{0};
 
     template <typename Archive>
     void serialize(Archive& archive)
     {
-        archive(model, newest, binding);
+        archive(model, newest, minimum);
     }
 };
 
--- a/tests/core/suspension.cpp
+++ b/tests/core/suspension.cpp
@@ -54,33 +54,33 @@
     {
         const auto due = clocks.now + 6000ms;
         clocks.run(500ms);
-        const auto wait = next_look(due, clocks.now);
+        const auto wait = timer_wait(due, clocks.now);
         CHECK(wait <= 1s);
         clocks.suspend(7000ms);
         clocks.run(std::chrono::duration_cast<milliseconds>(wait));
         CHECK(clocks.now >= due);
-        CHECK(next_look(due, clocks.now) == 0us);
+        CHECK(timer_wait(due, clocks.now) == 0us);
     }
     SECTION("a short wait is not cut")
     {
-        CHECK(next_look(clocks.now + 30ms, clocks.now) == 30ms);
+        CHECK(timer_wait(clocks.now + 30ms, clocks.now) == 30ms);
     }
     SECTION("a limit that is set after it lasts no longer than one before")
     {
         // The two clocks are apart by then; the limit is a span, not a moment.
         clocks.suspend(3'600'000ms);
         const auto begun = clocks.now;
-        CHECK(next_look(begun + 700ms, clocks.now) == 700ms);
+        CHECK(timer_wait(begun + 700ms, clocks.now) == 700ms);
         clocks.run(700ms);
-        CHECK(next_look(begun + 700ms, clocks.now) == 0ms);
+        CHECK(timer_wait(begun + 700ms, clocks.now) == 0ms);
     }
     SECTION("a timer that is late by as much shows it")
     {
         const auto due = clocks.now + 30ms;
         clocks.run(50ms);
-        CHECK_FALSE(stood_still(due, clocks.now));
+        CHECK_FALSE(indicates_suspension(due, clocks.now));
         clocks.suspend(1000ms);
-        CHECK(stood_still(due, clocks.now));
+        CHECK(indicates_suspension(due, clocks.now));
     }
     SECTION("peers that were alive before it are not believed to live")
     {
--- a/tests/wire/packed.cpp
+++ b/tests/wire/packed.cpp
@@ -25,7 +25,7 @@
         {
             CHECK_FALSE(cj::unpack(packed, plain.size() - 1));
             CHECK_FALSE(cj::unpack(packed, plain.size() + 1));
-            CHECK_FALSE(cj::unpack(packed, cj::most_unpacked + 1));
+            CHECK_FALSE(cj::unpack(packed, cj::max_unpacked_bytes + 1));
         }
         THEN("bytes that are cut or spoilt are refused")
         {
