--- a/src/coursejunction/core/assert.hpp
+++ b/src/coursejunction/core/assert.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Stops the process when an invariant is broken.
+ * @brief Assertion that stays enabled in release builds.
  */
 #ifndef COURSEJUNCTION_CORE_ASSERT_HPP
 #define COURSEJUNCTION_CORE_ASSERT_HPP
@@ -7,14 +7,15 @@
 #include <cstdio>
 #include <cstdlib>
 
-/*! @brief Stops the process with a message when a condition does not hold.
- * @warning Only for invariants of the program, never for outside input. */
+/*! @brief Prints a message to standard error and aborts the process if a
+ * condition is false.
+ * @warning Only for invariants of the program, never to validate input. */
 #define COURSEJUNCTION_ASSERT(condition, message)                              \
     do                                                                         \
     {                                                                          \
         if (!(condition))                                                      \
         {                                                                      \
-            std::fprintf(stderr, "%s:%d: invariant broken: %s (%s)\n",         \
+            std::fprintf(stderr, "%s:%d: assertion failed: %s (%s)\n",         \
                          __FILE__, __LINE__, message, #condition);             \
             std::abort();                                                      \
         }                                                                      \
--- a/src/coursejunction/core/backoff.hpp
+++ b/src/coursejunction/core/backoff.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Pauses between tries that failed; pure.
+ * @brief Exponential backoff with jitter between failed attempts; performs no
+ * I/O.
  */
 #ifndef COURSEJUNCTION_CORE_BACKOFF_HPP
 #define COURSEJUNCTION_CORE_BACKOFF_HPP
@@ -13,36 +14,35 @@
 namespace coursejunction
 {
 
-/*! @brief Each pause is twice as long as the one before, up to a limit, and
- * drawn around that, so that those who failed together do not come back
- * together. */
+/*! @brief Returns delays whose mean doubles up to a limit. The jitter keeps
+ * processes that failed at the same time from retrying at the same time. */
 class backoff
 {
 public:
-    /*! @param first Mean of the first pause.
-     * @param longest Mean that no pause exceeds.
-     * @param seed Another one for everybody who may fail together. */
-    backoff(milliseconds first, milliseconds longest, std::uint32_t seed)
-        : least(first), most(longest), mean(first), random(seed)
+    /*! @param first Mean of the first delay.
+     * @param max_mean Upper limit of the mean.
+     * @param seed Must differ between processes that may fail together. */
+    backoff(milliseconds first, milliseconds max_mean, std::uint32_t seed)
+        : first_mean(first), mean_limit(max_mean), mean(first), random(seed)
     {
     }
 
-    /*! @brief Returns the pause before the next try: from a half of its mean
-     * to one and a half. */
+    /*! @brief Returns the delay before the next attempt, uniformly distributed
+     * between 0.5 and 1.5 times its mean. */
     [[nodiscard]] std::chrono::microseconds next()
     {
-        std::uniform_real_distribution<double> around(0.5, 1.5);
-        const auto pause = from_seconds(to_seconds(mean) * around(random));
-        mean = std::min(mean * 2, most);
-        return pause;
+        std::uniform_real_distribution<double> jitter(0.5, 1.5);
+        const auto delay = from_seconds(to_seconds(mean) * jitter(random));
+        mean = std::min(mean * 2, mean_limit);
+        return delay;
     }
 
-    /*! @brief A try went well: the next pause is a first one. */
-    void reset() noexcept { mean = least; }
+    /*! @brief Call after a success: the next delay is a first one again. */
+    void reset() noexcept { mean = first_mean; }
 
 private:
-    milliseconds least;
-    milliseconds most;
+    milliseconds first_mean;
+    milliseconds mean_limit;
     milliseconds mean;
     std::minstd_rand random;
 };
--- a/src/coursejunction/core/base64.cpp
+++ b/src/coursejunction/core/base64.cpp
@@ -7,7 +7,7 @@
 
 std::string to_base64(std::string_view bytes)
 {
-    // The encoder ends its text with a zero.
+    // The encoder appends a terminating null byte.
     std::string text(4 * ((bytes.size() + 2) / 3) + 1, '\0');
     const auto count =
         EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
@@ -25,9 +25,9 @@
                         reinterpret_cast<const unsigned char*>(text.data()),
                         static_cast<int>(text.size()));
     if (count < 0)
-        return failure(error_kind::refused, "not base64");
+        return failure(error_kind::refused, "not valid base64");
     auto size = static_cast<std::size_t>(count);
-    // The block decoder counts the padding as bytes.
+    // The block decoder includes the padding in its count.
     if (text.ends_with("=="))
         size -= 2;
     else if (text.ends_with("="))
--- a/src/coursejunction/core/base64.hpp
+++ b/src/coursejunction/core/base64.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Bytes as text, in the alphabet of RFC 4648 with padding; pure.
+ * @brief Base64 encoding of RFC 4648, with padding; performs no I/O.
  */
 #ifndef COURSEJUNCTION_CORE_BASE64_HPP
 #define COURSEJUNCTION_CORE_BASE64_HPP
@@ -14,8 +14,8 @@
 
 [[nodiscard]] std::string to_base64(std::string_view bytes);
 
-/*! @brief Reads what `to_base64` makes.
- * @return The bytes, or `refused`. */
+/*! @brief Decodes the output of `to_base64`.
+ * @return The bytes, or `refused` if the text is not valid base64. */
 [[nodiscard]] result<std::string> from_base64(std::string_view text);
 
 } // namespace coursejunction
--- a/src/coursejunction/core/digest.cpp
+++ b/src/coursejunction/core/digest.cpp
@@ -43,7 +43,9 @@
 {
     auto bytes = from_hex(text);
     if (!bytes || bytes.value().size() != size)
-        return failure(error_kind::invalid, "not a SHA-256 in hexadecimal");
+        return failure(
+            error_kind::invalid,
+            "a SHA-256 digest must have 64 lower-case hexadecimal digits");
     digest parsed;
     std::memcpy(parsed.raw.data(), bytes.value().data(), size);
     return parsed;
@@ -67,13 +69,14 @@
 message_code keyed_code(std::string_view key, std::string_view first,
                         std::string_view second)
 {
-    // HMAC over two parts without joining them in memory.
-    constexpr std::size_t block = 64;
-    std::array<unsigned char, block> pad{};
-    if (key.size() > block)
+    // Implements HMAC itself to avoid a copy that joins the two parts.
+    constexpr std::size_t block_size = 64;
+    std::array<unsigned char, block_size> pad{};
+    if (key.size() > block_size)
     {
-        const auto folded = digest::of(key);
-        std::copy(folded.bytes().begin(), folded.bytes().end(), pad.begin());
+        const auto key_digest = digest::of(key);
+        std::copy(key_digest.bytes().begin(), key_digest.bytes().end(),
+                  pad.begin());
     }
     else
     {
@@ -85,20 +88,20 @@
         byte ^= 0x36;
     for (auto& byte : outer)
         byte ^= 0x5c;
-    digest::value_type middle{};
+    digest::value_type inner_hash{};
     SHA256_CTX state;
     SHA256_Init(&state);
     SHA256_Update(&state, inner.data(), inner.size());
     SHA256_Update(&state, first.data(), first.size());
     SHA256_Update(&state, second.data(), second.size());
-    SHA256_Final(middle.data(), &state);
-    digest::value_type last{};
+    SHA256_Final(inner_hash.data(), &state);
+    digest::value_type outer_hash{};
     SHA256_Init(&state);
     SHA256_Update(&state, outer.data(), outer.size());
-    SHA256_Update(&state, middle.data(), middle.size());
-    SHA256_Final(last.data(), &state);
+    SHA256_Update(&state, inner_hash.data(), inner_hash.size());
+    SHA256_Final(outer_hash.data(), &state);
     message_code code{};
-    std::copy_n(last.begin(), code.size(), code.begin());
+    std::copy_n(outer_hash.begin(), code.size(), code.begin());
     return code;
 }
 
@@ -118,7 +121,7 @@
 result<std::string> from_hex(std::string_view text)
 {
     if (text.size() % 2 != 0)
-        return failure(error_kind::invalid, "odd number of hex digits");
+        return failure(error_kind::invalid, "odd number of hexadecimal digits");
     std::string bytes;
     bytes.reserve(text.size() / 2);
     for (std::size_t at = 0; at < text.size(); at += 2)
@@ -126,7 +129,8 @@
         const int high = internal::hex_value(text[at]);
         const int low = internal::hex_value(text[at + 1]);
         if (high < 0 || low < 0)
-            return failure(error_kind::invalid, "not a hex digit");
+            return failure(error_kind::invalid,
+                           "not a lower-case hexadecimal digit");
         bytes.push_back(static_cast<char>(high * 16 + low));
     }
     return bytes;
@@ -135,9 +139,10 @@
 std::string random_bytes(std::size_t count)
 {
     std::string bytes(count, '\0');
-    const int done = RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()),
-                                static_cast<int>(count));
-    COURSEJUNCTION_ASSERT(done == 1, "no random bytes");
+    const int status =
+        RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()),
+                   static_cast<int>(count));
+    COURSEJUNCTION_ASSERT(status == 1, "the random number generator failed");
     return bytes;
 }
 
--- a/src/coursejunction/core/digest.hpp
+++ b/src/coursejunction/core/digest.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief SHA-256 digests, keyed digests and random identifiers.
+ * @brief SHA-256 digests, HMACs, hexadecimal text and random identifiers.
  */
 #ifndef COURSEJUNCTION_CORE_DIGEST_HPP
 #define COURSEJUNCTION_CORE_DIGEST_HPP
@@ -16,7 +16,7 @@
 namespace coursejunction
 {
 
-/*! @brief SHA-256 of some bytes (FIPS 180-4). */
+/*! @brief A SHA-256 digest (FIPS 180-4). */
 class digest
 {
 public:
@@ -25,20 +25,19 @@
 
     digest() = default;
 
-    /*! @brief Computes the digest of bytes. */
     [[nodiscard]] static digest of(std::string_view bytes);
 
-    /*! @brief Reads 64 hexadecimal digits.
+    /*! @brief Parses 64 lower-case hexadecimal digits.
      * @return The digest, or `invalid`. */
     [[nodiscard]] static result<digest> parse(std::string_view text);
 
     /*! @brief Returns 64 lower-case hexadecimal digits. */
     [[nodiscard]] std::string hex() const;
 
-    /*! @brief Returns the raw bytes. */
     [[nodiscard]] const value_type& bytes() const noexcept { return raw; }
 
-    /*! @brief Tells whether the digest was never set. */
+    /*! @brief Returns whether all bytes are zero, as in a default-constructed
+     * digest. */
     [[nodiscard]] bool empty() const { return raw == value_type{}; }
 
     friend auto operator<=>(const digest&, const digest&) = default;
@@ -54,37 +53,40 @@
     value_type raw{};
 };
 
-/*! @brief First bytes of an HMAC-SHA256 (RFC 2104). */
+/*! @brief An HMAC-SHA256 (RFC 2104) truncated to 16 bytes. */
 using message_code = std::array<std::uint8_t, 16>;
 
-/*! @brief Computes the keyed code of two runs of bytes in order. */
+/*! @brief Computes the truncated HMAC of the concatenation of two byte
+ * strings. */
 [[nodiscard]] message_code keyed_code(std::string_view key,
                                       std::string_view first,
                                       std::string_view second);
 
-/*! @brief Computes a full HMAC-SHA256 as raw bytes. */
+/*! @brief Computes an HMAC-SHA256: 32 raw bytes. */
 [[nodiscard]] std::string keyed_digest(std::string_view key,
                                        std::string_view bytes);
 
-/*! @brief Returns bytes as hexadecimal digits. */
+/*! @brief Encodes bytes as lower-case hexadecimal digits. */
 [[nodiscard]] std::string to_hex(std::string_view bytes);
 
-/*! @brief Reads hexadecimal digits.
+/*! @brief Decodes lower-case hexadecimal digits.
  * @return The bytes, or `invalid`. */
 [[nodiscard]] result<std::string> from_hex(std::string_view text);
 
-/*! @brief Returns random bytes of the operating system. */
+/*! @brief Returns cryptographically secure random bytes (OpenSSL); aborts the
+ * process if none are available. */
 [[nodiscard]] std::string random_bytes(std::size_t count);
 
 /*! @brief Returns a random identifier of 32 hexadecimal digits. */
 [[nodiscard]] std::string random_id();
 
-/*! @brief 64-bit hash that is the same in every process (xxHash). */
+/*! @brief Non-cryptographic 64-bit hash that is the same in every process
+ * (XXH3). */
 [[nodiscard]] std::uint64_t stable_hash(std::string_view bytes);
 
 } // namespace coursejunction
 
-/*! @brief Hashes a digest by its first bytes. */
+/*! @brief Uses the first bytes of a digest as its hash. */
 template <>
 struct std::hash<coursejunction::digest>
 {
--- a/src/coursejunction/core/guarded.hpp
+++ b/src/coursejunction/core/guarded.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Callbacks that outlive their owner without harm.
+ * @brief Callbacks that may safely outlive their owner.
  */
 #ifndef COURSEJUNCTION_CORE_GUARDED_HPP
 #define COURSEJUNCTION_CORE_GUARDED_HPP
@@ -10,15 +10,16 @@
 namespace coursejunction
 {
 
-/*! @brief Returns a callback that does nothing once its owner is gone.
- * @param owner Held while the callback runs. */
+/*! @brief Wraps a callback so that it does nothing once its owner is destroyed.
+ * @param owner Kept alive while the callback runs. */
 template <typename Owner, typename Call>
 [[nodiscard]] auto guarded_by(std::weak_ptr<Owner> owner, Call call)
 {
-    return [owner = std::move(owner), call = std::move(call)](auto&&... values)
+    return
+        [owner = std::move(owner), call = std::move(call)](auto&&... arguments)
     {
         if (const auto held = owner.lock())
-            call(std::forward<decltype(values)>(values)...);
+            call(std::forward<decltype(arguments)>(arguments)...);
     };
 }
 
--- a/src/coursejunction/core/item_order.hpp
+++ b/src/coursejunction/core/item_order.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief The order in which a value's writer wrote it; pure.
+ * @brief Sequence number that the writer of a value assigns; performs no I/O.
  */
 #ifndef COURSEJUNCTION_CORE_ITEM_ORDER_HPP
 #define COURSEJUNCTION_CORE_ITEM_ORDER_HPP
@@ -10,12 +10,12 @@
 namespace coursejunction
 {
 
-/*! @brief A number that a value's writer raises with each change, whatever the
- * store's revision; both 0 when it has none. */
+/*! @brief Orders the changes that one writer made to a value, independently of
+ * the store's revision. Both members are 0 if the writer assigns no order. */
 struct item_order
 {
-    std::uint64_t life{0};  /*!< Of the writer. */
-    std::uint64_t count{0}; /*!< Within that life. */
+    std::uint64_t life{0};  /*!< Incarnation of the writer. */
+    std::uint64_t count{0}; /*!< Sequence number within it. */
 
     friend auto operator<=>(const item_order&, const item_order&) = default;
 
--- a/src/coursejunction/core/log.cpp
+++ b/src/coursejunction/core/log.cpp
@@ -22,8 +22,9 @@
 namespace internal
 {
 
-/*! @brief Lines that wait for the writing thread; about 1 MB. */
-constexpr int most_waiting = 2048;
+/*! @brief Maximum number of lines queued for the background thread; about
+ * 1 MB. */
+constexpr int max_queued_lines = 2048;
 
 log4cxx::LoggerPtr logger()
 {
@@ -41,26 +42,28 @@
         log4cxx::MDC::remove(std::string(name));
 }
 
-/*! @brief Makes writes fail rather than wait when standard output is a pipe
- * that nobody reads. A terminal is left alone: it is shared. */
-void never_wait_for_reader()
+/*! @brief Makes standard output non-blocking if it is a pipe or a socket, so
+ * that writes fail rather than block when nobody reads it. A terminal is not
+ * changed, because other processes share it. */
+void make_stdout_nonblocking()
 {
-    struct stat kind
+    struct stat status
     {
     };
-    if (fstat(STDOUT_FILENO, &kind) != 0 ||
-        (!S_ISFIFO(kind.st_mode) && !S_ISSOCK(kind.st_mode)))
+    if (fstat(STDOUT_FILENO, &status) != 0 ||
+        (!S_ISFIFO(status.st_mode) && !S_ISSOCK(status.st_mode)))
         return;
     const int flags = fcntl(STDOUT_FILENO, F_GETFL);
     if (flags >= 0)
         fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
 
-/*! @brief Lets lines pass at a rate and tells how many it held back. */
-class allowance
+/*! @brief Limits the rate of lines. The first line after a drop is preceded by
+ * a warning with the number of dropped lines. */
+class rate_limit
 {
 public:
-    explicit allowance(double per_second) : bucket(per_second, per_second) {}
+    explicit rate_limit(double per_second) : bucket(per_second, per_second) {}
 
     bool take()
     {
@@ -72,12 +75,12 @@
             ++dropped;
             return false;
         }
-        tell_dropped();
+        report_dropped();
         return true;
     }
 
 private:
-    void tell_dropped()
+    void report_dropped()
     {
         if (dropped == 0)
             return;
@@ -90,37 +93,37 @@
     std::uint64_t dropped{0};
 };
 
-allowance& decisions()
+rate_limit& decision_limit()
 {
-    static allowance one(decisions_per_second);
-    return one;
+    static rate_limit limit(decisions_per_second);
+    return limit;
 }
 
-allowance& problems()
+rate_limit& problem_limit()
 {
-    static allowance one(problems_per_second);
-    return one;
+    static rate_limit limit(problems_per_second);
+    return limit;
 }
 
 } // namespace internal
 
 void open(std::string_view instance, std::string_view level)
 {
-    internal::never_wait_for_reader();
+    internal::make_stdout_nonblocking();
     auto layout = std::make_shared<log4cxx::JSONLayout>();
     layout->setLocationInfo(false);
     auto console = std::make_shared<log4cxx::ConsoleAppender>(
         layout, log4cxx::ConsoleAppender::getSystemOut());
     log4cxx::helpers::Pool pool;
     console->activateOptions(pool);
-    auto apart = std::make_shared<log4cxx::AsyncAppender>();
-    apart->setBufferSize(internal::most_waiting);
-    apart->setBlocking(false);
-    apart->addAppender(console);
-    apart->activateOptions(pool);
+    auto async = std::make_shared<log4cxx::AsyncAppender>();
+    async->setBufferSize(internal::max_queued_lines);
+    async->setBlocking(false);
+    async->addAppender(console);
+    async->activateOptions(pool);
     auto root = log4cxx::Logger::getRootLogger();
     root->removeAllAppenders();
-    root->addAppender(apart);
+    root->addAppender(async);
     root->setLevel(log4cxx::Level::toLevel(std::string(level)));
     log4cxx::MDC::put("instance", std::string(instance));
 }
@@ -139,13 +142,13 @@
 
 void decision(std::string_view event, std::initializer_list<field> fields)
 {
-    if (internal::decisions().take())
+    if (internal::decision_limit().take())
         state(event, fields);
 }
 
 void problem(std::string_view event, std::initializer_list<field> fields)
 {
-    if (internal::problems().take())
+    if (internal::problem_limit().take())
         warning(event, fields);
 }
 
--- a/src/coursejunction/core/log.hpp
+++ b/src/coursejunction/core/log.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Structured log lines: changes of state and decisions on requests.
+ * @brief Structured logging of state changes and decisions on requests.
  */
 #ifndef COURSEJUNCTION_CORE_LOG_HPP
 #define COURSEJUNCTION_CORE_LOG_HPP
@@ -12,37 +12,39 @@
 namespace coursejunction::log
 {
 
-/*! @brief One named value of a log line. */
+/*! @brief Name and value of a log field. */
 using field = std::pair<std::string_view, std::string>;
 
-/*! @brief Lines about requests that succeed, a second; more are dropped and
- * counted. An entry sees some 60 requests a second with three lines each. */
+/*! @brief Rate limit of `decision`, in lines per second; further lines are
+ * dropped and counted. An entry handles about 60 requests per second and logs
+ * three lines for each. */
 inline constexpr double decisions_per_second = 250;
 
-/*! @brief Lines about requests that failed or were refused, a second; they
- * have an allowance of their own, so that success never crowds them out. */
+/*! @brief Rate limit of `problem`, in lines per second. It is separate, so that
+ * lines about successful requests never displace those about failed ones. */
 inline constexpr double problems_per_second = 250;
 
-/*! @brief Opens the log: one JSON object a line on standard output. Lines are
- * written by a thread of their own; when the reader stops reading, lines are
- * dropped and the process goes on.
- * @param instance Written into each line.
+/*! @brief Starts logging to standard output, one JSON object per line. A
+ * background thread writes the lines; if the reader stops reading, lines are
+ * dropped and the process is not blocked.
+ * @param instance Id that is written to each line.
  * @param level One of `debug`, `info`, `warn`, `error`, `off`. */
 void open(std::string_view instance, std::string_view level);
 
-/*! @brief Writes a change of state.
- * @param event Name of the change in snake_case.
+/*! @brief Logs a change of state at level `info`.
+ * @param event Name of the event in snake_case.
  * @param fields Named values. */
 void state(std::string_view event, std::initializer_list<field> fields = {});
 
-/*! @brief Writes a change of state that an operator should look at. */
+/*! @brief Logs a change of state that an operator should look at, at level
+ * `warn`. */
 void warning(std::string_view event, std::initializer_list<field> fields = {});
 
-/*! @brief Writes a decision that touches a request; bounded. */
+/*! @brief Logs a decision on a request at level `info`; rate-limited. */
 void decision(std::string_view event, std::initializer_list<field> fields = {});
 
-/*! @brief Writes a decision by which a request fails, is refused or is sent
- * again; bounded apart from `decision`. */
+/*! @brief Logs at level `warn` that a request fails, is refused or is resent;
+ * rate-limited separately from `decision`. */
 void problem(std::string_view event, std::initializer_list<field> fields = {});
 
 } // namespace coursejunction::log
--- a/src/coursejunction/core/pacing.hpp
+++ b/src/coursejunction/core/pacing.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Token bucket and link pacer: limits on rates.
+ * @brief Rate limits: token bucket and link pacer; neither reads a clock.
  */
 #ifndef COURSEJUNCTION_CORE_PACING_HPP
 #define COURSEJUNCTION_CORE_PACING_HPP
@@ -11,74 +11,77 @@
 namespace coursejunction
 {
 
-/*! @brief Admits units at a rate, with a burst. */
+/*! @brief Token bucket: admits a rate of tokens and a burst above it. */
 class token_bucket
 {
 public:
-    /*! @param per_second Units that flow in a second.
-     * @param burst Units that may be saved up. */
+    /*! @param per_second Tokens added per second.
+     * @param burst Capacity of the bucket, which starts full. */
     token_bucket(double per_second, double burst)
-        : flow(per_second), depth(burst), level(burst)
+        : rate_per_second(per_second), capacity(burst), available(burst)
     {
     }
 
-    /*! @brief Takes units when enough are there.
+    /*! @brief Takes tokens if enough are available, otherwise none.
      * @return Whether they were taken. */
-    [[nodiscard]] bool take(double units, time_point now)
+    [[nodiscard]] bool take(double tokens, time_point now)
     {
         refill(now);
-        if (level < units)
+        if (available < tokens)
             return false;
-        level -= units;
+        available -= tokens;
         return true;
     }
 
-    /*! @brief Returns how long until a number of units is there. */
-    [[nodiscard]] std::chrono::microseconds wait_for(double units,
+    /*! @brief Returns the time until a number of tokens is available; zero if
+     * they are, or if none are ever added. */
+    [[nodiscard]] std::chrono::microseconds wait_for(double tokens,
                                                      time_point now)
     {
         refill(now);
-        if (level >= units || flow <= 0)
+        if (available >= tokens || rate_per_second <= 0)
             return std::chrono::microseconds(0);
-        return from_seconds((units - level) / flow);
+        return from_seconds((tokens - available) / rate_per_second);
     }
 
 private:
     void refill(time_point now)
     {
-        if (started && now > last)
-            level = std::min(depth, level + flow * to_seconds(now - last));
-        last = started ? std::max(last, now) : now;
+        if (started && now > last_refill)
+            available = std::min(capacity,
+                                 available + rate_per_second *
+                                                 to_seconds(now - last_refill));
+        last_refill = started ? std::max(last_refill, now) : now;
         started = true;
     }
 
-    double flow;
-    double depth;
-    double level;
-    time_point last{};
+    double rate_per_second;
+    double capacity;
+    double available;
+    time_point last_refill{};
     bool started{false};
 };
 
-/*! @brief Serializes bytes over a link of a given rate: each reservation
- * starts when the one before has passed. */
+/*! @brief Schedules transfers over a link of a given rate one after the other:
+ * each reservation starts when the previous one ends. */
 class link_pacer
 {
 public:
-    /*! @param per_second Bytes a second; zero or less means no limit. */
+    /*! @param per_second Bytes per second; zero or less means no limit. */
     explicit link_pacer(byte_rate per_second) : rate(per_second) {}
 
-    /*! @brief Reserves the link for some bytes.
-     * @return The time at which the last byte has passed. */
+    /*! @brief Reserves the link for a number of bytes.
+     * @return The time at which the last byte is sent. */
     time_point reserve(double bytes, time_point now)
     {
         const auto start = std::max(now, free_at);
         free_at = start;
         if (rate > 0)
-            free_at += from_seconds(bytes / (rate * portion));
+            free_at += from_seconds(bytes / (rate * usable_fraction));
         return free_at;
     }
 
-    /*! @brief Returns how long bytes reserved now would wait. */
+    /*! @brief Returns how long a reservation made now would wait to start. */
     [[nodiscard]] std::chrono::microseconds backlog(time_point now) const
     {
         return std::max(std::chrono::microseconds(0),
@@ -86,18 +89,18 @@
                             free_at - now));
     }
 
-    /*! @brief Sets the portion of the link that may be used, in (0, 1]. */
-    void limit_to(double fraction) { portion = fraction; }
+    /*! @brief Sets the fraction of the rate that may be used, in (0, 1]. */
+    void limit_to(double fraction) { usable_fraction = fraction; }
 
-    /*! @brief Returns the portion of the link that may be used. */
-    [[nodiscard]] double fraction() const noexcept { return portion; }
+    /*! @brief Returns the fraction of the rate that may be used. */
+    [[nodiscard]] double fraction() const noexcept { return usable_fraction; }
 
-    /*! @brief Returns the full rate of the link. */
+    /*! @brief Returns the rate of the whole link in bytes per second. */
     [[nodiscard]] byte_rate full_rate() const noexcept { return rate; }
 
 private:
     byte_rate rate;
-    double portion{1.0};
+    double usable_fraction{1.0};
     time_point free_at{};
 };
 
--- a/src/coursejunction/core/rendezvous.hpp
+++ b/src/coursejunction/core/rendezvous.hpp
@@ -29,25 +29,26 @@
     return stable_hash(joined);
 }
 
-/*! @brief Orders candidates for a key, the heaviest first.
- * @tparam Id Strong id that wraps a string.
- * @param key What is placed.
+/*! @brief Ranks candidates for a key by descending weight; equal weights are
+ * ordered by id.
+ * @tparam Id A `strong` type that wraps a string.
+ * @param key Key to assign to candidates.
  * @param candidates Ids in any order.
- * @param count How many of the first ranks are wanted.
- * @return At most `count` ids. */
+ * @param count Maximum number of ids to return.
+ * @return The first `count` ids of the ranking, or all if there are fewer. */
 template <typename Id>
 [[nodiscard]] std::vector<Id> rendezvous_rank(std::string_view key,
                                               const std::vector<Id>& candidates,
                                               std::size_t count)
 {
-    std::vector<std::pair<std::uint64_t, const Id*>> weighed;
-    weighed.reserve(candidates.size());
+    std::vector<std::pair<std::uint64_t, const Id*>> weighted;
+    weighted.reserve(candidates.size());
     for (const auto& one : candidates)
-        weighed.emplace_back(rendezvous_weight(key, one.value()), &one);
-    const auto kept = std::min(count, weighed.size());
-    std::partial_sort(weighed.begin(),
-                      weighed.begin() + static_cast<std::ptrdiff_t>(kept),
-                      weighed.end(),
+        weighted.emplace_back(rendezvous_weight(key, one.value()), &one);
+    const auto kept = std::min(count, weighted.size());
+    std::partial_sort(weighted.begin(),
+                      weighted.begin() + static_cast<std::ptrdiff_t>(kept),
+                      weighted.end(),
                       [](const auto& left, const auto& right)
                       {
                           if (left.first != right.first)
@@ -57,7 +58,7 @@
     std::vector<Id> ranked;
     ranked.reserve(kept);
     for (std::size_t at = 0; at < kept; ++at)
-        ranked.push_back(*weighed[at].second);
+        ranked.push_back(*weighted[at].second);
     return ranked;
 }
 
--- a/src/coursejunction/core/request_content.cpp
+++ b/src/coursejunction/core/request_content.cpp
@@ -11,8 +11,9 @@
                                     std::string_view target,
                                     std::string_view body)
 {
-    // Lengths keep two splits of the same bytes apart. The body, which may have
-    // megabytes, is not copied.
+    // The length prefix distinguishes different splits of the same bytes into
+    // caller and target. The body may be several megabytes: it is hashed
+    // separately to avoid a copy.
     const auto text = std::to_string(caller.size()) + ":" +
                       std::string(caller) + std::string(target) + "\n" +
                       digest::of(body).hex();
@@ -26,8 +27,9 @@
 {
     const auto bytes = from_hex(text);
     if (!bytes || bytes.value().size() != size)
-        return failure(error_kind::invalid,
-                       "a content has 32 hexadecimal digits");
+        return failure(
+            error_kind::invalid,
+            "a request content must have 32 lower-case hexadecimal digits");
     value_type raw{};
     std::copy(bytes.value().begin(), bytes.value().end(), raw.begin());
     return request_content(raw);
--- a/src/coursejunction/core/request_content.hpp
+++ b/src/coursejunction/core/request_content.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Knows a request again that comes back under another id; pure.
+ * @brief Identifies requests with the same content under different ids;
+ * performs no I/O.
  */
 #ifndef COURSEJUNCTION_CORE_REQUEST_CONTENT_HPP
 #define COURSEJUNCTION_CORE_REQUEST_CONTENT_HPP
@@ -16,10 +17,10 @@
 namespace coursejunction
 {
 
-/*! @brief Digest of who asks for what: the first 16 bytes of a SHA-256 over
- * the caller, the target and the digest of the whole body. The caller is part
- * of it, so that nobody can bring another caller's request into disrepute; 128
- * bits leave no chance to find a second content of the same digest. */
+/*! @brief Digest of a request: the first 16 bytes of a SHA-256 over the caller,
+ * the target and the digest of the whole body. It includes the caller, so that
+ * no caller can cause another caller's request to be quarantined. With 128
+ * bits, finding a second request with the same digest is infeasible. */
 class request_content
 {
 public:
@@ -31,13 +32,13 @@
     explicit request_content(const value_type& bytes) : raw(bytes) {}
 
     /*! @brief Computes the digest.
-     * @param caller Organisation that asks; empty where none is known.
+     * @param caller Organisation that sends the request; empty if unknown.
      * @param target Path and query. */
     [[nodiscard]] static request_content
     of(std::string_view caller, std::string_view target, std::string_view body);
 
-    /*! @brief Reads 32 hexadecimal digits.
-     * @return The content, or `invalid`. */
+    /*! @brief Parses 32 lower-case hexadecimal digits.
+     * @return The digest, or `invalid`. */
     [[nodiscard]] static result<request_content> parse(std::string_view text);
 
     /*! @brief Returns 32 lower-case hexadecimal digits. */
--- a/src/coursejunction/core/result.hpp
+++ b/src/coursejunction/core/result.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Outcomes as values.
+ * @brief Errors as return values.
  */
 #ifndef COURSEJUNCTION_CORE_RESULT_HPP
 #define COURSEJUNCTION_CORE_RESULT_HPP
@@ -14,18 +14,18 @@
 namespace coursejunction
 {
 
-/*! @brief Kinds of failure a caller can act on. */
+/*! @brief Kinds of failure that callers handle differently. */
 enum class error_kind : std::uint8_t
 {
-    invalid,     /*!< Input is wrong; the same input fails again. */
-    not_found,   /*!< The named thing does not exist. */
-    conflict,    /*!< Another writer was first. */
-    unavailable, /*!< An outside system did not answer; nothing was done. */
-    unknown,     /*!< An outside system may or may not have acted. */
-    refused      /*!< An outside system said no. */
+    invalid,     /*!< The input is invalid; the same input fails again. */
+    not_found,   /*!< The requested object does not exist. */
+    conflict,    /*!< A concurrent writer was first. */
+    unavailable, /*!< An external system did not respond and did nothing. */
+    unknown,     /*!< An external system may or may not have acted. */
+    refused      /*!< The request or the received data was rejected. */
 };
 
-/*! @brief A failure, with a line for people. */
+/*! @brief A failure with a human-readable message. */
 struct error
 {
     error_kind kind;
--- a/src/coursejunction/core/strong.hpp
+++ b/src/coursejunction/core/strong.hpp
@@ -29,7 +29,7 @@
     /*! @brief Returns the wrapped value. */
     [[nodiscard]] const Value& value() const noexcept { return raw; }
 
-    /*! @brief Tells whether the wrapped value is the default one. */
+    /*! @brief Returns whether the wrapped value is the default value. */
     [[nodiscard]] bool empty() const { return raw == Value{}; }
 
     friend auto operator<=>(const strong&, const strong&) = default;
@@ -47,7 +47,7 @@
 
 } // namespace coursejunction
 
-/*! @brief Hashes a strong type as its wrapped value. */
+/*! @brief Hashes the wrapped value. */
 template <typename Tag, typename Value>
 struct std::hash<coursejunction::strong<Tag, Value>>
 {
--- a/src/coursejunction/core/suspension.hpp
+++ b/src/coursejunction/core/suspension.hpp
@@ -1,8 +1,9 @@
 /*! @file
- * @brief What an instance that was suspended must do about its clocks; pure.
+ * @brief Timers and clocks of an instance that may be suspended; performs no
+ * I/O.
  *
- * While an instance is suspended the clock that timers wait by stands, and the
- * one that ages are taken from goes on.
+ * While an instance is suspended, the clock that timers wait on stops, but the
+ * clock that ages and deadlines are computed from (CLOCK_BOOTTIME) goes on.
  */
 #ifndef COURSEJUNCTION_CORE_SUSPENSION_HPP
 #define COURSEJUNCTION_CORE_SUSPENSION_HPP
@@ -14,11 +15,13 @@
 namespace coursejunction
 {
 
-/*! @brief A timer looks at its time at least so often, so that after a
- * suspension a limit that has passed is found within a second. */
+/*! @brief Maximum time for which a timer waits before it checks the clock
+ * again, so that a deadline that passed during a suspension is detected within
+ * a second of its end. */
 inline constexpr milliseconds max_timer_wait{1000};
 
-/*! @brief Returns how long a timer may wait before it looks again. */
+/*! @brief Returns how long a timer may wait before it checks the clock again.
+ */
 [[nodiscard]] inline std::chrono::microseconds timer_wait(time_point due,
                                                           time_point now)
 {
@@ -26,48 +29,51 @@
         due - now, std::chrono::microseconds(0), max_timer_wait);
 }
 
-/*! @brief A timer that is found late by so much shows that the process stood
- * still: a busy one is late by some 20 ms. */
+/*! @brief A timer that is at least this late indicates that the process was
+ * suspended: in a busy process, timers are about 20 ms late. */
 inline constexpr milliseconds suspension_lateness{250};
 
-/*! @brief After a standstill, what came meanwhile is read for so long before
- * anything is decided by the time. Otherwise upstreams count as silent, and
- * requests as late, whose answers wait in the sockets: a frozen entry sent
- * every stream on to a second upstream. */
+/*! @brief Time after a suspension in which pending input is read before timers
+ * act. Otherwise upstreams would be treated as silent and requests as overdue
+ * although their responses are already in the socket buffers: an entry that had
+ * been suspended resent every stream to a second upstream. */
 inline constexpr milliseconds resume_read_time{100};
 
-/*! @brief Tells whether a timer that is due shows a standstill. */
+/*! @brief Returns whether a timer is late enough to indicate that the process
+ * was suspended. */
 [[nodiscard]] inline bool indicates_suspension(time_point due, time_point now)
 {
     return now - due >= suspension_lateness;
 }
 
-/*! @brief Tells how long an instance was suspended, by its two clocks. */
+/*! @brief Measures suspensions by the drift between a clock that runs while
+ * suspended and one that does not. */
 class suspension_meter
 {
 public:
-    /*! @brief Clocks that are read one after the other differ by less. */
-    static constexpr milliseconds least{100};
+    /*! @brief Drift below this is ignored: the clocks are read one after the
+     * other, so it is never exactly zero. */
+    static constexpr milliseconds min_drift{100};
 
     /*! @brief Compares the clocks.
-     * @param with_suspension Time that goes on while suspended.
-     * @param without Time that stands.
-     * @return How long it was suspended since the last call; zero if it was
-     * not. */
+     * @param with_suspension Clock that runs while suspended.
+     * @param without Clock that stops while suspended.
+     * @return Length of the suspension since the last call; zero if there was
+     * none or on the first call. */
     [[nodiscard]] milliseconds note(std::chrono::microseconds with_suspension,
                                     std::chrono::microseconds without)
     {
-        const auto apart = with_suspension - without;
-        const auto grown = known ? apart - last : apart - apart;
-        known = true;
-        last = apart;
-        const auto whole = std::chrono::duration_cast<milliseconds>(grown);
-        return whole >= least ? whole : milliseconds(0);
+        const auto offset = with_suspension - without;
+        const auto drift = measured ? offset - last_offset : offset - offset;
+        measured = true;
+        last_offset = offset;
+        const auto drift_ms = std::chrono::duration_cast<milliseconds>(drift);
+        return drift_ms >= min_drift ? drift_ms : milliseconds(0);
     }
 
 private:
-    std::chrono::microseconds last{0};
-    bool known{false};
+    std::chrono::microseconds last_offset{0};
+    bool measured{false};
 };
 
 } // namespace coursejunction
--- a/tests/core/backoff.cpp
+++ b/tests/core/backoff.cpp
@@ -7,32 +7,32 @@
 using namespace coursejunction;
 using namespace std::chrono_literals;
 
-// A hundred processes lose a call at the same moment. If all paused alike they
-// would meet again at the next try, and at each one after it.
-TEST_CASE("pauses after failures grow and differ", "[core]")
+// Without jitter, processes whose calls fail at the same moment would retry at
+// the same moment, at each attempt.
+TEST_CASE("backoff delays grow and differ between processes", "[core]")
 {
-    SECTION("each is twice as long as the one before, up to the longest")
+    SECTION("the mean doubles up to its limit")
     {
-        backoff pauses(100ms, 400ms, 7);
+        backoff delays(100ms, 400ms, 7);
         for (const auto mean : {100ms, 200ms, 400ms, 400ms, 400ms})
         {
-            const auto pause = pauses.next();
-            CHECK(pause >= mean / 2);
-            CHECK(pause <= mean * 3 / 2);
+            const auto delay = delays.next();
+            CHECK(delay >= mean / 2);
+            CHECK(delay <= mean * 3 / 2);
         }
-        SECTION("and a success makes the next one short again")
+        SECTION("a reset returns to the first mean")
         {
-            pauses.reset();
-            CHECK(pauses.next() <= 150ms);
+            delays.reset();
+            CHECK(delays.next() <= 150ms);
         }
     }
-    SECTION("those who fail together come back spread over the whole pause")
+    SECTION("the delays of different seeds cover the whole range")
     {
         constexpr std::uint32_t processes = 100;
-        constexpr std::size_t parts = 8;
-        std::set<std::int64_t> taken;
+        constexpr std::size_t intervals = 8;
+        std::set<std::int64_t> hit;
         for (std::uint32_t seed = 1; seed <= processes; ++seed)
-            taken.insert((backoff(800ms, 800ms, seed).next() - 400ms) / 100ms);
-        CHECK(taken.size() == parts);
+            hit.insert((backoff(800ms, 800ms, seed).next() - 400ms) / 100ms);
+        CHECK(hit.size() == intervals);
     }
 }
--- a/tests/core/base64.cpp
+++ b/tests/core/base64.cpp
@@ -5,11 +5,11 @@
 
 using namespace coursejunction;
 
-TEST_CASE("bytes are told as text", "[core]")
+TEST_CASE("base64 encoding and decoding", "[core]")
 {
-    rc::prop("and read back", [](const std::string& bytes)
+    rc::prop("decoding returns the encoded bytes", [](const std::string& bytes)
              { RC_ASSERT(from_base64(to_base64(bytes)).value() == bytes); });
-    SECTION("with padding")
+    SECTION("known values, with padding")
     {
         CHECK(to_base64("node-1") == "bm9kZS0x");
         CHECK(to_base64("bytes") == "Ynl0ZXM=");
@@ -17,11 +17,11 @@
         CHECK(to_base64("").empty());
         CHECK(from_base64("").value().empty());
     }
-    SECTION("what is no such text is refused")
+    SECTION("invalid text is refused")
     {
         CHECK_FALSE(from_base64("bm9"));
         CHECK_FALSE(from_base64("????"));
     }
-    rc::prop("any text is read or refused", [](const std::string& text)
+    rc::prop("arbitrary text is decoded or refused", [](const std::string& text)
              { static_cast<void>(from_base64(text)); });
 }
--- a/tests/core/guarded.cpp
+++ b/tests/core/guarded.cpp
@@ -4,15 +4,16 @@
 
 namespace cj = coursejunction;
 
-SCENARIO("a callback does nothing once its owner is gone", "[core]")
+SCENARIO("a guarded callback does nothing once its owner is destroyed",
+         "[core]")
 {
-    int seen = 0;
+    int sum = 0;
     auto owner = std::make_shared<int>(1);
     const auto call = cj::guarded_by(std::weak_ptr<int>(owner),
-                                     [&](int value) { seen += value; });
+                                     [&](int value) { sum += value; });
     call(2);
-    CHECK(seen == 2);
+    CHECK(sum == 2);
     owner.reset();
     call(3);
-    CHECK(seen == 2);
+    CHECK(sum == 2);
 }
--- a/tests/core/log_lines.hpp
+++ b/tests/core/log_lines.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Log lines that are written while a test looks.
+ * @brief Captures the log lines that a test causes.
  */
 #ifndef COURSEJUNCTION_TESTS_CORE_LOG_LINES_HPP
 #define COURSEJUNCTION_TESTS_CORE_LOG_LINES_HPP
@@ -17,17 +17,20 @@
 namespace log_test
 {
 
-/*! @brief Notes the event of each line, and one of its fields. */
-class noting_appender : public log4cxx::AppenderSkeleton
+/*! @brief Records the event and the value of one field of each log line. */
+class recording_appender : public log4cxx::AppenderSkeleton
 {
 public:
     struct line
     {
         std::string event;
-        std::string why;
+        std::string value;
     };
 
-    explicit noting_appender(std::string noted) : field(std::move(noted)) {}
+    explicit recording_appender(std::string recorded_field)
+        : field(std::move(recorded_field))
+    {
+    }
 
     void close() override {}
     [[nodiscard]] bool requiresLayout() const override { return false; }
@@ -44,7 +47,7 @@
     {
         line one;
         one.event = event->getMessage();
-        event->getMDC(field, one.why);
+        event->getMDC(field, one.value);
         const std::lock_guard guard(mutex);
         seen.push_back(std::move(one));
     }
@@ -55,12 +58,12 @@
     std::vector<line> seen;
 };
 
-/*! @brief Takes the lines that are written while it lives. */
+/*! @brief Captures the lines that are logged during its lifetime. */
 class log_lines
 {
 public:
     explicit log_lines(const std::string& field = "why")
-        : appender(std::make_shared<noting_appender>(field))
+        : appender(std::make_shared<recording_appender>(field))
     {
         logger()->addAppender(appender);
     }
@@ -70,13 +73,13 @@
     log_lines(const log_lines&) = delete;
     log_lines& operator=(const log_lines&) = delete;
 
-    /*! @brief Returns the noted field of each line of an event. */
+    /*! @brief Returns the recorded field of each captured line of an event. */
     [[nodiscard]] std::vector<std::string> of(const std::string& event) const
     {
         std::vector<std::string> made;
         for (const auto& one : appender->lines())
             if (one.event == event)
-                made.push_back(one.why);
+                made.push_back(one.value);
         return made;
     }
 
@@ -86,7 +89,7 @@
         return log4cxx::Logger::getLogger("coursejunction");
     }
 
-    std::shared_ptr<noting_appender> appender;
+    std::shared_ptr<recording_appender> appender;
 };
 
 } // namespace log_test
--- a/tests/core/pacing.cpp
+++ b/tests/core/pacing.cpp
@@ -6,15 +6,15 @@
 namespace cj = coursejunction;
 using namespace std::chrono_literals;
 
-SCENARIO("a token bucket admits at its rate", "[core]")
+SCENARIO("a token bucket limits the rate after a burst", "[core]")
 {
-    GIVEN("a bucket of ten a second with a burst of five")
+    GIVEN("a bucket with a rate of 10/s and a burst of 5, which is used up")
     {
         cj::token_bucket bucket(10, 5);
         const cj::time_point start{1s};
         for (int at = 0; at < 5; ++at)
             REQUIRE(bucket.take(1, start));
-        THEN("a sixth has to wait a tenth of a second")
+        THEN("the next token is available after 100 ms")
         {
             CHECK_FALSE(bucket.take(1, start));
             CHECK(bucket.wait_for(1, start) == 100ms);
@@ -25,7 +25,7 @@
 
 TEST_CASE("a link pacer never exceeds its rate", "[core]")
 {
-    rc::prop("whatever is reserved when",
+    rc::prop("for any sizes and times of reservations",
              [](const std::vector<std::uint16_t>& sizes)
              {
                  cj::link_pacer link(1000);
--- a/tests/core/rendezvous.cpp
+++ b/tests/core/rendezvous.cpp
@@ -20,26 +20,26 @@
 
 } // namespace
 
-TEST_CASE("rendezvous hashing moves only what it must", "[core]")
+TEST_CASE("rendezvous hashing moves as few keys as possible", "[core]")
 {
-    rc::prop("a candidate that leaves moves nobody else",
+    rc::prop("removing a candidate keeps the order of the others",
              [](const std::string& key)
              {
                  auto ids = instances(20);
                  const auto before = cj::rendezvous_rank(key, ids, 20);
-                 const auto gone = *rc::gen::elementOf(ids);
-                 std::erase(ids, gone);
+                 const auto removed = *rc::gen::elementOf(ids);
+                 std::erase(ids, removed);
                  auto expected = before;
-                 std::erase(expected, gone);
+                 std::erase(expected, removed);
                  RC_ASSERT(cj::rendezvous_rank(key, ids, 20) == expected);
              });
-    rc::prop("the order of candidates does not matter",
+    rc::prop("the ranking does not depend on the order of the candidates",
              [](const std::string& key)
              {
                  const auto ids = instances(12);
-                 auto other = ids;
-                 std::reverse(other.begin(), other.end());
+                 auto reversed = ids;
+                 std::reverse(reversed.begin(), reversed.end());
                  RC_ASSERT(cj::rendezvous_rank(key, ids, 4) ==
-                           cj::rendezvous_rank(key, other, 4));
+                           cj::rendezvous_rank(key, reversed, 4));
              });
 }
--- a/tests/core/suspension.cpp
+++ b/tests/core/suspension.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/*! @brief Two clocks of an instance, of which one stands while suspended. */
+/*! @brief Clocks of an instance; `awake` stops while it is suspended. */
 struct two_clocks
 {
     void run(milliseconds time)
@@ -32,25 +32,25 @@
 
 } // namespace
 
-TEST_CASE("an instance is suspended for some seconds", "[core]")
+TEST_CASE("an instance handles a suspension of several seconds", "[core]")
 {
     two_clocks clocks;
-    const auto look = [&](suspension_meter& meter)
+    const auto measure = [&](suspension_meter& meter)
     { return meter.note(clocks.now.time_since_epoch(), clocks.awake); };
 
-    SECTION("it sees for how long, once")
+    SECTION("the suspension is measured and reported once")
     {
         suspension_meter meter;
-        CHECK(look(meter) == 0ms);
+        CHECK(measure(meter) == 0ms);
         clocks.run(200ms);
-        CHECK(look(meter) == 0ms);
+        CHECK(measure(meter) == 0ms);
         clocks.suspend(4000ms);
         clocks.run(10ms);
-        CHECK(look(meter) == 4000ms);
+        CHECK(measure(meter) == 4000ms);
         clocks.run(200ms);
-        CHECK(look(meter) == 0ms);
+        CHECK(measure(meter) == 0ms);
     }
-    SECTION("a deadline that passed meanwhile is found within a second")
+    SECTION("a deadline that passed during it is detected within a second")
     {
         const auto due = clocks.now + 6000ms;
         clocks.run(500ms);
@@ -61,20 +61,20 @@
         CHECK(clocks.now >= due);
         CHECK(timer_wait(due, clocks.now) == 0us);
     }
-    SECTION("a short wait is not cut")
+    SECTION("a wait shorter than the maximum is not shortened")
     {
         CHECK(timer_wait(clocks.now + 30ms, clocks.now) == 30ms);
     }
-    SECTION("a limit that is set after it lasts no longer than one before")
+    SECTION("a timer that is set after it has its normal length")
     {
-        // The two clocks are apart by then; the limit is a span, not a moment.
+        // The offset between the clocks must not lengthen a later timer.
         clocks.suspend(3'600'000ms);
         const auto begun = clocks.now;
         CHECK(timer_wait(begun + 700ms, clocks.now) == 700ms);
         clocks.run(700ms);
         CHECK(timer_wait(begun + 700ms, clocks.now) == 0ms);
     }
-    SECTION("a timer that is late by as much shows it")
+    SECTION("a timer that is late by its length indicates it")
     {
         const auto due = clocks.now + 30ms;
         clocks.run(50ms);
@@ -82,7 +82,7 @@
         clocks.suspend(1000ms);
         CHECK(indicates_suspension(due, clocks.now));
     }
-    SECTION("peers that were alive before it are not believed to live")
+    SECTION("peers that were alive before it are no longer assumed to be")
     {
         peer_directory peers;
         peers.record_heartbeat("10.0.0.1", {}, clocks.now);
@@ -91,29 +91,29 @@
         clocks.suspend(3000ms);
         CHECK_FALSE(peers.alive("10.0.0.1", clocks.now));
     }
-    SECTION("reports of upstreams from before it no longer tell the load")
+    SECTION("status reports from before it are no longer used")
     {
-        upstream_registry book;
+        upstream_registry registry;
         upstream_record record;
         record.id = instance_id("a");
         record.address = "10.0.0.2:80";
         record.model_versions["m"] = 1;
-        book.apply_record(record);
-        message::upstream_status told;
-        told.model = "m";
-        told.version = 2;
-        told.side = 1;
-        told.sequence = 1;
-        book.apply_status("10.0.0.2", told, clocks.now);
-        CHECK(upstream_registry::served_version(*book.find(record.id), "m",
+        registry.apply_record(record);
+        message::upstream_status status;
+        status.model = "m";
+        status.version = 2;
+        status.side = 1;
+        status.sequence = 1;
+        registry.apply_status("10.0.0.2", status, clocks.now);
+        CHECK(upstream_registry::served_version(*registry.find(record.id), "m",
                                                 clocks.now) == 2);
         clocks.suspend(3000ms);
-        CHECK(
-            upstream_registry::side_silent(*book.find(record.id), clocks.now));
-        CHECK(upstream_registry::served_version(*book.find(record.id), "m",
+        CHECK(upstream_registry::side_silent(*registry.find(record.id),
+                                             clocks.now));
+        CHECK(upstream_registry::served_version(*registry.find(record.id), "m",
                                                 clocks.now) == 1);
     }
-    SECTION("retries from before it are out of the window")
+    SECTION("retries from before it no longer count in the window")
     {
         retry_window window({10'000ms, 0, 1});
         CHECK(window.try_spend(clocks.now));
@@ -123,7 +123,7 @@
     }
 }
 
-TEST_CASE("ages are taken from a clock that goes on while suspended", "[core]")
+TEST_CASE("the event loop uses a clock that runs while suspended", "[core]")
 {
     const auto boot = []
     {
