--- a/src/coursejunction/proxy/gateway.hpp
+++ b/src/coursejunction/proxy/gateway.hpp
@@ -440,9 +440,9 @@
         const auto now = event_loop::now();
         const auto rates = exchanges.rates(now);
         heartbeat.versions = version_control.versions_to_report(now);
-        heartbeat.load.asked = static_cast<float>(rates.arrived);
+        heartbeat.load.arrived = static_cast<float>(rates.arrived);
         heartbeat.load.refused = static_cast<float>(rates.refused);
-        heartbeat.load.demanded = static_cast<float>(rates.demand);
+        heartbeat.load.demand = static_cast<float>(rates.demand);
     }
 
     /*! @brief Divides the engines between the entries according to their
@@ -460,8 +460,8 @@
                 continue;
             const auto& load = peer.last_heartbeat.load;
             demands.push_back(make_demand(hall_id(peer.last_heartbeat.hall),
-                                          address, load.demanded));
-            others.arrived += load.asked;
+                                          address, load.demand));
+            others.arrived += load.arrived;
             others.refused += load.refused;
         }
         exchanges.set_other_entries_rates(others, now);
--- a/src/coursejunction/proxy/refusal_messages.hpp
+++ b/src/coursejunction/proxy/refusal_messages.hpp
@@ -33,8 +33,8 @@
     encoded.fingerprint = refusal.fingerprint.value();
     encoded.waited_ms = wire_ms(now - refusal.first_arrival);
     if (refusal.deadline) // 0 means no deadline.
-        encoded.left_ms = std::max(wire_ms(*refusal.deadline - now), 1U);
-    encoded.due_ms = wire_ms(refusal.retry_at - now);
+        encoded.remaining_ms = std::max(wire_ms(*refusal.deadline - now), 1U);
+    encoded.retry_in_ms = wire_ms(refusal.retry_at - now);
     return encoded;
 }
 
@@ -45,10 +45,10 @@
     refusal_record refusal;
     refusal.fingerprint = request_fingerprint(received.fingerprint);
     refusal.first_arrival = now - milliseconds(received.waited_ms);
-    if (received.left_ms > 0)
-        refusal.deadline = now + milliseconds(received.left_ms);
+    if (received.remaining_ms > 0)
+        refusal.deadline = now + milliseconds(received.remaining_ms);
     refusal.refused_at = now;
-    refusal.retry_at = now + milliseconds(received.due_ms);
+    refusal.retry_at = now + milliseconds(received.retry_in_ms);
     return refusal;
 }
 
--- a/src/coursejunction/wire/fleet_message.hpp
+++ b/src/coursejunction/wire/fleet_message.hpp
@@ -97,14 +97,14 @@
 /*! @brief What an entry's callers ask of engines, requests a second. */
 struct entry_load
 {
-    float asked{0};    /*!< New ones, lately. */
-    float refused{0};  /*!< New ones that were refused, lately. */
-    float demanded{0}; /*!< New ones, over some seconds. */
+    float arrived{0}; /*!< New ones, lately. */
+    float refused{0}; /*!< New ones that were refused, lately. */
+    float demand{0};  /*!< New ones, over some seconds. */
 
     template <typename Archive>
     void serialize(Archive& archive)
     {
-        archive(asked, refused, demanded);
+        archive(arrived, refused, demand);
     }
 };
 
@@ -114,14 +114,14 @@
     /*! @brief Bytes on the wire; a run longer than the message is refused. */
     static constexpr std::size_t least_bytes = 20;
     std::uint64_t fingerprint{0};
-    std::uint32_t waited_ms{0}; /*!< Since its first try. */
-    std::uint32_t left_ms{0};   /*!< To its deadline; 0 when it told none. */
-    std::uint32_t due_ms{0};    /*!< Until it may come back. */
+    std::uint32_t waited_ms{0};    /*!< Since its first try. */
+    std::uint32_t remaining_ms{0}; /*!< To its deadline; 0 when it told none. */
+    std::uint32_t retry_in_ms{0};  /*!< Until it may come back. */
 
     template <typename Archive>
     void serialize(Archive& archive)
     {
-        archive(fingerprint, waited_ms, left_ms, due_ms);
+        archive(fingerprint, waited_ms, remaining_ms, retry_in_ms);
     }
 };
 
--- a/tests/proxy/refusal_messages.cpp
+++ b/tests/proxy/refusal_messages.cpp
@@ -39,7 +39,7 @@
     THEN("a time in the past becomes a duration of zero")
     {
         refusal.retry_at = sender_now - 1s;
-        CHECK(cj::encode_refusal(refusal, sender_now).due_ms == 0);
+        CHECK(cj::encode_refusal(refusal, sender_now).retry_in_ms == 0);
     }
     THEN("the heartbeat of an entry carries them")
     {
@@ -50,7 +50,7 @@
         const auto decoded = cj::decode<cj::message::fleet_heartbeat>(bytes);
         REQUIRE(decoded);
         REQUIRE(decoded.value().refusals.size() == 3);
-        CHECK(decoded.value().refusals.front().left_ms == 5600);
+        CHECK(decoded.value().refusals.front().remaining_ms == 5600);
         AND_THEN("a truncated heartbeat is rejected")
         {
             const auto truncated = bytes.substr(0, bytes.size() - 10);
