--- a/src/coursejunction/wire/codec.cpp
+++ b/src/coursejunction/wire/codec.cpp
@@ -17,7 +17,7 @@
 namespace internal
 {
 
-/*! @brief cereal archive that appends to a string, little endian. */
+/*! @brief cereal output archive that appends little-endian data to a string. */
 class writer : public cereal::OutputArchive<writer>
 {
 public:
@@ -31,46 +31,49 @@
     std::string text;
 };
 
-/*! @brief cereal archive that reads from a bounded view. */
+/*! @brief cereal input archive that reads from a bounded view; throws
+ * `std::length_error` if the data is malformed. */
 class reader : public cereal::InputArchive<reader>
 {
 public:
     explicit reader(std::string_view from)
-        : cereal::InputArchive<reader>(this), left(from)
+        : cereal::InputArchive<reader>(this), remaining(from)
     {
     }
 
     void bytes(void* into, std::size_t count)
     {
-        if (count > left.size())
-            throw std::length_error("head is cut");
-        std::memcpy(into, left.data(), count);
-        left.remove_prefix(count);
+        if (count > remaining.size())
+            throw std::length_error("head is truncated");
+        std::memcpy(into, remaining.data(), count);
+        remaining.remove_prefix(count);
     }
 
-    /*! @brief Refuses a run that cannot fit into what is left. */
-    std::size_t run(std::size_t element_bytes)
+    /*! @brief Reads the element count of a list or string; throws if so many
+     * elements cannot fit into the remaining bytes.
+     * @param element_bytes Minimum encoded size of an element. */
+    std::size_t read_count(std::size_t element_bytes)
     {
         std::uint32_t count = 0;
         bytes(&count, sizeof(count));
-        if (count > left.size() / element_bytes)
-            throw std::length_error("a length lies");
+        if (count > remaining.size() / element_bytes)
+            throw std::length_error("length exceeds the remaining bytes");
         return count;
     }
 
-    std::string_view left;
+    std::string_view remaining;
 };
 
 template <typename Value>
-concept plain = std::is_arithmetic_v<Value>;
+concept arithmetic = std::is_arithmetic_v<Value>;
 
-template <plain Value>
+template <arithmetic Value>
 void CEREAL_SAVE_FUNCTION_NAME(writer& archive, const Value& value)
 {
     archive.bytes(&value, sizeof(value));
 }
 
-template <plain Value>
+template <arithmetic Value>
 void CEREAL_LOAD_FUNCTION_NAME(reader& archive, Value& value)
 {
     if constexpr (std::is_same_v<Value, bool>)
@@ -94,7 +97,7 @@
 
 void CEREAL_LOAD_FUNCTION_NAME(reader& archive, std::string& value)
 {
-    value.resize(archive.run(1));
+    value.resize(archive.read_count(1));
     archive.bytes(value.data(), value.size());
 }
 
@@ -112,13 +115,14 @@
     archive.bytes(value.data(), value.size());
 }
 
-/*! @brief Returns the bytes that an element of a run takes at least: a text
- * its length, a struct of messages 32 unless it names fewer. Where this says
- * too much, a true list at the end of a message is refused. */
+/*! @brief Returns the minimum encoded size of a list element in bytes: for a
+ * string the size of its length, for a struct its `least_bytes`, or 32 if it
+ * has none. A value that is too high makes the decoder refuse a valid list at
+ * the end of a message. */
 template <typename Element>
 constexpr std::size_t least_bytes()
 {
-    constexpr std::size_t structure = 32;
+    constexpr std::size_t default_struct_bytes = 32;
     if constexpr (std::is_arithmetic_v<Element>)
         return sizeof(Element);
     else if constexpr (std::is_same_v<Element, std::string>)
@@ -126,7 +130,7 @@
     else if constexpr (requires { Element::least_bytes; })
         return Element::least_bytes;
     else
-        return structure;
+        return default_struct_bytes;
 }
 
 template <typename Element>
@@ -135,15 +139,15 @@
 {
     const auto count = static_cast<std::uint32_t>(value.size());
     archive.bytes(&count, sizeof(count));
-    for (const auto& one : value)
-        archive(one);
+    for (const auto& element : value)
+        archive(element);
 }
 
 template <typename Element>
 void CEREAL_LOAD_FUNCTION_NAME(reader& archive, std::vector<Element>& value)
 {
-    constexpr std::size_t least = least_bytes<Element>();
-    const auto count = archive.run(least);
+    constexpr std::size_t min_bytes = least_bytes<Element>();
+    const auto count = archive.read_count(min_bytes);
     value.clear();
     value.reserve(count);
     for (std::size_t at = 0; at < count; ++at)
@@ -176,8 +180,8 @@
         internal::reader archive(head);
         Message read;
         archive(read);
-        if (!archive.left.empty())
-            return failure(error_kind::refused, "head is too long");
+        if (!archive.remaining.empty())
+            return failure(error_kind::refused, "head has trailing bytes");
         return read;
     }
     catch (const std::exception& caught)
--- a/src/coursejunction/wire/codec.hpp
+++ b/src/coursejunction/wire/codec.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Turns messages into frame heads and back with cereal.
+ * @brief Encodes messages as frame heads and decodes them, using cereal.
  */
 #ifndef COURSEJUNCTION_WIRE_CODEC_HPP
 #define COURSEJUNCTION_WIRE_CODEC_HPP
@@ -13,15 +13,16 @@
 namespace coursejunction
 {
 
-/*! @brief Returns the head of a message.
+/*! @brief Encodes a message as a frame head.
  * @tparam Message One of the structs of `message`. */
 template <typename Message>
 [[nodiscard]] std::string encode(const Message& from);
 
-/*! @brief Reads a head. No length in it is trusted: a run longer than what is
- * left of the head is refused before memory is taken for it.
+/*! @brief Decodes a frame head. Lengths in it are not trusted: a string or list
+ * that is longer than the rest of the head is refused before memory is
+ * allocated for it.
  * @tparam Message One of the structs of `message`.
- * @return The message, or `refused`. */
+ * @return The message, or `refused` if the head is malformed. */
 template <typename Message>
 [[nodiscard]] result<Message> decode(std::string_view head);
 
--- a/src/coursejunction/wire/crash_record.hpp
+++ b/src/coursejunction/wire/crash_record.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What processes tell each other of requests that crash upstreams.
+ * @brief Messages about requests that crash upstreams.
  */
 #ifndef COURSEJUNCTION_WIRE_CRASH_RECORD_HPP
 #define COURSEJUNCTION_WIRE_CRASH_RECORD_HPP
@@ -13,12 +13,13 @@
 namespace coursejunction::message
 {
 
-/*! @brief The end of an upstream's life under a request. */
+/*! @brief Crash of one incarnation of an upstream that was running a request.
+ */
 struct upstream_crash
 {
-    static constexpr std::size_t least_bytes = 9;
-    std::uint64_t id{0};
-    std::uint8_t evidence{0}; /*!< An `crash_evidence`. */
+    static constexpr std::size_t least_bytes = 9; /*!< Encoded size. */
+    std::uint64_t id{0};                          /*!< A `crash_id`. */
+    std::uint8_t evidence{0};                     /*!< A `crash_evidence`. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -27,14 +28,16 @@
     }
 };
 
-/*! @brief A request under which upstreams ended, as one process knows it. */
+/*! @brief Crashes of upstreams that ran one request, as known to one process.
+ */
 struct crash_record
 {
-    static constexpr std::size_t least_bytes = 28;
+    static constexpr std::size_t least_bytes = 28; /*!< With empty lists. */
     request_content content;
     std::vector<upstream_crash> crashes;
-    std::vector<std::uint64_t> cleared; /*!< Ends that no longer count. */
-    std::uint32_t age_ms{0};            /*!< Since the last end. */
+    std::vector<std::uint64_t> cleared; /*!< Ids of crashes that no
+                                           longer count as evidence. */
+    std::uint32_t age_ms{0};            /*!< Time since the last crash. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -43,7 +46,7 @@
     }
 };
 
-/*! @brief A quarantine as the platform's store keeps it. */
+/*! @brief A quarantined request, as encoded in the platform's store. */
 struct stored_quarantine
 {
     crash_record record;
--- a/src/coursejunction/wire/fleet_message.hpp
+++ b/src/coursejunction/wire/fleet_message.hpp
@@ -1,6 +1,7 @@
 /*! @file
- * @brief Messages between the processes of one installation that share the
- * platform's store: datagrams and pages of the mirror.
+ * @brief Messages between the processes of one installation, which share the
+ * platform's store: heartbeat datagrams and pages of the mirror of the store.
+ * The order of members is their encoding.
  */
 #ifndef COURSEJUNCTION_WIRE_FLEET_MESSAGE_HPP
 #define COURSEJUNCTION_WIRE_FLEET_MESSAGE_HPP
@@ -17,20 +18,20 @@
 namespace coursejunction::message
 {
 
-/*! @brief What a side knows of its upstream, as of its last poll. */
+/*! @brief State of an upstream, as its sidecar read it in its last poll. */
 struct upstream_status
 {
     std::string model;
-    std::uint64_t version{0};  /*!< Weights that are whole; 0 for none. */
-    std::uint64_t side{0};     /*!< Incarnation of the side that tells it. */
-    std::uint64_t sequence{0}; /*!< Rises with each status of a side. */
-    std::uint64_t life{0};     /*!< Incarnation of the upstream; 0: not told. */
-    std::uint32_t running{0};
-    std::uint32_t waiting{0};
-    std::uint64_t memory_used{0};
-    std::uint64_t memory_size{0};
-    double pace{1};
-    bool open{false};      /*!< Takes new requests. */
+    std::uint64_t version{0};  /*!< Completely loaded weights; 0: none. */
+    std::uint64_t side{0};     /*!< Incarnation of the sidecar. */
+    std::uint64_t sequence{0}; /*!< Increases with each status. */
+    std::uint64_t life{0};     /*!< Incarnation of the upstream; 0: unknown. */
+    std::uint32_t running{0};  /*!< Running requests. */
+    std::uint32_t waiting{0};  /*!< Queued requests. */
+    std::uint64_t memory_used{0}; /*!< KV cache in use. */
+    std::uint64_t memory_size{0}; /*!< KV cache, in the same unit. */
+    double pace{1};        /*!< Factor by which it is slower than profiled. */
+    bool open{false};      /*!< The upstream accepts new requests. */
     bool reachable{false}; /*!< The upstream answered the last poll. */
 
     template <typename Archive>
@@ -41,13 +42,13 @@
     }
 };
 
-/*! @brief Chunks that a side can give to others. */
+/*! @brief Chunks of a version that a sidecar can upload to others. */
 struct chunk_possession
 {
     static constexpr std::size_t least_bytes = 20;
     std::string model;
     std::uint64_t version{0};
-    std::uint32_t queue{0};          /*!< Uploads that wait. */
+    std::uint32_t queue{0};          /*!< Queued uploads. */
     std::vector<std::uint64_t> held; /*!< Bit n of word w: chunk 64 w + n. */
 
     template <typename Archive>
@@ -57,13 +58,13 @@
     }
 };
 
-/*! @brief A side's status as an entry of its hall passes it on: what
- * placement needs, in 42 bytes. */
+/*! @brief A sidecar's status as an entry of its hall relays it: only what
+ * routing needs, in 42 bytes. */
 struct relayed_status
 {
-    std::uint32_t address{0}; /*!< Of the side, IPv4. */
-    std::uint16_t age_ms{0};  /*!< Since that entry heard it. */
-    std::uint8_t model{0};    /*!< Place in the digest's list of models. */
+    std::uint32_t address{0}; /*!< IPv4 address of the sidecar. */
+    std::uint16_t age_ms{0};  /*!< Since the entry received it. */
+    std::uint8_t model{0};    /*!< Index into `hall_digest::models`. */
     std::uint8_t flags{0};    /*!< 1: open, 2: reachable. */
     std::uint32_t version{0};
     std::uint64_t side{0};
@@ -81,7 +82,8 @@
     }
 };
 
-/*! @brief What entries pass on of their hall. */
+/*! @brief Statuses of the sidecars of a hall, which its entries relay to other
+ * halls. */
 struct hall_digest
 {
     std::vector<std::string> models;
@@ -94,12 +96,12 @@
     }
 };
 
-/*! @brief What an entry's callers ask of engines, requests a second. */
+/*! @brief Rates of new requests at an entry, per second. */
 struct entry_load
 {
-    float arrived{0}; /*!< New ones, lately. */
-    float refused{0}; /*!< New ones that were refused, lately. */
-    float demand{0};  /*!< New ones, over some seconds. */
+    float arrived{0}; /*!< Recent rate of new requests. */
+    float refused{0}; /*!< Recent rate of refused new requests. */
+    float demand{0};  /*!< Rate of new requests over several seconds. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -108,15 +110,16 @@
     }
 };
 
-/*! @brief A caller that an entry sent away; times are ms from the sending. */
+/*! @brief A refused request whose caller may send a client retry to another
+ * entry. Times are milliseconds relative to when this message is sent. */
 struct refused_caller
 {
-    /*! @brief Bytes on the wire; a run longer than the message is refused. */
+    /*! @brief Minimum encoded size; bounds the length of a list of these. */
     static constexpr std::size_t least_bytes = 20;
     std::uint64_t fingerprint{0};
-    std::uint32_t waited_ms{0};    /*!< Since its first try. */
-    std::uint32_t remaining_ms{0}; /*!< To its deadline; 0 when it told none. */
-    std::uint32_t retry_in_ms{0};  /*!< Until it may come back. */
+    std::uint32_t waited_ms{0};    /*!< Since its first attempt. */
+    std::uint32_t remaining_ms{0}; /*!< Until its deadline; 0: none given. */
+    std::uint32_t retry_in_ms{0};  /*!< Until the caller may retry. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -125,18 +128,18 @@
     }
 };
 
-/*! @brief What an entry was told by an upstream's answers, on which terms it
- * takes requests. */
+/*! @brief Conditions under which an upstream accepts requests, as an entry read
+ * them from its responses. */
 struct upstream_terms
 {
-    /*! @brief Bytes on the wire; a run longer than the message is refused. */
+    /*! @brief Minimum encoded size; bounds the length of a list of these. */
     static constexpr std::size_t least_bytes = 21;
     std::string upstream;
-    std::uint64_t life{0};   /*!< Incarnation of the upstream; 0: not told. */
-    std::uint32_t age_ms{0}; /*!< Of the answer. */
-    bool leaving{false};     /*!< It wants no new work. */
-    /*! @brief Requests a second of all entries together; below 0 when the
-     * upstream names no limit. */
+    std::uint64_t life{0};   /*!< Incarnation of the upstream; 0: unknown. */
+    std::uint32_t age_ms{0}; /*!< Age of the response. */
+    bool leaving{false};     /*!< The upstream accepts no new requests. */
+    /*! @brief Limit on the requests per second of all entries together;
+     * negative if the upstream states none. */
     float per_second{-1};
 
     template <typename Archive>
@@ -146,14 +149,15 @@
     }
 };
 
-/*! @brief A named version that the platform's store does not show. */
+/*! @brief A published version that is not visible in the platform's store. */
 struct reported_version
 {
-    /*! @brief Bytes on the wire; a run longer than the message is refused. */
+    /*! @brief Minimum encoded size; bounds the length of a list of these. */
     static constexpr std::size_t least_bytes = 16;
     std::string model;
     std::uint64_t version{0};
-    std::uint32_t age_ms{0}; /*!< Since its naming, at most. */
+    std::uint32_t age_ms{0}; /*!< Upper bound of the time since it
+                                 was published. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -162,35 +166,36 @@
     }
 };
 
-/*! @brief Datagram between any two processes of an installation. */
+/*! @brief Heartbeat datagram between any two processes of an installation. */
 struct fleet_heartbeat
 {
     std::uint64_t incarnation{0};
     std::uint64_t sequence{0};
-    store_position mirrored; /*!< The mirror is whole up to this. */
-    /*! @brief Values of earlier eras of the store that stand. */
+    store_position mirrored; /*!< The mirror is complete up to this. */
+    /*! @brief Number of mirrored values carried over from earlier eras. */
     std::uint32_t carried{0};
     std::string hall;
     bool entry{false};
     bool leaving{false};
-    bool watching{false};       /*!< Hears of changes from the store itself. */
-    bool fetching{false};       /*!< Reads the whole store, or what a peer of
-                                   another hall knows, for its hall. */
-    bool probing{false};        /*!< Asks the store for news, which moves few
-                                   bytes, and had no answer yet. */
-    bool store_returned{false}; /*!< An outage of the store ended just now. */
-    /*! @brief Microseconds that a connection to the store takes from here; 0
-     * when that is not known. */
+    bool watching{false};       /*!< Receives changes from the store itself. */
+    bool fetching{false};       /*!< Reads the whole store, or the mirror of a
+                                   peer in another hall, for its hall. */
+    bool probing{false};        /*!< Has a small request for changes to the
+                                   store open, without a response so far. */
+    bool store_returned{false}; /*!< An outage of the store ended recently. */
+    /*! @brief Time in microseconds that connecting to the store takes from this
+     * process; 0 if unknown. */
     std::uint32_t store_distance{0};
-    std::vector<std::uint32_t> entries;   /*!< Known entries, IPv4 addresses. */
-    upstream_status upstream;             /*!< Of a side. */
-    std::vector<chunk_possession> chunks; /*!< Of a side, by version. */
-    entry_load load;                      /*!< Of an entry. */
-    hall_digest digest; /*!< Of an entry, for entries of other halls. */
-    std::vector<crash_record> crashes;      /*!< Of an entry. */
-    std::vector<refused_caller> refusals;   /*!< Of an entry, new ones. */
-    std::vector<upstream_terms> terms;      /*!< Of an entry, new ones. */
-    std::vector<reported_version> versions; /*!< Of an entry; seldom any. */
+    std::vector<std::uint32_t> entries; /*!< IPv4 addresses of known entries. */
+    upstream_status upstream;           /*!< Sidecars only. */
+    std::vector<chunk_possession> chunks; /*!< Sidecars only; per version. */
+    entry_load load;                      /*!< Entries only. */
+    hall_digest digest;                /*!< Entries only; for entries of other
+                                          halls. */
+    std::vector<crash_record> crashes; /*!< Entries only. */
+    std::vector<refused_caller> refusals;   /*!< Entries only; new ones. */
+    std::vector<upstream_terms> terms;      /*!< Entries only; new ones. */
+    std::vector<reported_version> versions; /*!< Entries only; usually empty. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -205,22 +210,22 @@
     }
 };
 
-/*! @brief One item of the store as mirrored. */
+/*! @brief One mirrored key of the store. */
 struct mirror_item
 {
     std::string key;
     std::string payload;
     std::uint64_t revision{0};
-    std::uint64_t age_ms{0}; /*!< Since some process first learnt it. */
+    std::uint64_t age_ms{0}; /*!< Since any process first received it. */
     bool removed{false};
-    /*! @brief The payload as `pack` makes it, which then goes over the wire in
-     * its place; empty for a small one. */
+    /*! @brief The payload compressed by `pack`, which is sent instead of it;
+     * empty for a small payload. */
     std::string packed;
-    std::uint64_t plain_bytes{0}; /*!< Size of the payload that is packed. */
-    std::uint64_t era{0};         /*!< Of the store, that counts revisions. */
-    /*! @brief Of a removed key: the order of the last value. */
+    std::uint64_t plain_bytes{0}; /*!< Size of the uncompressed payload. */
+    std::uint64_t era{0}; /*!< Era of the store in which `revision` counts. */
+    /*! @brief Order of the last value, if the key is removed. */
     item_order order{};
-    /*! @brief The key is gone because the store came back without it. */
+    /*! @brief The key is missing because of a rollback of the store. */
     bool lost{false};
 
     [[nodiscard]] store_position position() const { return {era, revision}; }
@@ -233,13 +238,14 @@
     }
 };
 
-/*! @brief All items of a mirror that changed after a revision. */
+/*! @brief All items of a mirror that changed after a requested position. */
 struct mirror_page
 {
-    store_position position; /*!< The sender's mirror is whole up to this. */
-    /*! @brief Every key is told: a key that is not told is gone. */
+    store_position position; /*!< The sender's mirror is complete up to this. */
+    /*! @brief The page has all keys: a key that is not in it was removed. */
     bool whole{false};
-    std::uint32_t carried{0}; /*!< Values of earlier eras among them. */
+    std::uint32_t carried{0}; /*!< Number of values carried over from
+                                 earlier eras. */
     std::vector<mirror_item> items;
 
     template <typename Archive>
--- a/src/coursejunction/wire/frame.cpp
+++ b/src/coursejunction/wire/frame.cpp
@@ -17,7 +17,7 @@
 constexpr std::array<char, 2> magic{'C', 'J'};
 constexpr std::uint8_t flag_hashed_payload = 1;
 constexpr std::size_t compact_above = std::size_t{1} << 16U;
-constexpr std::size_t keep_below = std::size_t{1} << 17U;
+constexpr std::size_t max_idle_capacity = std::size_t{1} << 17U;
 
 struct prefix
 {
@@ -66,13 +66,13 @@
 result<prefix> decode(std::string_view bytes)
 {
     if (bytes[0] != magic[0] || bytes[1] != magic[1])
-        return failure(error_kind::refused, "not a frame of this protocol");
+        return failure(error_kind::refused, "frame has a wrong magic number");
     prefix read{};
     read.version = take<std::uint8_t>(bytes, 2);
     if (read.version != protocol_version)
         return failure(error_kind::refused,
                        "protocol version " + std::to_string(read.version) +
-                           " is not spoken here, this process speaks " +
+                           " is not supported, expected " +
                            std::to_string(protocol_version));
     read.type = take<std::uint8_t>(bytes, 3);
     read.key_number = take<std::uint8_t>(bytes, 4);
@@ -81,16 +81,16 @@
     read.payload_length = take<std::uint32_t>(bytes, 12);
     read.sequence = take<std::uint64_t>(bytes, 16);
     if (read.head_length > max_head_bytes)
-        return failure(error_kind::refused, "head is too long");
+        return failure(error_kind::refused, "head exceeds its size limit");
     if (read.payload_length > max_payload_bytes)
-        return failure(error_kind::refused, "payload is too long");
+        return failure(error_kind::refused, "payload exceeds its size limit");
     if (read.type < static_cast<std::uint8_t>(frame_type::hello) ||
         read.type > static_cast<std::uint8_t>(last_frame_type))
         return failure(error_kind::refused, "unknown frame type");
     return read;
 }
 
-bool same_code(const message_code& code, std::string_view bytes)
+bool codes_equal(const message_code& code, std::string_view bytes)
 {
     return CRYPTO_memcmp(code.data(), bytes.data(), code.size()) == 0;
 }
@@ -103,7 +103,8 @@
 std::string_view shared_key(const key_ring& ring)
 {
     const auto found = ring.keys.find(ring.active);
-    COURSEJUNCTION_ASSERT(found != ring.keys.end(), "active key is missing");
+    COURSEJUNCTION_ASSERT(found != ring.keys.end(),
+                          "the key ring lacks its active key");
     return found->second;
 }
 
@@ -122,9 +123,10 @@
 std::string frame_sealer::seal(frame_type type, std::string_view head,
                                std::string_view payload, bool hashed_payload)
 {
-    COURSEJUNCTION_ASSERT(head.size() <= max_head_bytes, "head is too long");
+    COURSEJUNCTION_ASSERT(head.size() <= max_head_bytes,
+                          "head exceeds its size limit");
     COURSEJUNCTION_ASSERT(payload.size() <= max_payload_bytes,
-                          "payload is too long");
+                          "payload exceeds its size limit");
     internal::prefix prefix{};
     prefix.version = protocol_version;
     prefix.type = static_cast<std::uint8_t>(type);
@@ -157,8 +159,8 @@
     {
         buffer.erase(0, consumed);
         consumed = 0;
-        // A burst's memory is given back once it has passed.
-        if (buffer.empty() && buffer.capacity() > internal::keep_below)
+        // Frees the memory of a burst once it has been processed.
+        if (buffer.empty() && buffer.capacity() > internal::max_idle_capacity)
             buffer.shrink_to_fit();
     }
     buffer.append(bytes);
@@ -166,37 +168,41 @@
 
 result<std::optional<frame>> frame_opener::next()
 {
-    const auto waiting = std::string_view(buffer).substr(consumed);
-    if (waiting.size() < frame_prefix_bytes)
+    const auto buffered = std::string_view(buffer).substr(consumed);
+    if (buffered.size() < frame_prefix_bytes)
         return std::optional<frame>{};
-    const auto prefix = internal::decode(waiting);
+    const auto prefix = internal::decode(buffered);
     if (!prefix)
         return failure(prefix.error().kind, prefix.error().message);
     const auto& read = prefix.value();
     const bool hashed = (read.flags & internal::flag_hashed_payload) != 0;
     if (hashed &&
         read.type != static_cast<std::uint8_t>(frame_type::chunk_reply))
-        return failure(error_kind::refused, "payload must be keyed");
-    const auto body = frame_prefix_bytes + read.head_length;
-    const auto total = body + read.payload_length + frame_code_bytes;
-    if (waiting.size() < total)
+        return failure(
+            error_kind::refused,
+            "only chunks may omit the payload from the authentication code");
+    const auto payload_at = frame_prefix_bytes + read.head_length;
+    const auto total = payload_at + read.payload_length + frame_code_bytes;
+    if (buffered.size() < total)
         return std::optional<frame>{};
     const auto key = keys.find(read.key_number);
     if (key == keys.end())
-        return failure(error_kind::refused, "key number is not known");
-    const auto payload = waiting.substr(body, read.payload_length);
+        return failure(error_kind::refused, "unknown key number");
+    const auto payload = buffered.substr(payload_at, read.payload_length);
     const auto code = keyed_code(
         session_key.empty() ? key->second : session_key,
-        waiting.substr(0, body), hashed ? std::string_view{} : payload);
-    if (!internal::same_code(code, waiting.substr(total - frame_code_bytes)))
-        return failure(error_kind::refused, "frame has a wrong code");
+        buffered.substr(0, payload_at), hashed ? std::string_view{} : payload);
+    if (!internal::codes_equal(code, buffered.substr(total - frame_code_bytes)))
+        return failure(error_kind::refused,
+                       "frame has a wrong authentication code");
     if (read.sequence != expected_sequence)
-        return failure(error_kind::refused, "frame is replayed or lost");
+        return failure(error_kind::refused,
+                       "wrong sequence number: a frame was replayed or lost");
     ++expected_sequence;
     frame opened;
     opened.type = static_cast<frame_type>(read.type);
     opened.key_number = read.key_number;
-    opened.head = waiting.substr(frame_prefix_bytes, read.head_length);
+    opened.head = buffered.substr(frame_prefix_bytes, read.head_length);
     opened.payload = payload;
     consumed += total;
     return std::optional<frame>(std::move(opened));
@@ -227,7 +233,8 @@
     if (!opened)
         return failure(opened.error().kind, opened.error().message);
     if (!opened.value() || opener.size() != 0)
-        return failure(error_kind::refused, "datagram is cut or too long");
+        return failure(error_kind::refused,
+                       "datagram is truncated or has trailing bytes");
     return std::move(*opened.value());
 }
 
--- a/src/coursejunction/wire/message.hpp
+++ b/src/coursejunction/wire/message.hpp
@@ -1,9 +1,9 @@
 /*! @file
- * @brief Messages between the system's own processes.
+ * @brief Messages between the processes of the system.
  *
- * Each struct is the head of one frame; bulk bytes follow it as the frame's
- * payload and stay outside the archive. The order of members is the order on
- * the wire; a changed struct needs a new `protocol_version`.
+ * Each struct is encoded as the head of a frame; bulk data is sent as the
+ * payload of the frame and is not encoded. Members are encoded in their order;
+ * a change to a struct requires a new `protocol_version`.
  */
 #ifndef COURSEJUNCTION_WIRE_MESSAGE_HPP
 #define COURSEJUNCTION_WIRE_MESSAGE_HPP
@@ -20,15 +20,15 @@
 namespace coursejunction
 {
 
-/*! @brief What became of a request. */
+/*! @brief Result of an attempt to run a request. */
 enum class outcome : std::uint8_t
 {
-    answered, /*!< The whole answer was given. */
-    not_run,  /*!< Proved: it did not run and never will under this attempt. */
-    unknown   /*!< It may have run, or was cut while it ran. */
+    answered, /*!< The response is complete. */
+    not_run,  /*!< It certainly did not run and never will in this attempt. */
+    unknown   /*!< It may have run, or was interrupted while running. */
 };
 
-/*! @brief Returns the name that callers see. */
+/*! @brief Returns the name that is sent to callers. */
 [[nodiscard]] constexpr std::string_view to_string(outcome what)
 {
     switch (what)
@@ -43,20 +43,21 @@
     return "unknown";
 }
 
-/*! @brief Why an attempt was refused before it started. */
+/*! @brief Reason why an attempt was refused before it started. */
 enum class refusal : std::uint8_t
 {
     none,        /*!< It was not refused. */
-    busy,        /*!< Every slot is taken. */
-    closed,      /*!< The gate is closed, or other weights are served. */
-    leaving,     /*!< The side takes no new work. */
-    claim,       /*!< It is not known who claimed the request. */
-    unreachable, /*!< The upstream cannot be connected to. */
-    duplicate,   /*!< The same request was started before. */
-    cancelled    /*!< The caller left first. */
+    busy,        /*!< All slots of the upstream are in use. */
+    closed,      /*!< The upstream accepts no requests for now, or
+                      serves other weights. */
+    leaving,     /*!< The sidecar accepts no new requests. */
+    claim,       /*!< Unknown whether another process claimed it. */
+    unreachable, /*!< Connecting to the upstream failed. */
+    duplicate,   /*!< The same request was already started. */
+    cancelled    /*!< The caller disconnected before the start. */
 };
 
-/*! @brief Returns a line for people. */
+/*! @brief Returns a human-readable message. */
 [[nodiscard]] constexpr std::string_view to_string(refusal why)
 {
     switch (why)
@@ -84,7 +85,8 @@
 namespace message
 {
 
-/*! @brief First frame of each end; carries a nonce for the session key. */
+/*! @brief First frame in each direction of a connection; carries a nonce from
+ * which the session keys are derived. */
 struct hello
 {
     static constexpr auto type = frame_type::hello;
@@ -99,7 +101,7 @@
     }
 };
 
-/*! @brief Entry to side: run a request. Payload: the body. */
+/*! @brief From entry to sidecar: runs a request. Payload: the request body. */
 struct dispatch
 {
     static constexpr auto type = frame_type::dispatch;
@@ -112,10 +114,11 @@
     std::int32_t priority{0};
     std::uint32_t deadline_ms{0};
     bool not_repeatable{false};
-    std::uint64_t seed{0};        /*!< Of the sampling, the same for all
+    std::uint64_t seed{0};        /*!< Sampling seed, the same for all
                                      attempts of a request. */
-    std::uint32_t resume_from{0}; /*!< Events the caller already has. */
-    std::string weights;          /*!< Needed weights; empty for any. */
+    std::uint32_t resume_from{0}; /*!< Number of events that the caller
+                                     has already received. */
+    std::string weights;          /*!< Required weights; empty for any. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -125,7 +128,7 @@
     }
 };
 
-/*! @brief Side to entry: part of an answer. Payload: its bytes. */
+/*! @brief From sidecar to entry: a part of a response. Payload: its bytes. */
 struct answer_part
 {
     static constexpr auto type = frame_type::answer_part;
@@ -140,7 +143,7 @@
     }
 };
 
-/*! @brief Side to entry: the attempt has ended. */
+/*! @brief From sidecar to entry: the attempt has ended. */
 struct answer_end
 {
     static constexpr auto type = frame_type::answer_end;
@@ -164,7 +167,7 @@
     }
 };
 
-/*! @brief Entry to side: the caller has left. */
+/*! @brief From entry to sidecar: the caller has disconnected. */
 struct cancel
 {
     static constexpr auto type = frame_type::cancel;
@@ -178,9 +181,9 @@
     }
 };
 
-/*! @brief Side to entry: how busy it is and how far its transfer is. Sent
- * each second to entries that route to it when the load changed, and slowly
- * as a sign of life. */
+/*! @brief From sidecar to entry: load and transfer progress. Sent to entries
+ * that route to it, every second if the load changed, otherwise at a lower rate
+ * as a heartbeat. */
 struct load_report
 {
     static constexpr auto type = frame_type::load_report;
@@ -199,7 +202,7 @@
     }
 };
 
-/*! @brief Side to entry: whole state of a replica, when it changes. */
+/*! @brief From sidecar to entry: full state of a replica, sent on changes. */
 struct report
 {
     static constexpr auto type = frame_type::report;
@@ -233,11 +236,12 @@
     }
 };
 
-/*! @brief Entry to side: send me reports. */
+/*! @brief From entry to sidecar: subscribes to reports. */
 struct subscribe
 {
     static constexpr auto type = frame_type::subscribe;
-    bool routing{false}; /*!< The entry sends requests: it needs loads. */
+    bool routing{false}; /*!< The entry routes requests to this sidecar
+                            and needs load reports. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -246,7 +250,7 @@
     }
 };
 
-/*! @brief Asks a peer for a configuration newer than a revision. */
+/*! @brief Requests a configuration that is newer than a known revision. */
 struct configuration_pull
 {
     static constexpr auto type = frame_type::configuration_pull;
@@ -259,7 +263,7 @@
     }
 };
 
-/*! @brief A whole configuration. Payload: the document. */
+/*! @brief A full configuration. Payload: the document. */
 struct configuration_snapshot
 {
     static constexpr auto type = frame_type::configuration_snapshot;
@@ -272,7 +276,7 @@
     }
 };
 
-/*! @brief Tells which chunks of a manifest the sender holds. */
+/*! @brief Announces which chunks of a manifest the sender holds. */
 struct have
 {
     static constexpr auto type = frame_type::have;
@@ -287,7 +291,7 @@
     }
 };
 
-/*! @brief Asks for a chunk. */
+/*! @brief Requests a chunk. */
 struct chunk_request
 {
     static constexpr auto type = frame_type::chunk_request;
@@ -302,16 +306,16 @@
     }
 };
 
-/*! @brief What became of a chunk request. */
+/*! @brief Result of a chunk request. */
 enum class chunk_status : std::uint8_t
 {
     given,  /*!< The payload is the chunk. */
-    busy,   /*!< The queue is full; ask another. */
+    busy,   /*!< The upload queue is full; ask another peer. */
     absent, /*!< The sender does not hold it. */
-    foreign /*!< The sender does not take part in this manifest. */
+    foreign /*!< The sender does not transfer this manifest. */
 };
 
-/*! @brief Answers a chunk request. Payload: the chunk when given. */
+/*! @brief Response to a chunk request. Payload: the chunk, if `given`. */
 struct chunk_reply
 {
     static constexpr auto type = frame_type::chunk_reply;
@@ -327,7 +331,7 @@
     }
 };
 
-/*! @brief Asks for a manifest by its hash. */
+/*! @brief Requests a manifest by its hash. */
 struct manifest_request
 {
     static constexpr auto type = frame_type::manifest_request;
@@ -340,7 +344,8 @@
     }
 };
 
-/*! @brief Answers with a manifest. Payload: its text, or empty. */
+/*! @brief Response to a manifest request. Payload: the text of the manifest;
+ * empty if the sender does not have it. */
 struct manifest_reply
 {
     static constexpr auto type = frame_type::manifest_reply;
@@ -353,7 +358,8 @@
     }
 };
 
-/*! @brief Side to entry: may I close for a load. */
+/*! @brief From sidecar to entry: asks for permission to close the upstream in
+ * order to load a version. */
 struct permit_request
 {
     static constexpr auto type = frame_type::permit_request;
@@ -369,7 +375,7 @@
     }
 };
 
-/*! @brief Entry to side: answer to a permit request. */
+/*! @brief From entry to sidecar: response to a permit request. */
 struct permit_reply
 {
     static constexpr auto type = frame_type::permit_reply;
@@ -384,7 +390,7 @@
     }
 };
 
-/*! @brief Asks an entry for the replicas of its hall that it knows. */
+/*! @brief Asks an entry for the replicas that it knows in its hall. */
 struct status_query
 {
     static constexpr auto type = frame_type::status_query;
@@ -397,7 +403,7 @@
     }
 };
 
-/*! @brief Answers a status query with the reports of one hall. */
+/*! @brief Response to a status query: the reports of one hall. */
 struct status_reply
 {
     static constexpr auto type = frame_type::status_reply;
@@ -411,7 +417,7 @@
     }
 };
 
-/*! @brief Datagram between gossip neighbours. */
+/*! @brief Heartbeat datagram between gossip neighbours. */
 struct heartbeat
 {
     static constexpr auto type = frame_type::heartbeat;
@@ -441,14 +447,14 @@
     }
 };
 
-/*! @brief To an entry that keeps a claim: note it, or tell whether there is
- * one. */
+/*! @brief To an entry that is a voter for a claim: records the claim, or asks
+ * whether there is one. */
 struct claim_note
 {
     static constexpr auto type = frame_type::claim_note;
-    std::uint64_t number{0}; /*!< Of the question. */
-    digest request;          /*!< Of the request's id. */
-    std::string claimant;    /*!< One session; empty to ask only. */
+    std::uint64_t number{0}; /*!< Identifies the query in its answer. */
+    digest request;          /*!< Digest of the request id. */
+    std::string claimant;    /*!< Session that claims; empty for a query. */
 
     template <typename Archive>
     void serialize(Archive& archive)
@@ -457,7 +463,7 @@
     }
 };
 
-/*! @brief From an entry that keeps claims. */
+/*! @brief A voter's answer to a claim or query. */
 struct claim_answer
 {
     static constexpr auto type = frame_type::claim_answer;
--- a/tests/wire/codec.cpp
+++ b/tests/wire/codec.cpp
@@ -8,7 +8,7 @@
 namespace cj = coursejunction;
 namespace message = coursejunction::message;
 
-TEST_CASE("messages are read back as they were written", "[wire]")
+TEST_CASE("decoding returns the encoded messages", "[wire]")
 {
     rc::prop("a dispatch",
              [](const std::string& request, const std::string& path,
@@ -29,7 +29,7 @@
                  RC_ASSERT(read.value().attempt == attempt);
                  RC_ASSERT(read.value().not_repeatable == once);
              });
-    rc::prop("a claim and the word of its keeper",
+    rc::prop("a claim and the answer of a voter",
              [](std::uint64_t number, const std::string& id, bool taken)
              {
                  const message::claim_note from{number, cj::digest::of(id), id};
@@ -38,12 +38,12 @@
                  RC_ASSERT(read.value().number == number);
                  RC_ASSERT(read.value().request == from.request);
                  RC_ASSERT(read.value().claimant == id);
-                 const auto word = cj::decode<message::claim_answer>(
+                 const auto answer = cj::decode<message::claim_answer>(
                      cj::encode(message::claim_answer{number, taken}));
-                 RC_ASSERT(word.value().number == number);
-                 RC_ASSERT(word.value().taken == taken);
+                 RC_ASSERT(answer.value().number == number);
+                 RC_ASSERT(answer.value().taken == taken);
              });
-    rc::prop("chunks that are held",
+    rc::prop("a list of chunks",
              [](const std::vector<std::uint32_t>& chunks)
              {
                  message::have from;
@@ -51,7 +51,7 @@
                  const auto read = cj::decode<message::have>(cj::encode(from));
                  RC_ASSERT(read.value().chunks == chunks);
              });
-    rc::prop("reports in a status",
+    rc::prop("reports in a status reply",
              [](const std::vector<std::string>& names)
              {
                  message::status_reply from;
@@ -65,7 +65,7 @@
                  RC_ASSERT(read);
                  RC_ASSERT(read.value().replicas.size() == names.size());
              });
-    rc::prop("requests that crash upstreams, in an entry's heartbeat",
+    rc::prop("crash records in the heartbeat of an entry",
              [](const std::vector<std::uint8_t>& ends)
              {
                  message::fleet_heartbeat from;
@@ -78,12 +78,12 @@
                  const auto read =
                      cj::decode<message::fleet_heartbeat>(cj::encode(from));
                  RC_ASSERT(read);
-                 const auto& told = read.value().crashes;
-                 RC_ASSERT(told.size() == ends.size());
+                 const auto& decoded = read.value().crashes;
+                 RC_ASSERT(decoded.size() == ends.size());
                  for (std::size_t at = 0; at < ends.size(); ++at)
-                     RC_ASSERT(told[at].crashes.size() == ends[at] % 9U);
+                     RC_ASSERT(decoded[at].crashes.size() == ends[at] % 9U);
              });
-    rc::prop("chunks at a side, in its heartbeat",
+    rc::prop("chunks in the heartbeat of a sidecar",
              [](const std::vector<std::string>& models)
              {
                  message::fleet_heartbeat from;
@@ -94,7 +94,7 @@
                  RC_ASSERT(read);
                  RC_ASSERT(read.value().chunks.size() == models.size());
              });
-    rc::prop("versions that the store does not show, in an entry's heartbeat",
+    rc::prop("reported versions in the heartbeat of an entry",
              [](const std::vector<std::string>& models, std::uint64_t version,
                 std::uint32_t age)
              {
@@ -105,33 +105,33 @@
                  const auto read =
                      cj::decode<message::fleet_heartbeat>(cj::encode(from));
                  RC_ASSERT(read);
-                 const auto& told = read.value().versions;
-                 RC_ASSERT(told.size() == models.size());
+                 const auto& decoded = read.value().versions;
+                 RC_ASSERT(decoded.size() == models.size());
                  for (std::size_t at = 0; at < models.size(); ++at)
                  {
-                     RC_ASSERT(told[at].model == models[at]);
-                     RC_ASSERT(told[at].version == version);
-                     RC_ASSERT(told[at].age_ms == age);
+                     RC_ASSERT(decoded[at].model == models[at]);
+                     RC_ASSERT(decoded[at].version == version);
+                     RC_ASSERT(decoded[at].age_ms == age);
                  }
              });
 }
 
-TEST_CASE("hostile heads are refused without taking memory", "[wire]")
+TEST_CASE("malformed heads are refused without large allocations", "[wire]")
 {
-    SECTION("a length that lies")
+    SECTION("a count that exceeds the head")
     {
-        // A vector that claims 3 GiB in a head of a few bytes.
+        // A count of about 3 billion elements in a head of a few bytes.
         std::string head(32, '\0');
         head += std::string("\xff\xff\xff\xbf", 4);
         head += "tiny";
         CHECK_FALSE(cj::decode<message::have>(head));
         CHECK_FALSE(cj::decode<message::status_reply>(head));
     }
-    SECTION("a length that lies, of versions in an entry's heartbeat")
+    SECTION("a count of versions that exceeds a heartbeat")
     {
         message::fleet_heartbeat from;
         from.entry = true;
-        // The versions come last: their count is the last four bytes.
+        // The versions are encoded last: their count is the last four bytes.
         auto head = cj::encode(from);
         REQUIRE(head.ends_with(std::string(4, '\0')));
         REQUIRE(cj::decode<message::fleet_heartbeat>(head));
@@ -143,20 +143,20 @@
             CHECK_FALSE(cj::decode<message::fleet_heartbeat>(
                 head + std::string(15, 'x')));
         }
-        // A name that claims more than the message holds.
+        // A string length that exceeds the message.
         from.versions.push_back({"model", 3, 0});
         head = cj::encode(from);
         const auto name = head.rfind("model");
         head.replace(name - 4, 4, std::string("\xff\xff\xff\x7f", 4));
         CHECK_FALSE(cj::decode<message::fleet_heartbeat>(head));
     }
-    SECTION("a head that goes on")
+    SECTION("a head with trailing bytes")
     {
         CHECK_FALSE(cj::decode<message::cancel>(cj::encode(message::cancel{}) +
                                                 "more"));
     }
     rc::prop(
-        "any cut of a message is refused",
+        "any truncated message is refused",
         [](const std::string& reason)
         {
             message::answer_end from;
@@ -165,7 +165,7 @@
             const auto size = *rc::gen::inRange<std::size_t>(0, whole.size());
             RC_ASSERT(!cj::decode<message::answer_end>(whole.substr(0, size)));
         });
-    rc::prop("any bytes are read or refused",
+    rc::prop("arbitrary bytes are decoded or refused",
              [](const std::string& noise)
              {
                  static_cast<void>(cj::decode<message::report>(noise));
--- a/tests/wire/frame.cpp
+++ b/tests/wire/frame.cpp
@@ -18,13 +18,13 @@
 
 } // namespace
 
-SCENARIO("frames are keyed, numbered and capped", "[wire]")
+SCENARIO("frames are authenticated, numbered and limited in size", "[wire]")
 {
     cj::frame_sealer sealer(ring());
     cj::frame_opener opener(ring());
     const auto first = sealer.seal(cj::frame_type::report, "head", "payload");
 
-    GIVEN("a frame that comes in pieces")
+    GIVEN("a frame that is received in two parts")
     {
         opener.append(first.substr(0, 30));
         auto early = opener.next();
@@ -46,7 +46,7 @@
             }
         }
     }
-    GIVEN("a frame under another key")
+    GIVEN("a frame that is sealed with another key")
     {
         cj::frame_opener other(ring('x'));
         other.append(first);
@@ -62,19 +62,19 @@
         CHECK(read.error().message.find("protocol version 9") !=
               std::string::npos);
     }
-    GIVEN("a prefix that claims more than the cap")
+    GIVEN("a prefix with a length above the limit")
     {
         auto changed = first.substr(0, cj::frame_prefix_bytes);
         changed[11] = '\x7f';
         opener.append(changed);
-        THEN("it is refused before its bytes come")
+        THEN("it is refused before the rest is received")
         {
             CHECK_FALSE(opener.next());
         }
     }
-    GIVEN("a payload that is checked by its hash")
+    GIVEN("a payload that the authentication code does not cover")
     {
-        THEN("only a chunk may come so")
+        THEN("it is refused for all frames but chunks")
         {
             opener.append(sealer.seal(cj::frame_type::report, "h", "p", true));
             CHECK_FALSE(opener.next());
@@ -89,7 +89,7 @@
         opener.append(first);
         REQUIRE(opener.next().value());
         opener.append(sealer.seal(cj::frame_type::report, "secret"));
-        THEN("the shared key does not open it")
+        THEN("an opener with the shared key refuses it")
         {
             CHECK_FALSE(opener.next());
         }
@@ -105,9 +105,9 @@
     }
 }
 
-TEST_CASE("a changed frame is never opened", "[wire]")
+TEST_CASE("an altered frame is never opened", "[wire]")
 {
-    rc::prop("whichever bit is turned",
+    rc::prop("any flipped bit",
              [](const std::string& head, const std::string& payload)
              {
                  cj::frame_sealer sealer(ring());
@@ -123,7 +123,7 @@
                  const bool opened = read && read.value();
                  RC_ASSERT(!opened);
              });
-    rc::prop("whatever comes instead",
+    rc::prop("arbitrary bytes instead of a frame",
              [](const std::string& noise)
              {
                  cj::frame_opener opener(ring());
