--- a/src/coursejunction/wire/message.hpp
+++ b/src/coursejunction/wire/message.hpp
@@ -151,10 +151,10 @@
     std::uint32_t attempt{0};
     outcome result{outcome::unknown};
     refusal refused{refusal::none};
-    std::uint16_t status{0};
-    std::uint32_t parts{0};
+    std::uint16_t status{0}; /*!< HTTP status. */
+    std::uint32_t parts{0};  /*!< Number of `answer_part` frames sent. */
     std::uint32_t retry_after_ms{0};
-    std::uint32_t load{0};
+    std::uint32_t load{0}; /*!< Number of runs at the sidecar. */
     std::string content_type;
     std::string weights;
     std::string reason;
