--- a/src/coursejunction/net/datagram_socket.cpp
+++ b/src/coursejunction/net/datagram_socket.cpp
@@ -40,7 +40,7 @@
 
     void deliver(std::size_t count)
     {
-        total += count;
+        total_bytes += count;
         const auto from =
             sender.address().to_string() + ":" + std::to_string(sender.port());
         received(from, {input.data(), count});
@@ -51,7 +51,7 @@
     receiver received;
     udp::endpoint sender;
     std::array<char, max_datagram> input{};
-    std::uint64_t total{0};
+    std::uint64_t total_bytes{0};
 };
 
 datagram_socket::datagram_socket(std::shared_ptr<implementation> shared)
@@ -97,13 +97,13 @@
         return;
     const auto port =
         static_cast<std::uint16_t>(std::atoi(to.c_str() + colon + 1));
-    self->total += bytes.size();
+    self->total_bytes += bytes.size();
     self->socket.send_to(asio::buffer(bytes), {ip, port}, 0, fault);
 }
 
 std::uint64_t datagram_socket::bytes() const
 {
-    return self->total;
+    return self->total_bytes;
 }
 
 } // namespace coursejunction
--- a/src/coursejunction/net/datagram_socket.hpp
+++ b/src/coursejunction/net/datagram_socket.hpp
@@ -25,17 +25,18 @@
         std::function<void(const std::string& from, std::string_view bytes)>;
 
     /*! @brief Binds an address and port.
-     * @return The socket, or `unavailable`. */
+     * @return The socket, or an `unavailable` error if it cannot bind. */
     [[nodiscard]] static result<std::unique_ptr<datagram_socket>>
     create(event_loop& loop, const std::string& address, std::uint16_t port,
            receiver received);
 
     ~datagram_socket();
 
-    /*! @brief Sends one datagram to `IP:port`; losses are not told. */
+    /*! @brief Sends one datagram to `IP:port`; errors and losses are not
+     * reported. */
     void send(const std::string& to, const std::string& bytes);
 
-    /*! @brief Returns bytes received and sent. */
+    /*! @brief Returns the bytes received and sent in total. */
     [[nodiscard]] std::uint64_t bytes() const;
 
 private:
--- a/src/coursejunction/net/event_loop.cpp
+++ b/src/coursejunction/net/event_loop.cpp
@@ -19,8 +19,8 @@
 namespace internal
 {
 
-/*! @brief Waits again after each signal: a second one of a kind must not end
- * the process. */
+/*! @brief Waits for a signal, and again after each: otherwise the default
+ * action of a second signal would end the process. */
 void wait_for_signal(asio::signal_set& set,
                      const std::shared_ptr<event_loop::work>& task)
 {
@@ -166,14 +166,14 @@
 
 time_point event_loop::now()
 {
-    // The steady clock of the library stands while an instance is suspended:
-    // every lease, report and deadline would be for as long too young.
+    // std::chrono::steady_clock stops while an instance is suspended, so every
+    // lease, report and deadline would appear younger than it is.
     timespec read{};
     ::clock_gettime(CLOCK_BOOTTIME, &read);
-    constexpr std::int64_t nanoseconds_each = 1000;
+    constexpr std::int64_t nanoseconds_per_microsecond = 1000;
     return time_point(
         std::chrono::seconds(read.tv_sec) +
-        std::chrono::microseconds(read.tv_nsec / nanoseconds_each));
+        std::chrono::microseconds(read.tv_nsec / nanoseconds_per_microsecond));
 }
 
 std::chrono::microseconds event_loop::awake()
--- a/src/coursejunction/net/event_loop.hpp
+++ b/src/coursejunction/net/event_loop.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief The one thread of a process on which all decisions are taken.
+ * @brief Event loop of a process; its state is only changed on the loop's
+ * thread.
  */
 #ifndef COURSEJUNCTION_NET_EVENT_LOOP_HPP
 #define COURSEJUNCTION_NET_EVENT_LOOP_HPP
@@ -13,7 +14,7 @@
 namespace coursejunction
 {
 
-/*! @brief A timer; destroying it stops it. */
+/*! @brief Handle of a running timer; its destruction stops the timer. */
 class timer
 {
 public:
@@ -47,28 +48,31 @@
     /*! @brief Ends `run`; may be called from any thread. */
     void stop();
 
-    /*! @brief Runs work on the loop's thread; may be called from any. */
+    /*! @brief Queues work for the loop's thread; may be called from any thread.
+     */
     void post(work task);
 
     /*! @brief Runs work once after a delay.
-     * @warning The timer must be kept. */
+     * @warning Discarding the returned timer stops it. */
     [[nodiscard]] timer after(std::chrono::microseconds delay, work task);
 
-    /*! @brief Runs work again and again.
-     * @warning The timer must be kept. */
+    /*! @brief Runs work at an interval, first after one interval.
+     * @warning Discarding the returned timer stops it. */
     [[nodiscard]] timer every(std::chrono::microseconds interval, work task);
 
-    /*! @brief Calls work when a signal arrives. */
+    /*! @brief Runs work on the loop's thread each time a signal arrives. */
     void on_signal(int number, work task);
 
-    /*! @brief Returns the monotonic time, which goes on while the instance is
-     * suspended. */
+    /*! @brief Returns the monotonic time, including time during which the
+     * instance was suspended. */
     [[nodiscard]] static time_point now();
 
-    /*! @brief Returns the time that the instance was not suspended. */
+    /*! @brief Returns the monotonic time without the time during which the
+     * instance was suspended. */
     [[nodiscard]] static std::chrono::microseconds awake();
 
-    /*! @brief Returns the library's context, for this module only. */
+    /*! @brief Returns the `boost::asio::io_context`; only for the net module.
+     */
     [[nodiscard]] void* native() noexcept;
 
 private:
--- a/src/coursejunction/net/head_text.hpp
+++ b/src/coursejunction/net/head_text.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Writes the head of a message with Boost.Beast; for this module's
- * sources only.
+ * @brief Serializes the head of a message with Boost.Beast; internal to the net
+ * module.
  */
 #ifndef COURSEJUNCTION_NET_HEAD_TEXT_HPP
 #define COURSEJUNCTION_NET_HEAD_TEXT_HPP
@@ -16,7 +16,7 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Returns the bytes of a head, without any body. */
+/*! @brief Returns the serialized head, without a body. */
 template <bool IsRequest, typename Fields>
 [[nodiscard]] std::string
 head_text(boost::beast::http::message<IsRequest, boost::beast::http::empty_body,
--- a/src/coursejunction/net/header_list.cpp
+++ b/src/coursejunction/net/header_list.cpp
@@ -13,19 +13,19 @@
     "TE",         "Trailer",    "Upgrade",          "Content-Length",
     "Expect"};
 
-std::vector<std::string> listed_names(std::string_view text)
+std::vector<std::string> split_names(std::string_view text)
 {
     std::vector<std::string> names;
     std::string name;
-    for (const char letter : text)
+    for (const char character : text)
     {
-        if (letter == ',')
+        if (character == ',')
         {
             names.push_back(std::move(name));
             name.clear();
         }
-        else if (letter != ' ' && letter != '\t')
-            name.push_back(letter);
+        else if (character != ' ' && character != '\t')
+            name.push_back(character);
     }
     names.push_back(std::move(name));
     return names;
@@ -40,7 +40,7 @@
     {
         if (!same_header(one.name, "Connection"))
             continue;
-        for (auto& name : internal::listed_names(one.value))
+        for (auto& name : internal::split_names(one.value))
             listed.push_back(std::move(name));
     }
     for (const auto name : internal::connection_fields)
--- a/src/coursejunction/net/header_list.hpp
+++ b/src/coursejunction/net/header_list.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Header fields of one message, in the order in which they came.
+ * @brief Header fields of a message, in order.
  */
 #ifndef COURSEJUNCTION_NET_HEADER_LIST_HPP
 #define COURSEJUNCTION_NET_HEADER_LIST_HPP
@@ -14,7 +14,7 @@
 namespace coursejunction
 {
 
-/*! @brief Compares two header names as HTTP does: without case. */
+/*! @brief Compares two header names, ignoring case as HTTP requires. */
 [[nodiscard]] inline bool same_header(std::string_view left,
                                       std::string_view right)
 {
@@ -30,7 +30,7 @@
     std::string value;
 };
 
-/*! @brief Fields in order; a name may stand more than once. */
+/*! @brief Ordered header fields; a name may occur more than once. */
 class header_list
 {
 public:
@@ -43,7 +43,7 @@
         fields.push_back({std::move(name), std::move(value)});
     }
 
-    /*! @brief Returns the first value of a name, or an empty text. */
+    /*! @brief Returns the first value of a name, or an empty string. */
     [[nodiscard]] std::string_view find(std::string_view name) const
     {
         for (const auto& one : fields)
@@ -54,7 +54,7 @@
         return {};
     }
 
-    /*! @brief Tells whether a name stands at least once. */
+    /*! @brief Returns whether a name occurs at least once. */
     [[nodiscard]] bool contains(std::string_view name) const
     {
         return std::any_of(fields.begin(), fields.end(),
@@ -62,23 +62,23 @@
                            { return same_header(one.name, name); });
     }
 
-    /*! @brief Removes every field of a name. */
+    /*! @brief Removes every field with a name. */
     void erase(std::string_view name)
     {
         std::erase_if(fields, [&](const header_field& one)
                       { return same_header(one.name, name); });
     }
 
-    /*! @brief Replaces every field of a name by one. */
+    /*! @brief Replaces all fields with a name by one, appended at the end. */
     void assign(std::string_view name, std::string value)
     {
         erase(name);
         push_back(std::string(name), std::move(value));
     }
 
-    /*! @brief Removes what concerns a single connection only: the fields of
-     * RFC 9110 section 7.6.1, those that `Connection` lists, and the framing
-     * that each connection sets anew. */
+    /*! @brief Removes the hop-by-hop fields: those of RFC 9110 section 7.6.1,
+     * those that `Connection` lists, and the framing fields, which each
+     * connection sets itself. */
     void erase_connection_fields();
 
     [[nodiscard]] const_iterator begin() const { return fields.begin(); }
--- a/src/coursejunction/net/http_client.cpp
+++ b/src/coursejunction/net/http_client.cpp
@@ -19,11 +19,11 @@
 namespace internal
 {
 
-constexpr long connect_limit_ms = 1000;
-constexpr long max_idle_connections = 512;
-constexpr int poll_ms = 1000;
+constexpr long connect_timeout_ms = 1000;
+constexpr long max_cached_connections = 512;
+constexpr int max_poll_ms = 1000;
 
-/*! @brief State of one call while libcurl carries it. */
+/*! @brief State of a call that libcurl runs. */
 struct transfer
 {
     http_client::call_id id{0};
@@ -32,13 +32,14 @@
     http_client::done_callback done;
     http_client::data_callback data;
     std::function<void(int, std::string)> deliver;
-    curl_slist* list{nullptr};
+    curl_slist* header_lines{nullptr};
     CURL* handle{nullptr};
-    time_point moved{}; /*!< When the call began or the last part came. */
+    time_point last_progress{}; /*!< Start of the call or time of the last
+                                          received bytes. */
 
-    /*! @brief Returns how long it may go on without a further part; zero when
-     * there is no such limit. */
-    [[nodiscard]] milliseconds patience() const
+    /*! @brief Returns the longest time without received bytes that applies now;
+     * zero for no limit. */
+    [[nodiscard]] milliseconds stall_limit() const
     {
         return end.received == 0 ? call.answer_time : call.stall_time;
     }
@@ -47,7 +48,7 @@
 std::size_t on_body(char* bytes, std::size_t, std::size_t count, void* user)
 {
     auto& one = *static_cast<transfer*>(user);
-    one.moved = event_loop::now();
+    one.last_progress = event_loop::now();
     one.end.received += count;
     long status = 0;
     curl_easy_getinfo(one.handle, CURLINFO_RESPONSE_CODE, &status);
@@ -61,7 +62,7 @@
 std::size_t on_header(char* bytes, std::size_t, std::size_t count, void* user)
 {
     auto& one = *static_cast<transfer*>(user);
-    one.moved = event_loop::now();
+    one.last_progress = event_loop::now();
     const std::string line(bytes, count);
     const auto colon = line.find(':');
     if (colon == std::string::npos)
@@ -91,19 +92,19 @@
         curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, 1L);
     }
-    curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, connect_limit_ms);
+    curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, connect_timeout_ms);
     if (one.call.timeout.count() > 0)
         curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS,
                          static_cast<long>(one.call.timeout.count()));
-    // The server library never answers "100-continue".
-    one.list = curl_slist_append(one.list, "Expect:");
+    // Pistache never sends "100 Continue".
+    one.header_lines = curl_slist_append(one.header_lines, "Expect:");
     for (const auto& [name, value] : one.call.headers)
     {
         auto line = name;
         line.append(": ").append(value);
-        one.list = curl_slist_append(one.list, line.c_str());
+        one.header_lines = curl_slist_append(one.header_lines, line.c_str());
     }
-    curl_easy_setopt(handle, CURLOPT_HTTPHEADER, one.list);
+    curl_easy_setopt(handle, CURLOPT_HTTPHEADER, one.header_lines);
     if (!one.call.body.empty() || one.call.method == "POST" ||
         one.call.method == "PUT")
     {
@@ -117,7 +118,7 @@
     curl_easy_setopt(handle, CURLOPT_HEADERDATA, &one);
 }
 
-void conclude(transfer& one, CURLcode code)
+void record_outcome(transfer& one, CURLcode code)
 {
     curl_off_t connected = 0;
     curl_easy_getinfo(one.handle, CURLINFO_CONNECT_TIME_T, &connected);
@@ -139,17 +140,17 @@
 void release(transfer& one)
 {
     curl_easy_cleanup(one.handle);
-    curl_slist_free_all(one.list);
+    curl_slist_free_all(one.header_lines);
 }
 
-struct library
+struct curl_library
 {
-    library() { curl_global_init(CURL_GLOBAL_DEFAULT); }
+    curl_library() { curl_global_init(CURL_GLOBAL_DEFAULT); }
 };
 
-void use_library()
+void initialize_curl()
 {
-    static const library once;
+    static const curl_library once;
 }
 
 } // namespace internal
@@ -159,16 +160,16 @@
 {
     explicit implementation(event_loop& target) : loop(target) {}
 
-    /*! @brief Starts the thread with the first call: a process that makes none
-     * pays for none. */
-    void begin()
+    /*! @brief Starts the thread at the first call, so that a process without
+     * calls has no thread. */
+    void ensure_started()
     {
         if (multi != nullptr)
             return;
-        internal::use_library();
+        internal::initialize_curl();
         multi = curl_multi_init();
         curl_multi_setopt(multi, CURLMOPT_MAXCONNECTS,
-                          internal::max_idle_connections);
+                          internal::max_cached_connections);
         thread = std::thread([this] { run(); });
     }
 
@@ -176,30 +177,31 @@
     {
         while (!stopping)
         {
-            take_orders();
+            process_queues();
             int running = 0;
             curl_multi_perform(multi, &running);
-            collect();
-            const auto wait = give_up_stalled();
+            collect_finished();
+            const auto wait = end_stalled_calls();
             curl_multi_poll(multi, nullptr, 0, static_cast<int>(wait.count()),
                             nullptr);
         }
     }
 
-    /*! @brief Ends calls that made no progress for as long as they may.
-     * @return Time until the next one may be due. */
-    milliseconds give_up_stalled()
+    /*! @brief Ends calls that received nothing for their `stall_limit`.
+     * @return Time until the next such limit may expire, at most `max_poll_ms`.
+     */
+    milliseconds end_stalled_calls()
     {
         const auto now = event_loop::now();
-        auto wait = milliseconds(internal::poll_ms);
+        auto wait = milliseconds(internal::max_poll_ms);
         std::vector<call_id> stalled;
         for (const auto& [id, one] : active)
         {
-            const auto patience = one->patience();
-            if (patience.count() == 0)
+            const auto stall_limit = one->stall_limit();
+            if (stall_limit.count() == 0)
                 continue;
-            const auto left =
-                std::chrono::ceil<milliseconds>(one->moved + patience - now);
+            const auto left = std::chrono::ceil<milliseconds>(
+                one->last_progress + stall_limit - now);
             if (left.count() <= 0)
                 stalled.push_back(id);
             else
@@ -208,32 +210,32 @@
         for (const auto id : stalled)
         {
             auto& one = *active.at(id);
-            internal::conclude(one, CURLE_OPERATION_TIMEDOUT);
+            internal::record_outcome(one, CURLE_OPERATION_TIMEDOUT);
             finish(one);
             drop(id);
         }
         return wait;
     }
 
-    void take_orders()
+    void process_queues()
     {
-        std::vector<std::unique_ptr<internal::transfer>> fresh;
-        std::vector<call_id> ended;
+        std::vector<std::unique_ptr<internal::transfer>> starting;
+        std::vector<call_id> cancelled;
         {
             const std::lock_guard guard(mutex);
-            fresh.swap(to_start);
-            ended.swap(to_cancel);
+            starting.swap(to_start);
+            cancelled.swap(to_cancel);
         }
-        for (auto& one : fresh)
+        for (auto& one : starting)
         {
             internal::prepare(*one);
-            one->moved = event_loop::now();
+            one->last_progress = event_loop::now();
             curl_easy_setopt(one->handle, CURLOPT_PRIVATE, one.get());
             curl_multi_add_handle(multi, one->handle);
             const auto id = one->id;
             active.emplace(id, std::move(one));
         }
-        for (const auto id : ended)
+        for (const auto id : cancelled)
             drop(id);
     }
 
@@ -247,17 +249,17 @@
         active.erase(found);
     }
 
-    void collect()
+    void collect_finished()
     {
         int left = 0;
-        while (const auto* told = curl_multi_info_read(multi, &left))
+        while (const auto* message = curl_multi_info_read(multi, &left))
         {
-            if (told->msg != CURLMSG_DONE)
+            if (message->msg != CURLMSG_DONE)
                 continue;
             char* user = nullptr;
-            curl_easy_getinfo(told->easy_handle, CURLINFO_PRIVATE, &user);
+            curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &user);
             auto& one = *reinterpret_cast<internal::transfer*>(user);
-            internal::conclude(one, told->data.result);
+            internal::record_outcome(one, message->data.result);
             finish(one);
             drop(one.id);
         }
@@ -306,7 +308,7 @@
 http_client::call_id http_client::start(http_call call, done_callback done,
                                         data_callback data)
 {
-    self->begin();
+    self->ensure_started();
     auto one = std::make_unique<internal::transfer>();
     const auto id = ++self->last_id;
     one->id = id;
@@ -352,12 +354,12 @@
 http_result perform(const http_call& call,
                     const http_client::data_callback& data)
 {
-    internal::use_library();
+    internal::initialize_curl();
     internal::transfer one;
     one.call = call;
     one.deliver = data;
     internal::prepare(one);
-    internal::conclude(one, curl_easy_perform(one.handle));
+    internal::record_outcome(one, curl_easy_perform(one.handle));
     internal::release(one);
     return std::move(one.end);
 }
--- a/src/coursejunction/net/http_client.hpp
+++ b/src/coursejunction/net/http_client.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief HTTP client on libcurl; one thread carries all calls.
+ * @brief HTTP client on libcurl; one thread runs all calls.
  */
 #ifndef COURSEJUNCTION_NET_HTTP_CLIENT_HPP
 #define COURSEJUNCTION_NET_HTTP_CLIENT_HPP
@@ -19,31 +19,33 @@
 /*! @brief How far a call got. */
 enum class http_reach : std::uint8_t
 {
-    answered,   /*!< A whole answer came. */
-    not_sent,   /*!< No connection: the server never saw the call. */
-    interrupted /*!< The server may have acted. */
+    answered,   /*!< A complete response was received. */
+    not_sent,   /*!< No connection was made: the server did not receive the
+                    call. */
+    interrupted /*!< The call failed after connecting: the server may have
+                    run it. */
 };
 
-/*! @brief One call. */
+/*! @brief One HTTP call. */
 struct http_call
 {
     std::string method{"GET"};
     std::string url;
     header_map headers;
     std::string body;
-    milliseconds timeout{0};     /*!< Of the whole call; zero for none. */
-    milliseconds answer_time{0}; /*!< To the first byte of the answer; zero for
-                                    none. */
-    milliseconds stall_time{0};  /*!< Between two parts of the answer, however
-                                    long the whole takes; zero for none. */
-    /*! @brief Goes out on a new connection. The library sends a call once more,
-     * unseen, when a kept connection ends before the answer: what ended its
-     * upstream reached it twice, and what the second one told ("not run") was
-     * passed on. */
+    milliseconds timeout{0};     /*!< For the whole call; 0 disables it. */
+    milliseconds answer_time{0}; /*!< Longest time without received bytes before
+                                    the body starts; 0 disables it. */
+    milliseconds stall_time{0};  /*!< Longest time without received bytes once
+                                    the  body has started; 0 disables it. */
+    /*! @brief Forces a new connection. libcurl silently resends a call when a
+     * reused connection closes before the response: a request that crashed its
+     * upstream was delivered twice, and the result of the second delivery
+     * ("not run") was reported to the caller. */
     bool new_connection{false};
 };
 
-/*! @brief The end of a call. */
+/*! @brief Result of a call. */
 struct http_result
 {
     http_reach reach{http_reach::not_sent};
@@ -51,22 +53,23 @@
     header_map headers;
     std::string body;
     std::string fault;
-    std::size_t received{0}; /*!< Bytes of the body that came. */
-    /*! @brief Time that a new connection took; zero on a kept one. */
+    std::size_t received{0}; /*!< Bytes of the body received. */
+    /*! @brief Time to open a new connection; zero on a reused one. */
     std::chrono::microseconds connect_time{0};
 
-    /*! @brief Tells whether a whole answer with status 2xx came. */
+    /*! @brief Returns whether a complete response with status 2xx was received.
+     */
     [[nodiscard]] bool ok() const
     {
         return reach == http_reach::answered && status >= 200 && status < 300;
     }
 };
 
-/*! @brief Runs many calls at once; callbacks are on the loop's thread. */
+/*! @brief Runs concurrent calls; callbacks run on the loop's thread. */
 class http_client
 {
 public:
-    /*! @brief Number of a call, for `cancel`. */
+    /*! @brief Identifies a call for `cancel`. */
     using call_id = std::uint64_t;
     using done_callback = std::function<void(http_result)>;
     using data_callback = std::function<void(int status, std::string bytes)>;
@@ -76,11 +79,11 @@
 
     /*! @brief Starts a call.
      * @param done Called once at the end, unless cancelled.
-     * @param data When set, called with each part of a 2xx body in place of
-     * gathering it. */
+     * @param data If set, receives each part of a 2xx body, which is then not
+     * buffered. */
     call_id start(http_call call, done_callback done, data_callback data = {});
 
-    /*! @brief Ends a call; none of its callbacks is called any more. */
+    /*! @brief Cancels a call; none of its callbacks is called afterwards. */
     void cancel(call_id which);
 
     /*! @brief Returns how many calls are open. */
@@ -91,7 +94,8 @@
     std::shared_ptr<implementation> self;
 };
 
-/*! @brief Runs one call to its end on this thread. */
+/*! @brief Runs one call on the calling thread and waits for its result.
+ * `answer_time` and `stall_time` have no effect here. */
 [[nodiscard]] http_result perform(const http_call& call,
                                   const http_client::data_callback& data = {});
 
--- a/src/coursejunction/net/http_server.cpp
+++ b/src/coursejunction/net/http_server.cpp
@@ -26,10 +26,10 @@
 
 namespace pistache = Pistache;
 
-constexpr std::chrono::hours longest_answer{24};
+constexpr std::chrono::hours disabled_timeout{24};
 constexpr int listen_backlog = 1024;
 
-std::string lower(std::string text)
+std::string to_lower(std::string text)
 {
     std::transform(text.begin(), text.end(), text.begin(),
                    [](unsigned char one)
@@ -48,10 +48,10 @@
     return -1;
 }
 
-/*! @brief Decodes %XX and + of a query value. */
+/*! @brief Decodes `%XX` and `+` in a query value. */
 std::string percent_decoded(const std::string& text)
 {
-    std::string plain;
+    std::string decoded;
     for (std::size_t at = 0; at < text.size(); ++at)
     {
         const bool escape = text[at] == '%' && at + 2 < text.size() &&
@@ -59,20 +59,20 @@
                             hex_digit(text[at + 2]) >= 0;
         if (escape)
         {
-            plain.push_back(static_cast<char>(hex_digit(text[at + 1]) * 16 +
-                                              hex_digit(text[at + 2])));
+            decoded.push_back(static_cast<char>(hex_digit(text[at + 1]) * 16 +
+                                                hex_digit(text[at + 2])));
             at += 2;
         }
         else
         {
-            plain.push_back(text[at] == '+' ? ' ' : text[at]);
+            decoded.push_back(text[at] == '+' ? ' ' : text[at]);
         }
     }
-    return plain;
+    return decoded;
 }
 
-std::string head_of(int status, std::string_view content_type,
-                    const header_map& headers)
+std::string head_text(int status, std::string_view content_type,
+                      const header_map& headers)
 {
     std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
     head +=
@@ -85,8 +85,8 @@
     return head;
 }
 
-/*! @brief Answer that writes framing to the peer itself, because the
- * library's stream may only be used on the peer's own thread. */
+/*! @brief Response that writes its own framing to the peer, because Pistache's
+ * response stream may only be used on the peer's thread. */
 class reply : public http_reply
 {
 public:
@@ -98,18 +98,18 @@
     void send(int status, std::string_view content_type,
               const header_map& headers, std::string_view body) override
     {
-        auto bytes = head_of(status, content_type, headers);
+        auto bytes = head_text(status, content_type, headers);
         bytes += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
         bytes += body;
-        put(std::move(bytes), true);
+        send_raw(std::move(bytes), true);
     }
 
     void begin(int status, std::string_view content_type,
                const header_map& headers) override
     {
-        auto bytes = head_of(status, content_type, headers);
+        auto bytes = head_text(status, content_type, headers);
         bytes += "Transfer-Encoding: chunked\r\n\r\n";
-        put(std::move(bytes), false);
+        send_raw(std::move(bytes), false);
     }
 
     void write(std::string_view bytes) override
@@ -122,10 +122,10 @@
         std::string framed(size.data(), end.ptr);
         framed.reserve(framed.size() + bytes.size() + 4);
         framed.append("\r\n").append(bytes).append("\r\n");
-        put(std::move(framed), false);
+        send_raw(std::move(framed), false);
     }
 
-    void finish() override { put("0\r\n\r\n", true); }
+    void finish() override { send_raw("0\r\n\r\n", true); }
 
     void cut() override
     {
@@ -144,14 +144,14 @@
                 return;
             if (peer)
             {
-                abandoned = std::move(call);
+                abandon_callback = std::move(call);
                 return;
             }
         }
         call();
     }
 
-    /*! @brief Called by the server when the connection is gone. */
+    /*! @brief Called by the server after the connection has closed. */
     void disconnected()
     {
         std::function<void()> call;
@@ -159,7 +159,7 @@
             const std::lock_guard guard(mutex);
             peer.reset();
             if (!ended)
-                call = std::move(abandoned);
+                call = std::move(abandon_callback);
         }
         if (call)
             call();
@@ -172,7 +172,7 @@
     }
 
 private:
-    void put(std::string bytes, bool last)
+    void send_raw(std::string bytes, bool last)
     {
         const std::lock_guard guard(mutex);
         if (!peer || ended)
@@ -183,19 +183,19 @@
         {
             ended = true;
             peer.reset();
-            abandoned = nullptr;
+            abandon_callback = nullptr;
         }
     }
 
     mutable std::mutex mutex;
     std::shared_ptr<pistache::Tcp::Peer> peer;
-    std::function<void()> abandoned;
+    std::function<void()> abandon_callback;
     bool ended{false};
 };
 
-/*! @brief Connections and their open answers, shared by the clones of the
- * handler. The library's own limits would cut answers that take long, so
- * connections that are slow or idle are closed here. */
+/*! @brief Connections and their open responses, shared by the clones of the
+ * handler. Pistache's own timeouts would cut long responses, so slow and idle
+ * connections are closed here instead. */
 class open_connections
 {
 public:
@@ -224,22 +224,23 @@
 
     void disconnected(std::size_t peer)
     {
-        std::vector<std::shared_ptr<reply>> gone;
+        std::vector<std::shared_ptr<reply>> open_replies;
         {
             const std::lock_guard guard(mutex);
             const auto found = by_peer.find(peer);
             if (found == by_peer.end())
                 return;
-            gone = std::move(found->second.replies);
+            open_replies = std::move(found->second.replies);
             by_peer.erase(found);
         }
-        for (const auto& one : gone)
+        for (const auto& one : open_replies)
             one->disconnected();
     }
 
-    /*! @brief Closes connections on which neither an answer is open nor a
-     * whole request came within the limit. The library closes a descriptor
-     * only after `disconnected`, so under the lock it is still theirs. */
+    /*! @brief Closes connections without an open response on which no complete
+     * request was received within the limit. Pistache closes a descriptor only
+     * after `disconnected` has returned, so under the lock it cannot have been
+     * reused for another connection. */
     void sweep()
     {
         const std::lock_guard guard(mutex);
@@ -250,9 +251,9 @@
                 std::any_of(state.replies.begin(), state.replies.end(),
                             [](const auto& one) { return !one->done(); });
             if (busy)
-                state.active = now;
+                state.last_active = now;
             const auto peer = state.peer.lock();
-            if (!busy && peer && now - state.active > idle_limit)
+            if (!busy && peer && now - state.last_active > idle_limit)
                 ::shutdown(static_cast<int>(peer->fd()), SHUT_RDWR);
         }
     }
@@ -261,7 +262,7 @@
     struct connection
     {
         std::weak_ptr<pistache::Tcp::Peer> peer;
-        time_point active{};
+        time_point last_active{};
         std::vector<std::shared_ptr<reply>> replies;
     };
 
@@ -270,7 +271,7 @@
     std::unordered_map<std::size_t, connection> by_peer;
 };
 
-/*! @brief Calls `sweep` regularly on a thread of its own. */
+/*! @brief Calls `sweep` at a fixed interval on its own thread. */
 class sweeper
 {
 public:
@@ -330,15 +331,16 @@
              it != from.query().parameters_end(); ++it)
             request.query[it->first] = percent_decoded(it->second);
         for (const auto& [name, raw] : from.headers().rawList())
-            request.headers[lower(name)] = raw.value();
+            request.headers[to_lower(name)] = raw.value();
         request.body = from.body();
         auto answer = std::make_shared<reply>(peer);
         connections->add(peer, answer);
         handle(std::move(request), std::move(answer));
     }
 
-    /*! @brief Does what the library's own, private one does, and notes the
-     * connection: a peer gets its parser under this key. */
+    /*! @brief Replaces Pistache's private implementation: stores the request
+     * parser under the key that Pistache reads, and registers the connection.
+     */
     void onConnection(const std::shared_ptr<pistache::Tcp::Peer>& peer) override
     {
         peer->putData(parser_key,
@@ -403,17 +405,17 @@
         auto made = std::make_unique<implementation>();
         made->endpoint = std::make_unique<Pistache::Http::Endpoint>(
             Pistache::Address(address, Pistache::Port(port)));
-        auto setting = Pistache::Http::Endpoint::options();
-        setting.threads(static_cast<int>(options.threads))
+        auto endpoint_options = Pistache::Http::Endpoint::options();
+        endpoint_options.threads(static_cast<int>(options.threads))
             .backlog(internal::listen_backlog)
             .maxRequestSize(options.max_request_bytes)
-            .headerTimeout(internal::longest_answer)
-            .bodyTimeout(internal::longest_answer)
-            .keepaliveTimeout(internal::longest_answer)
+            .headerTimeout(internal::disabled_timeout)
+            .bodyTimeout(internal::disabled_timeout)
+            .keepaliveTimeout(internal::disabled_timeout)
             .flags(Pistache::Tcp::Options::ReuseAddr |
                    Pistache::Tcp::Options::NoDelay |
                    Pistache::Tcp::Options::CloseOnExec);
-        made->endpoint->init(setting);
+        made->endpoint->init(endpoint_options);
         auto connections =
             std::make_shared<internal::open_connections>(options.head_limit);
         made->endpoint->setHandler(std::make_shared<internal::request_handler>(
--- a/src/coursejunction/net/http_server.hpp
+++ b/src/coursejunction/net/http_server.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief HTTP server on Pistache; answers may be given from another thread.
+ * @brief HTTP server on Pistache; responses may be sent from any thread.
  */
 #ifndef COURSEJUNCTION_NET_HTTP_SERVER_HPP
 #define COURSEJUNCTION_NET_HTTP_SERVER_HPP
@@ -23,7 +23,7 @@
 /*! @brief Header names in lower case and their values. */
 using header_map = std::map<std::string, std::string>;
 
-/*! @brief One request as it came. */
+/*! @brief One received request. */
 struct http_request
 {
     std::string method;
@@ -32,7 +32,8 @@
     header_map headers;
     std::string body;
 
-    /*! @brief Returns a header, or an empty text. */
+    /*! @brief Returns the value of a header, or an empty string. `name` must be
+     * in lower case. */
     [[nodiscard]] std::string header(const std::string& name) const;
 
     /*! @brief Returns a query parameter, or nothing. */
@@ -40,43 +41,44 @@
     parameter(const std::string& name) const;
 };
 
-/*! @brief The answer to one request; safe from any thread. When the caller
- * has left, every call does nothing. */
+/*! @brief The response to one request; all members are thread-safe. Once the
+ * client has disconnected, every member except `on_abandoned` does nothing. */
 class http_reply
 {
 public:
     virtual ~http_reply() = default;
 
-    /*! @brief Sends a whole answer. */
+    /*! @brief Sends a complete response. */
     virtual void send(int status, std::string_view content_type,
                       const header_map& headers, std::string_view body) = 0;
 
-    /*! @brief Sends the head of a streamed answer. */
+    /*! @brief Sends the head of a chunked response. */
     virtual void begin(int status, std::string_view content_type,
                        const header_map& headers) = 0;
 
-    /*! @brief Sends a part of a streamed answer. */
+    /*! @brief Sends a chunk of a chunked response. */
     virtual void write(std::string_view bytes) = 0;
 
-    /*! @brief Ends a streamed answer as whole. */
+    /*! @brief Sends the last chunk. */
     virtual void finish() = 0;
 
-    /*! @brief Ends a streamed answer visibly broken: the connection is cut
-     * before the last chunk. */
+    /*! @brief Aborts a chunked response: closes the connection before the last
+     * chunk, so that the client sees that the response is incomplete. */
     virtual void cut() = 0;
 
-    /*! @brief Sets what is called, on a thread of the server, when the caller
-     * leaves before the end; called at once if that has happened. */
+    /*! @brief Sets a callback for a client that disconnects before the response
+     * has ended. It runs on a server thread, or at once on the calling thread
+     * if the client has already disconnected. */
     virtual void on_abandoned(std::function<void()> call) = 0;
 };
 
-/*! @brief Limits of a server. */
+/*! @brief Options of a server. */
 struct http_options
 {
     std::size_t threads{1};
     std::size_t max_request_bytes{std::size_t{1} << 20U};
-    /*! @brief A connection without an open answer is closed when no whole
-     * request came for this long. */
+    /*! @brief A connection without an open response is closed when no complete
+     * request was received for this long. */
     milliseconds head_limit{60'000};
 };
 
@@ -87,16 +89,16 @@
     using handler =
         std::function<void(http_request, std::shared_ptr<http_reply>)>;
 
-    /*! @brief Listens; port 0 takes any free one. The handler is called on a
-     * thread of the server.
-     * @return The server, or `unavailable`. */
+    /*! @brief Starts to listen; port 0 selects any free port. The handler is
+     * called on a server thread.
+     * @return The server, or an `unavailable` error if it cannot listen. */
     [[nodiscard]] static result<std::unique_ptr<http_server>>
     create(const std::string& address, std::uint16_t port,
            const http_options& options, handler handle);
 
     ~http_server();
 
-    /*! @brief Returns the port that is listened on. */
+    /*! @brief Returns the listening port. */
     [[nodiscard]] std::uint16_t port() const;
 
 private:
--- a/src/coursejunction/net/internal/stream_connection.cpp
+++ b/src/coursejunction/net/internal/stream_connection.cpp
@@ -22,18 +22,19 @@
 namespace internal
 {
 
-/*! @brief Answer bytes that may wait for a caller who does not read; beyond
- * this the connection is closed. A whole largest answer fits. */
-constexpr std::size_t most_unsent = std::size_t{8} << 20U;
+/*! @brief Response bytes that may be queued for a client that does not read;
+ * above this the connection is closed. The largest complete response fits. */
+constexpr std::size_t max_unsent_bytes = std::size_t{8} << 20U;
 
-/*! @brief Unacknowledged bytes after which the kernel gives a peer up. */
+/*! @brief TCP_USER_TIMEOUT: the kernel drops the connection when sent data
+ * stays unacknowledged for this long. */
 constexpr int user_timeout_ms = 10'000;
 
 } // namespace internal
 
 stream_reply::target::target(
     tcp::socket owned, std::shared_ptr<internal::stream_server_state> owner)
-    : socket(std::move(owned)), clock(socket.get_executor()),
+    : socket(std::move(owned)), deadline(socket.get_executor()),
       server(std::move(owner))
 {
     server->connections.insert(this);
@@ -41,7 +42,7 @@
 
 stream_reply::target::~target()
 {
-    leave_answer();
+    count_answer_ended();
     server->connections.erase(this);
 }
 
@@ -53,23 +54,24 @@
     ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit,
                  sizeof limit);
     const auto peer = socket.remote_endpoint(ignored);
-    from = peer.address().to_string() + ":" + std::to_string(peer.port());
+    peer_address =
+        peer.address().to_string() + ":" + std::to_string(peer.port());
     next_request();
 }
 
 void stream_reply::target::close_if_idle()
 {
-    if (state == step::idle && input.size() == 0)
+    if (state == phase::idle && input.size() == 0)
         close();
 }
 
-void stream_reply::target::send(std::uint64_t of, int status,
+void stream_reply::target::send(std::uint64_t request_number, int status,
                                 const header_list& headers,
                                 std::string_view body)
 {
-    if (!current(of) || begun)
+    if (!current(request_number) || head_sent)
         return;
-    begun = true;
+    head_sent = true;
     const bool last = closing();
     auto text =
         internal::answer_head(status, headers, version, body.size(), last);
@@ -79,60 +81,62 @@
     end_answer(last);
 }
 
-void stream_reply::target::begin(std::uint64_t of, int status,
+void stream_reply::target::begin(std::uint64_t request_number, int status,
                                  const header_list& headers)
 {
-    if (!current(of) || begun)
+    if (!current(request_number) || head_sent)
         return;
-    begun = true;
+    head_sent = true;
     close_after = closing() || version < 11;
     queue(internal::answer_head(status, headers, version, std::nullopt,
                                 close_after));
 }
 
-void stream_reply::target::write(std::uint64_t of, std::string_view bytes)
+void stream_reply::target::write(std::uint64_t request_number,
+                                 std::string_view bytes)
 {
-    if (!current(of) || !begun || bytes.empty())
+    if (!current(request_number) || !head_sent || bytes.empty())
         return;
-    if (unsent_bytes > internal::most_unsent)
+    if (unsent_bytes > internal::max_unsent_bytes)
         return close();
     queue(version >= 11 ? internal::chunk_text(bytes) : std::string(bytes));
 }
 
-void stream_reply::target::finish(std::uint64_t of)
+void stream_reply::target::finish(std::uint64_t request_number)
 {
-    if (!current(of) || !begun)
+    if (!current(request_number) || !head_sent)
         return;
     if (version >= 11)
         queue(internal::last_chunk);
     end_answer(close_after);
 }
 
-void stream_reply::target::cut(std::uint64_t of)
+void stream_reply::target::cut(std::uint64_t request_number)
 {
-    if (!current(of))
+    if (!current(request_number))
         return;
-    leave_answer();
-    left = nullptr;
-    state = step::closing;
+    count_answer_ended();
+    left_callback = nullptr;
+    state = phase::closing;
     if (output.empty())
         close();
 }
 
-void stream_reply::target::on_left(std::uint64_t of, std::function<void()> call)
+void stream_reply::target::on_left(std::uint64_t request_number,
+                                   std::function<void()> call)
 {
-    if (current(of))
-        left = std::move(call);
+    if (current(request_number))
+        left_callback = std::move(call);
 }
 
-std::size_t stream_reply::target::unsent(std::uint64_t of) const
+std::size_t stream_reply::target::unsent(std::uint64_t request_number) const
 {
-    return current(of) ? unsent_bytes : 0;
+    return current(request_number) ? unsent_bytes : 0;
 }
 
-bool stream_reply::target::current(std::uint64_t of) const
+bool stream_reply::target::current(std::uint64_t request_number) const
 {
-    return state == step::answering && of == number;
+    return state == phase::answering && request_number == current_number;
 }
 
 bool stream_reply::target::closing() const
@@ -142,15 +146,15 @@
 
 void stream_reply::target::next_request()
 {
-    state = step::idle;
+    state = phase::idle;
     if (input.size() > 0)
         return read_head();
-    arm(server->bounds.idle_time, 0);
+    start_deadline(server->limits.idle_time, 0);
     socket.async_wait(
         tcp::socket::wait_read,
         [self = shared_from_this()](const boost::system::error_code& fault)
         {
-            if (fault || self->state != step::idle)
+            if (fault || self->state != phase::idle)
                 return;
             self->read_head();
         });
@@ -158,11 +162,11 @@
 
 void stream_reply::target::read_head()
 {
-    state = step::reading;
+    state = phase::reading;
     parser.emplace();
-    parser->header_limit(static_cast<std::uint32_t>(server->bounds.head_bytes));
-    parser->body_limit(server->bounds.body_bytes);
-    arm(server->bounds.head_time, 408);
+    parser->header_limit(static_cast<std::uint32_t>(server->limits.head_bytes));
+    parser->body_limit(server->limits.body_bytes);
+    start_deadline(server->limits.head_time, 408);
     http::async_read_header(
         socket, input, *parser,
         [self = shared_from_this()](const boost::system::error_code& fault,
@@ -171,7 +175,7 @@
 
 void stream_reply::target::head_read(const boost::system::error_code& fault)
 {
-    if (state != step::reading)
+    if (state != phase::reading)
         return;
     if (fault)
         return reject(fault);
@@ -180,12 +184,12 @@
         queue("HTTP/1.1 100 Continue\r\n\r\n");
     if (parser->is_done())
         return request_read();
-    arm(server->bounds.idle_time, 408);
+    start_deadline(server->limits.idle_time, 408);
     http::async_read(socket, input, *parser,
                      [self = shared_from_this()](
                          const boost::system::error_code& failed, std::size_t)
                      {
-                         if (self->state != step::reading)
+                         if (self->state != phase::reading)
                              return;
                          if (failed)
                              return self->reject(failed);
@@ -207,14 +211,14 @@
 
 void stream_reply::target::refuse(int status)
 {
-    clock.cancel();
-    state = step::closing;
+    deadline.cancel();
+    state = phase::closing;
     queue(internal::answer_head(status, {}, 11, 0, true));
 }
 
 void stream_reply::target::request_read()
 {
-    clock.cancel();
+    deadline.cancel();
     auto message = parser->release();
     stream_request request;
     request.method = std::string(message.method_string());
@@ -223,53 +227,55 @@
         request.headers.push_back(std::string(field.name_string()),
                                   std::string(field.value()));
     request.body = std::move(message.body());
-    request.from = from;
+    request.from = peer_address;
     version = message.version();
     keep_alive = message.keep_alive();
     head_only = message.method() == http::verb::head;
     parser.reset();
-    state = step::answering;
-    begun = false;
+    state = phase::answering;
+    head_sent = false;
     close_after = false;
-    ++number;
+    ++current_number;
     ++server->open_answers;
-    watch_leaving();
-    server->handle(std::move(request), stream_reply(weak_from_this(), number));
+    watch_for_close();
+    server->handle(std::move(request),
+                   stream_reply(weak_from_this(), current_number));
 }
 
-void stream_reply::target::watch_leaving()
+void stream_reply::target::watch_for_close()
 {
     if (input.size() > 0)
         return;
-    socket.async_wait(tcp::socket::wait_read,
-                      [self = shared_from_this(),
-                       of = number](const boost::system::error_code& fault)
-                      {
-                          if (fault || !self->current(of))
-                              return;
-                          self->look(of);
-                      });
+    socket.async_wait(
+        tcp::socket::wait_read,
+        [self = shared_from_this(), request_number = current_number](
+            const boost::system::error_code& fault)
+        {
+            if (fault || !self->current(request_number))
+                return;
+            self->check_peer(request_number);
+        });
 }
 
-void stream_reply::target::look(std::uint64_t)
+void stream_reply::target::check_peer(std::uint64_t)
 {
     char byte = 0;
     const auto count =
         ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (count > 0)
-        return; // The next request waits; it is read after this answer.
+        return; // The next request is read after this response.
     if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
-        return watch_leaving();
+        return watch_for_close();
     close();
 }
 
 void stream_reply::target::end_answer(bool last)
 {
-    leave_answer();
-    left = nullptr;
+    count_answer_ended();
+    left_callback = nullptr;
     if (last)
     {
-        state = step::closing;
+        state = phase::closing;
         if (output.empty())
             close();
         return;
@@ -277,15 +283,15 @@
     next_request();
 }
 
-void stream_reply::target::leave_answer()
+void stream_reply::target::count_answer_ended()
 {
-    if (state == step::answering)
+    if (state == phase::answering)
         --server->open_answers;
 }
 
 void stream_reply::target::queue(std::string bytes)
 {
-    if (state == step::closed)
+    if (state == phase::closed)
         return;
     unsent_bytes += bytes.size();
     output.push_back(std::move(bytes));
@@ -303,7 +309,7 @@
 
 void stream_reply::target::written(const boost::system::error_code& fault)
 {
-    if (state == step::closed)
+    if (state == phase::closed)
         return;
     if (fault)
         return close();
@@ -311,14 +317,14 @@
     output.pop_front();
     if (!output.empty())
         return write_next();
-    if (state == step::closing)
+    if (state == phase::closing)
         close();
 }
 
-void stream_reply::target::arm(milliseconds limit, int status)
+void stream_reply::target::start_deadline(milliseconds limit, int status)
 {
-    clock.expires_after(limit);
-    clock.async_wait(
+    deadline.expires_after(limit);
+    deadline.async_wait(
         [self = shared_from_this(), status,
          armed = state](const boost::system::error_code& fault)
         {
@@ -333,14 +339,14 @@
 
 void stream_reply::target::close()
 {
-    if (state == step::closed)
+    if (state == phase::closed)
         return;
-    leave_answer();
-    state = step::closed;
-    clock.cancel();
+    count_answer_ended();
+    state = phase::closed;
+    deadline.cancel();
     boost::system::error_code ignored;
     socket.close(ignored);
-    const auto call = std::exchange(left, nullptr);
+    const auto call = std::exchange(left_callback, nullptr);
     if (call)
         call();
 }
--- a/src/coursejunction/net/internal/stream_connection.hpp
+++ b/src/coursejunction/net/internal/stream_connection.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief One caller's connection to a stream server.
+ * @brief A client's connection to a stream server.
  */
 #ifndef COURSEJUNCTION_NET_INTERNAL_STREAM_CONNECTION_HPP
 #define COURSEJUNCTION_NET_INTERNAL_STREAM_CONNECTION_HPP
@@ -28,10 +28,10 @@
 namespace internal
 {
 
-/*! @brief What a server and its connections share. */
+/*! @brief State shared by a server and its connections. */
 struct stream_server_state
 {
-    stream_limits bounds;
+    stream_limits limits;
     stream_server::handler handle;
     bool retiring{false};
     std::size_t open_answers{0};
@@ -40,8 +40,8 @@
 
 } // namespace internal
 
-/*! @brief One caller's connection: reads a request, waits for its answer,
- * reads the next. */
+/*! @brief A client's connection: reads a request, waits until its response has
+ * ended, then reads the next one. */
 class stream_reply::target
     : public std::enable_shared_from_this<stream_reply::target>
 {
@@ -51,37 +51,42 @@
 
     ~target();
 
-    /*! @brief Begins to read the first request. */
+    /*! @brief Starts to read the first request. */
     void start();
 
-    /*! @brief Closes unless a request is being read or answered. */
+    /*! @brief Closes the connection unless a request is being read or handled.
+     */
     void close_if_idle();
 
-    /*! @brief Sends a whole answer; like all that follow, it does nothing
-     * unless `of` is the number of the request that is being answered. */
-    void send(std::uint64_t of, int status, const header_list& headers,
-              std::string_view body);
+    /*! @brief Sends a complete response. Like the members below, it does
+     * nothing unless `request_number` is the request that is being handled. */
+    void send(std::uint64_t request_number, int status,
+              const header_list& headers, std::string_view body);
 
-    /*! @brief Sends the head of an answer whose length is not known. */
-    void begin(std::uint64_t of, int status, const header_list& headers);
+    /*! @brief Sends the head of a response of unknown length. */
+    void begin(std::uint64_t request_number, int status,
+               const header_list& headers);
 
     /*! @brief Sends a part of the body. */
-    void write(std::uint64_t of, std::string_view bytes);
+    void write(std::uint64_t request_number, std::string_view bytes);
 
-    /*! @brief Ends the answer as whole. */
-    void finish(std::uint64_t of);
+    /*! @brief Ends the response as complete. */
+    void finish(std::uint64_t request_number);
 
-    /*! @brief Ends the answer visibly broken. */
-    void cut(std::uint64_t of);
+    /*! @brief Aborts the response: closes the connection before the last chunk.
+     */
+    void cut(std::uint64_t request_number);
 
-    /*! @brief Sets what is called when the caller leaves before the end. */
-    void on_left(std::uint64_t of, std::function<void()> call);
+    /*! @brief Sets a callback for a client that disconnects before the response
+     * has ended. */
+    void on_left(std::uint64_t request_number, std::function<void()> call);
 
-    /*! @brief Returns how many bytes wait for the caller to read. */
-    [[nodiscard]] std::size_t unsent(std::uint64_t of) const;
+    /*! @brief Returns how many bytes are queued and not yet accepted by the
+     * kernel. */
+    [[nodiscard]] std::size_t unsent(std::uint64_t request_number) const;
 
 private:
-    enum class step : std::uint8_t
+    enum class phase : std::uint8_t
     {
         idle,
         reading,
@@ -90,33 +95,36 @@
         closed
     };
 
-    [[nodiscard]] bool current(std::uint64_t of) const;
+    [[nodiscard]] bool current(std::uint64_t request_number) const;
     [[nodiscard]] bool closing() const;
     void next_request();
     void read_head();
     void head_read(const boost::system::error_code& fault);
     void reject(const boost::system::error_code& fault);
 
-    /*! @brief Answers what cannot be read and closes. */
+    /*! @brief Sends an error status for input that cannot be parsed, then
+     * closes. */
     void refuse(int status);
     void request_read();
 
-    /*! @brief Notices that the caller closes while its answer is made. */
-    void watch_leaving();
-    void look(std::uint64_t);
+    /*! @brief Detects that the client disconnects while its request is handled.
+     */
+    void watch_for_close();
+    void check_peer(std::uint64_t);
     void end_answer(bool last);
-    void leave_answer();
+    void count_answer_ended();
     void queue(std::string bytes);
     void write_next();
     void written(const boost::system::error_code& fault);
 
-    /*! @brief Closes after a time in this step, with a status unless it is 0.
+    /*! @brief Closes the connection if it is still in this phase after `limit`;
+     * sends `status` first unless it is 0.
      */
-    void arm(milliseconds limit, int status);
+    void start_deadline(milliseconds limit, int status);
     void close();
 
     boost::asio::ip::tcp::socket socket;
-    boost::asio::steady_timer clock;
+    boost::asio::steady_timer deadline;
     std::shared_ptr<internal::stream_server_state> server;
     boost::beast::flat_buffer input;
     std::optional<
@@ -124,14 +132,14 @@
         parser;
     std::deque<std::string> output;
     std::size_t unsent_bytes{0};
-    std::string from;
-    std::function<void()> left;
-    std::uint64_t number{0};
+    std::string peer_address;
+    std::function<void()> left_callback;
+    std::uint64_t current_number{0};
     unsigned version{11};
-    step state{step::idle};
+    phase state{phase::idle};
     bool keep_alive{true};
     bool head_only{false};
-    bool begun{false};
+    bool head_sent{false};
     bool close_after{false};
 };
 
--- a/src/coursejunction/net/metrics.hpp
+++ b/src/coursejunction/net/metrics.hpp
@@ -31,7 +31,7 @@
     void observe(const std::string& name, double seconds,
                  const labels& with = {});
 
-    /*! @brief Returns all values as text. */
+    /*! @brief Returns all metrics in the Prometheus text format. */
     [[nodiscard]] std::string text() const;
 
 private:
--- a/src/coursejunction/net/peer_hub.cpp
+++ b/src/coursejunction/net/peer_hub.cpp
@@ -26,23 +26,23 @@
 constexpr std::size_t read_bytes = std::size_t{64} << 10U;
 constexpr std::size_t max_unsent_bytes = std::size_t{256} << 20U;
 constexpr std::size_t max_connections = 8192;
-constexpr std::size_t max_gather = 64;
-constexpr std::chrono::seconds handshake_limit{5};
+constexpr std::size_t max_gathered_buffers = 64;
+constexpr std::chrono::seconds handshake_timeout{5};
 
 constexpr std::string_view client_direction = "client";
 constexpr std::string_view server_direction = "server";
 
-/*! @brief Splits `IP:port`. */
+/*! @brief Parses `IP:port`. */
 result<tcp::endpoint> parse_endpoint(const std::string& text)
 {
     const auto colon = text.rfind(':');
     if (colon == std::string::npos)
-        return failure(error_kind::invalid, "no port in " + text);
+        return failure(error_kind::invalid, "address has no port: " + text);
     boost::system::error_code fault;
     const auto ip = asio::ip::make_address(text.substr(0, colon), fault);
     const auto port = std::atoi(text.c_str() + colon + 1);
     if (fault || port <= 0 || port > 65535)
-        return failure(error_kind::invalid, "not IP:port: " + text);
+        return failure(error_kind::invalid, "address is not IP:port: " + text);
     return tcp::endpoint(ip, static_cast<std::uint16_t>(port));
 }
 
@@ -59,17 +59,17 @@
 
     connection(asio::io_context& context, owner& hub, connection_id number,
                const key_ring& ring, const peer_identity& self_identity,
-               hub_counters& counts, std::vector<char>& buffer, bool dialled)
-        : id(number), socket(context), limit(context), shared_input(buffer),
-          parent(&hub), keys(ring), own(self_identity), counters(counts),
-          client(dialled), nonce(random_bytes(nonce_bytes)), sealer(ring),
-          opener(ring)
+               hub_counters& counts, std::vector<char>& buffer, bool outgoing)
+        : id(number), socket(context), handshake_timer(context),
+          shared_read_buffer(buffer), parent(&hub), keys(ring),
+          own(self_identity), counters(counts), is_client(outgoing),
+          nonce(random_bytes(nonce_bytes)), sealer(ring), opener(ring)
     {
     }
 
-    void dial(const tcp::endpoint& to)
+    void connect(const tcp::endpoint& to)
     {
-        start_limit();
+        start_handshake_timer();
         socket.async_connect(
             to,
             [self = shared_from_this()](const boost::system::error_code& fault)
@@ -85,20 +85,21 @@
         boost::system::error_code ignored;
         socket.set_option(tcp::no_delay(true), ignored);
         socket.non_blocking(true, ignored);
-        if (client)
+        if (is_client)
             send_hello();
         else
-            start_limit();
+            start_handshake_timer();
         read();
     }
 
     void send(frame_type type, const std::string& head,
               std::string_view payload, bool hashed)
     {
-        if (!ready)
+        if (!handshake_done)
         {
-            early.push_back({type, head, std::string(payload), hashed});
-            early_bytes += payload.size();
+            pending_frames.push_back(
+                {type, head, std::string(payload), hashed});
+            pending_bytes += payload.size();
             return;
         }
         write(sealer.seal(type, head, payload, hashed));
@@ -108,18 +109,21 @@
     {
         parent = nullptr;
         boost::system::error_code ignored;
-        limit.cancel();
+        handshake_timer.cancel();
         socket.close(ignored);
     }
 
-    [[nodiscard]] std::size_t unsent() const { return out_bytes + early_bytes; }
+    [[nodiscard]] std::size_t unsent() const
+    {
+        return output_bytes + pending_bytes;
+    }
 
     const connection_id id;
     peer_identity identity;
     tcp::socket socket;
 
 private:
-    struct early_frame
+    struct pending_frame
     {
         frame_type type;
         std::string head;
@@ -127,13 +131,13 @@
         bool hashed;
     };
 
-    void start_limit()
+    void start_handshake_timer()
     {
-        limit.expires_after(handshake_limit);
-        limit.async_wait(
+        handshake_timer.expires_after(handshake_timeout);
+        handshake_timer.async_wait(
             [self = shared_from_this()](const boost::system::error_code& fault)
             {
-                if (!fault && !self->ready)
+                if (!fault && !self->handshake_done)
                     self->fail();
             });
     }
@@ -147,8 +151,8 @@
         write(sealer.seal(frame_type::hello, encode(hello)));
     }
 
-    /*! @brief Waits until bytes are there and takes them through one buffer
-     * that all connections share, so that an idle one costs no buffer. */
+    /*! @brief Waits until the socket is readable, then reads into a buffer that
+     * all connections share, so that idle connections need no buffer. */
     void read()
     {
         socket.async_wait(
@@ -157,23 +161,24 @@
             {
                 if (fault)
                     return self->fail();
-                self->take();
+                self->read_available();
             });
     }
 
-    void take()
+    void read_available()
     {
         boost::system::error_code fault;
-        const auto count = socket.read_some(asio::buffer(shared_input), fault);
+        const auto count =
+            socket.read_some(asio::buffer(shared_read_buffer), fault);
         if (fault && fault != asio::error::would_block)
             return fail();
         counters.bytes_in += count;
-        opener.append({shared_input.data(), count});
-        if (drain())
+        opener.append({shared_read_buffer.data(), count});
+        if (process_input())
             read();
     }
 
-    bool drain()
+    bool process_input()
     {
         while (parent != nullptr)
         {
@@ -198,15 +203,15 @@
 
     bool handle(frame one)
     {
-        if (ready)
+        if (handshake_done)
         {
             parent->received(*this, std::move(one));
             return parent != nullptr;
         }
         auto hello = one.type == frame_type::hello
                          ? decode<message::hello>(one.head)
-                         : result<message::hello>(
-                               failure(error_kind::refused, "hello expected"));
+                         : result<message::hello>(failure(
+                               error_kind::refused, "expected a hello frame"));
         if (!hello || hello.value().nonce.size() != nonce_bytes)
         {
             ++counters.refused;
@@ -221,34 +226,35 @@
     {
         identity.instance = instance_id(hello.instance);
         identity.kind = hello.role;
-        if (!client)
+        if (!is_client)
             send_hello();
-        // Both ends use the client's key, so that keys can be rotated.
-        const auto& shared = keys.keys.at(client ? keys.active : key_number);
-        const auto& first = client ? nonce : hello.nonce;
-        const auto& second = client ? hello.nonce : nonce;
-        const auto from_client =
-            session_key(shared, first, second, client_direction);
-        const auto from_server =
-            session_key(shared, first, second, server_direction);
-        sealer.use_session_key(client ? from_client : from_server);
-        opener.use_session_key(client ? from_server : from_client);
-        ready = true;
-        limit.cancel();
-        for (auto& one : early)
+        // Both ends use the client's active key, so that keys can be rotated.
+        const auto& shared_key =
+            keys.keys.at(is_client ? keys.active : key_number);
+        const auto& client_nonce = is_client ? nonce : hello.nonce;
+        const auto& server_nonce = is_client ? hello.nonce : nonce;
+        const auto from_client = session_key(shared_key, client_nonce,
+                                             server_nonce, client_direction);
+        const auto from_server = session_key(shared_key, client_nonce,
+                                             server_nonce, server_direction);
+        sealer.use_session_key(is_client ? from_client : from_server);
+        opener.use_session_key(is_client ? from_server : from_client);
+        handshake_done = true;
+        handshake_timer.cancel();
+        for (auto& one : pending_frames)
             write(sealer.seal(one.type, one.head, one.payload, one.hashed));
-        early.clear();
-        early_bytes = 0;
+        pending_frames.clear();
+        pending_bytes = 0;
         parent->opened(*this);
     }
 
     void write(std::string bytes)
     {
-        out_bytes += bytes.size();
+        output_bytes += bytes.size();
         counters.bytes_out += bytes.size();
         ++counters.frames_out;
-        out.push_back(std::move(bytes));
-        if (out_bytes > max_unsent_bytes)
+        output.push_back(std::move(bytes));
+        if (output_bytes > max_unsent_bytes)
             return fail();
         if (!writing)
             flush();
@@ -257,27 +263,27 @@
     void flush()
     {
         writing = true;
-        std::vector<asio::const_buffer> gathered;
-        for (const auto& one : out)
+        std::vector<asio::const_buffer> buffers;
+        for (const auto& one : output)
         {
-            gathered.emplace_back(asio::buffer(one));
-            if (gathered.size() == max_gather)
+            buffers.emplace_back(asio::buffer(one));
+            if (buffers.size() == max_gathered_buffers)
                 break;
         }
-        const auto count = gathered.size();
+        const auto count = buffers.size();
         asio::async_write(
-            socket, gathered,
+            socket, buffers,
             [self = shared_from_this(),
              count](const boost::system::error_code& fault, std::size_t bytes)
             {
                 if (fault)
                     return self->fail();
-                self->out_bytes -= bytes;
-                self->out.erase(self->out.begin(),
-                                self->out.begin() +
-                                    static_cast<std::ptrdiff_t>(count));
+                self->output_bytes -= bytes;
+                self->output.erase(self->output.begin(),
+                                   self->output.begin() +
+                                       static_cast<std::ptrdiff_t>(count));
                 self->writing = false;
-                if (!self->out.empty())
+                if (!self->output.empty())
                     self->flush();
             });
     }
@@ -292,22 +298,22 @@
         asio::post(socket.get_executor(), [hub, keep] { hub->ended(*keep); });
     }
 
-    asio::steady_timer limit;
-    std::vector<char>& shared_input;
+    asio::steady_timer handshake_timer;
+    std::vector<char>& shared_read_buffer;
     owner* parent;
     key_ring keys;
     peer_identity own;
     hub_counters& counters;
-    bool client;
-    bool ready{false};
+    bool is_client;
+    bool handshake_done{false};
     bool writing{false};
     std::string nonce;
     frame_sealer sealer;
     frame_opener opener;
-    std::deque<std::string> out;
-    std::size_t out_bytes{0};
-    std::vector<early_frame> early;
-    std::size_t early_bytes{0};
+    std::deque<std::string> output;
+    std::size_t output_bytes{0};
+    std::vector<pending_frame> pending_frames;
+    std::size_t pending_bytes{0};
 };
 
 } // namespace internal
@@ -323,11 +329,11 @@
     {
     }
 
-    std::shared_ptr<internal::connection> make(bool dialled)
+    std::shared_ptr<internal::connection> add_connection(bool outgoing)
     {
         const connection_id id(++last_id);
         auto made = std::make_shared<internal::connection>(
-            context, *this, id, ring, own, counters, input, dialled);
+            context, *this, id, ring, own, counters, read_buffer, outgoing);
         connections.emplace(id, made);
         return made;
     }
@@ -343,7 +349,7 @@
                 if (!fault &&
                     self->connections.size() < internal::max_connections)
                 {
-                    auto made = self->make(false);
+                    auto made = self->add_connection(false);
                     made->socket = std::move(socket);
                     made->begin();
                 }
@@ -363,7 +369,7 @@
 
     void ended(internal::connection& from) override
     {
-        if (connections.erase(from.id) > 0 && !shut)
+        if (connections.erase(from.id) > 0 && !shutting_down)
             events.closed(from.id);
     }
 
@@ -375,9 +381,9 @@
     std::unordered_map<connection_id, std::shared_ptr<internal::connection>>
         connections;
     hub_counters counters;
-    std::vector<char> input = std::vector<char>(internal::read_bytes);
+    std::vector<char> read_buffer = std::vector<char>(internal::read_bytes);
     std::uint64_t last_id{0};
-    bool shut{false};
+    bool shutting_down{false};
 };
 
 peer_hub::peer_hub(std::shared_ptr<implementation> shared)
@@ -387,7 +393,7 @@
 
 peer_hub::~peer_hub()
 {
-    self->shut = true;
+    self->shutting_down = true;
     boost::system::error_code ignored;
     self->acceptor.close(ignored);
     for (auto& [id, one] : self->connections)
@@ -427,11 +433,11 @@
 
 connection_id peer_hub::open(const std::string& address)
 {
-    auto made = self->make(true);
+    auto made = self->add_connection(true);
     const auto endpoint = internal::parse_endpoint(address);
     if (endpoint)
     {
-        made->dial(endpoint.value());
+        made->connect(endpoint.value());
         return made->id;
     }
     asio::post(self->context, [hub = self, made] { hub->ended(*made); });
--- a/src/coursejunction/net/peer_hub.hpp
+++ b/src/coursejunction/net/peer_hub.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Keyed TCP connections to the system's other processes.
+ * @brief Authenticated TCP connections to the other processes of the system.
  */
 #ifndef COURSEJUNCTION_NET_PEER_HUB_HPP
 #define COURSEJUNCTION_NET_PEER_HUB_HPP
@@ -18,17 +18,17 @@
 namespace coursejunction
 {
 
-/*! @brief Number of a connection within this process; never used twice. */
+/*! @brief Identifies a connection within this process; never reused. */
 using connection_id = strong<struct connection_tag, std::uint64_t>;
 
-/*! @brief Who is at the other end of a connection, as its hello said. */
+/*! @brief Identity of a peer, from its hello message. */
 struct peer_identity
 {
     instance_id instance;
     std::string kind;
 };
 
-/*! @brief Counts of all connections. */
+/*! @brief Totals over all connections. */
 struct hub_counters
 {
     std::uint64_t bytes_in{0};
@@ -38,8 +38,8 @@
     std::uint64_t refused{0};
 };
 
-/*! @brief Accepts and opens connections, seals and opens their frames. All
- * calls and callbacks are on the loop's thread. */
+/*! @brief Accepts and opens connections; authenticates and verifies their
+ * frames. All members and callbacks run on the loop's thread. */
 class peer_hub
 {
 public:
@@ -50,23 +50,25 @@
         std::function<void(connection_id)> closed;
     };
 
-    /*! @brief Listens on an address; port 0 takes any free one.
-     * @return The hub, or `unavailable`. */
+    /*! @brief Starts to listen on an address; port 0 selects any free port.
+     * @return The hub, or an `unavailable` error if it cannot listen. */
     [[nodiscard]] static result<std::unique_ptr<peer_hub>>
     create(event_loop& loop, const std::string& address, std::uint16_t port,
            key_ring ring, peer_identity own, callbacks events);
 
     ~peer_hub();
 
-    /*! @brief Returns the port that is listened on. */
+    /*! @brief Returns the listening port. */
     [[nodiscard]] std::uint16_t port() const;
 
-    /*! @brief Opens a connection to `IP:port`. Frames may be sent at once; a
-     * failure is told by `closed`. */
+    /*! @brief Opens a connection to `IP:port`. Frames may be sent at once and
+     * are queued until the handshake is done; a failure is reported by
+     * `closed`. */
     connection_id open(const std::string& address);
 
     /*! @brief Sends a message.
-     * @return Whether the connection was still there. */
+     * @return Whether the connection still existed; the message may be lost
+     * even then. */
     template <typename Message>
     bool send(connection_id to, const Message& message,
               std::string_view payload = {}, bool hashed_payload = false)
@@ -75,16 +77,17 @@
                           hashed_payload);
     }
 
-    /*! @brief Closes a connection; `closed` is not called. */
+    /*! @brief Closes a connection without calling `closed`. */
     void close(connection_id which);
 
-    /*! @brief Returns bytes not yet taken by the kernel. */
+    /*! @brief Returns how many bytes the kernel has not accepted yet. */
     [[nodiscard]] std::size_t unsent(connection_id which) const;
 
-    /*! @brief Returns the counts of all connections. */
+    /*! @brief Returns the totals over all connections. */
     [[nodiscard]] const hub_counters& counters() const;
 
-    /*! @brief Returns how many connections there are. */
+    /*! @brief Returns the number of connections, including those in handshake.
+     */
     [[nodiscard]] std::size_t size() const;
 
 private:
--- a/src/coursejunction/net/stream_client.cpp
+++ b/src/coursejunction/net/stream_client.cpp
@@ -34,26 +34,28 @@
 namespace internal
 {
 
-/*! @brief Bytes taken from the network at once. */
+/*! @brief Bytes read from the socket at once. */
 constexpr std::size_t read_bytes = 16384;
 
-/*! @brief Idle connections kept to one address. */
-constexpr std::size_t most_kept = 8;
+/*! @brief Idle connections kept per address. */
+constexpr std::size_t max_idle_per_address = 8;
 
-/*! @brief Unacknowledged bytes after which the kernel gives a peer up. */
+/*! @brief TCP_USER_TIMEOUT: the kernel drops the connection when sent data
+ * stays unacknowledged for this long. */
 constexpr int call_user_timeout_ms = 4000;
 
-/*! @brief A kept connection that was dead already shows within a round trip, of
- * some 20 ms between far regions. One that ends later ended under the call,
- * which may have run: sending it again unseen would be a retry that nobody
- * counts. */
-constexpr milliseconds stale_notice{100};
+/*! @brief A failure on an idle connection within this time of sending means
+ * that the connection was already dead: the peer's reset arrives within a round
+ * trip, about 20 ms between distant regions. On a later failure the peer may
+ * have run the call, and resending it here would be a retry that the caller
+ * cannot count. */
+constexpr milliseconds stale_connection_window{100};
 
-/*! @brief Time for a probe's connection; as that of a call. */
-constexpr milliseconds probe_time{250};
+/*! @brief Time limit of a probe; the same as `stream_call::connect_time`. */
+constexpr milliseconds probe_timeout{250};
 
-/*! @brief Reads `IP:port`.
- * @return The endpoint, or nothing for a text that is none. */
+/*! @brief Parses `IP:port`.
+ * @return The endpoint, or nothing if the text is not valid. */
 std::optional<tcp::endpoint> endpoint_of(const std::string& address)
 {
     const auto colon = address.rfind(':');
@@ -66,8 +68,8 @@
     return tcp::endpoint(ip, port);
 }
 
-/*! @brief Tells whether the other end ended a connection. */
-bool ended_by_peer(const boost::system::error_code& fault)
+/*! @brief Returns whether the peer closed the connection. */
+bool closed_by_peer(const boost::system::error_code& fault)
 {
     return fault == asio::error::eof ||
            fault == asio::error::connection_reset ||
@@ -91,29 +93,30 @@
     return head_text(head) + call.body;
 }
 
-/*! @brief One call on its connection. */
+/*! @brief One call and its connection. */
 class stream_exchange : public std::enable_shared_from_this<stream_exchange>
 {
 public:
-    /*! @brief Told at the end; takes the socket when it may be kept. */
+    /*! @brief Called at the end of the call, with the socket if it can be
+     * reused. */
     using finished_callback = std::function<void(std::optional<tcp::socket>)>;
 
     stream_exchange(asio::io_context& owner, stream_call what,
-                    stream_client::callbacks to, finished_callback over)
-        : context(owner), socket(owner), clock(owner), limit(owner),
-          stall(owner), call(std::move(what)), target(std::move(to)),
-          finished(std::move(over))
+                    stream_client::callbacks to, finished_callback on_finished)
+        : context(owner), socket(owner), connect_timer(owner),
+          call_timer(owner), stall_timer(owner), call(std::move(what)),
+          target(std::move(to)), finished(std::move(on_finished))
     {
         prepare();
     }
 
-    /*! @brief Starts on a connection that an earlier call left. */
-    void start_on(tcp::socket kept)
+    /*! @brief Sends the call on an idle connection of the pool. */
+    void start_on_idle(tcp::socket kept)
     {
         socket = std::move(kept);
         reused = true;
         if (call.timeout.count() > 0)
-            arm(limit, call.timeout, "call timed out");
+            arm(call_timer, call.timeout, "call timed out");
         write();
     }
 
@@ -121,34 +124,36 @@
     {
         const auto to = endpoint_of(call.address);
         if (!to)
-            return later(stream_end::not_sent, "wrong address");
-        arm(clock, call.connect_time, "connection timed out");
+            return end_later(stream_end::not_sent, "address is not IP:port");
+        arm(connect_timer, call.connect_time, "connection timed out");
         if (call.timeout.count() > 0)
-            arm(limit, call.timeout, "call timed out");
+            arm(call_timer, call.timeout, "call timed out");
         socket.async_connect(*to, [self = shared_from_this()](
                                       const boost::system::error_code& failed)
                              { self->connected(failed); });
     }
 
-    /*! @brief Ends the call and closes its connection. Where no whole answer
-     * came the connection is reset: what still waits on its way to the peer is
-     * then discarded, instead of being run after the call was given up. */
+    /*! @brief Ends the call and closes its connection. Without a complete
+     * response the connection is reset, which discards what the peer has not
+     * read yet; otherwise the peer could run the request after the call was
+     * abandoned. */
     void abandon()
     {
-        over = true;
-        clock.cancel();
-        limit.cancel();
-        stall.cancel();
+        completed = true;
+        connect_timer.cancel();
+        call_timer.cancel();
+        stall_timer.cancel();
         boost::system::error_code ignored;
-        if (sent && !whole && socket.is_open())
+        if (sent && !complete && socket.is_open())
             socket.set_option(asio::socket_base::linger(true, 0), ignored);
         socket.close(ignored);
     }
 
 private:
     static constexpr std::uint32_t max_head = 65536;
-    // A limit of none compares as smaller than any length in Beast 1.74.
-    static constexpr std::uint64_t most_body = std::uint64_t{1} << 40U;
+    // Beast 1.74 compares boost::none as smaller than any length, so "no limit"
+    // would reject every body.
+    static constexpr std::uint64_t max_body = std::uint64_t{1} << 40U;
 
     void arm(asio::steady_timer& timer, milliseconds wait, const char* why)
     {
@@ -164,24 +169,26 @@
             });
     }
 
-    /*! @brief Ends the call once nothing came for as long as may be. */
-    void watch_progress()
+    /*! @brief Ends the call when nothing was received for `stall_time`. */
+    void watch_for_stall()
     {
-        // The timer's clock stands while suspended, `moved` goes on.
-        stall.expires_after(
-            next_look(moved + call.stall_time, event_loop::now()));
-        stall.async_wait(
+        // The timer's clock stops while the instance is suspended; the clock of
+        // `last_progress` does not.
+        stall_timer.expires_after(
+            next_look(last_progress + call.stall_time, event_loop::now()));
+        stall_timer.async_wait(
             [self = shared_from_this()](const boost::system::error_code& fault)
             {
-                if (fault || self->over)
+                if (fault || self->completed)
                     return;
-                if (event_loop::now() - self->moved < self->call.stall_time)
-                    return self->watch_progress();
+                if (event_loop::now() - self->last_progress <
+                    self->call.stall_time)
+                    return self->watch_for_stall();
                 self->end(stream_end::broken, "call made no progress");
             });
     }
 
-    void later(stream_end how, std::string why)
+    void end_later(stream_end how, std::string why)
     {
         asio::post(socket.get_executor(),
                    [self = shared_from_this(), how, why = std::move(why)]
@@ -190,11 +197,11 @@
 
     void connected(const boost::system::error_code& fault)
     {
-        if (over)
+        if (completed)
             return;
         if (fault)
             return end(stream_end::not_sent, fault.message());
-        clock.cancel();
+        connect_timer.cancel();
         boost::system::error_code ignored;
         socket.set_option(tcp::no_delay(true), ignored);
         const int wait = call_user_timeout_ms;
@@ -207,15 +214,16 @@
     {
         output = request_text(call);
         sent = true;
-        moved = event_loop::now();
+        last_progress = event_loop::now();
         if (call.stall_time.count() > 0)
-            watch_progress();
+            watch_for_stall();
         asio::async_write(
             socket, asio::buffer(output),
             [self = shared_from_this()](const boost::system::error_code& fault,
                                         std::size_t)
             {
-                // A failed write shows in the read: the answer may still come.
+                // A failed write is handled by the read, since the peer may
+                // have sent a response before it closed.
                 self->written = !fault;
             });
         read_head();
@@ -225,12 +233,13 @@
     {
         parser.emplace();
         parser->header_limit(max_head);
-        parser->body_limit(most_body);
+        parser->body_limit(max_body);
         parser->skip(call.method == "HEAD");
     }
 
-    /*! @brief The kept connection was dead: once more on a new one. */
-    void start_anew()
+    /*! @brief Resends the call on a new connection because the idle one was
+     * dead. */
+    void resend_on_new_connection()
     {
         reused = false;
         written = false;
@@ -239,10 +248,10 @@
         socket = tcp::socket(context);
         input.clear();
         prepare();
-        limit.cancel();
-        stall.cancel();
+        call_timer.cancel();
+        stall_timer.cancel();
         sent = false;
-        sent_before = true;
+        sent_on_stale_connection = true;
         start();
     }
 
@@ -256,12 +265,13 @@
 
     void head_read(const boost::system::error_code& fault)
     {
-        if (over || fault == asio::error::operation_aborted)
+        if (completed || fault == asio::error::operation_aborted)
             return;
-        const bool stale = event_loop::now() - moved < stale_notice;
-        moved = event_loop::now();
+        const bool stale =
+            event_loop::now() - last_progress < stale_connection_window;
+        last_progress = event_loop::now();
         if (fault && reused && stale)
-            return start_anew();
+            return resend_on_new_connection();
         if (fault)
             return failed(fault);
         stream_head head;
@@ -271,7 +281,7 @@
                                    std::string(field.value()));
         const auto held = shared_from_this();
         target.head(head);
-        if (over)
+        if (completed)
             return;
         read_body();
     }
@@ -279,9 +289,9 @@
     void read_body()
     {
         if (parser->is_done())
-            return ended_whole();
-        parser->get().body().data = part.data();
-        parser->get().body().size = part.size();
+            return response_complete();
+        parser->get().body().data = body_buffer.data();
+        parser->get().body().size = body_buffer.size();
         http::async_read_some(socket, input, *parser,
                               [self = shared_from_this()](
                                   const boost::system::error_code& fault,
@@ -290,17 +300,17 @@
 
     void body_read(boost::system::error_code fault)
     {
-        if (over)
+        if (completed)
             return;
         if (fault == http::error::need_buffer)
             fault = {};
-        const auto count = part.size() - parser->get().body().size;
+        const auto count = body_buffer.size() - parser->get().body().size;
         if (count > 0)
         {
-            moved = event_loop::now();
+            last_progress = event_loop::now();
             const auto held = shared_from_this();
-            target.data({part.data(), count});
-            if (over)
+            target.data({body_buffer.data(), count});
+            if (completed)
                 return;
         }
         if (fault)
@@ -317,54 +327,59 @@
             fault != http::error::partial_message;
         if (protocol)
             return end(stream_end::malformed, fault.message());
-        end(ended_by_peer(fault) ? stream_end::closed : stream_end::broken,
+        end(closed_by_peer(fault) ? stream_end::closed : stream_end::broken,
             fault.message());
     }
 
-    /*! @brief Keeps the connection when nothing surplus came on it. */
-    void ended_whole()
+    /*! @brief Ends the call; its connection is reused unless surplus bytes were
+     * received on it. */
+    void response_complete()
     {
         if (call.repeatable && written && parser->keep_alive() &&
             input.size() == 0)
-            keep.emplace(std::move(socket));
-        whole = true;
+            reusable_socket.emplace(std::move(socket));
+        complete = true;
         end(stream_end::whole, {});
     }
 
     void end(stream_end how, const std::string& why)
     {
-        if (over)
+        if (completed)
             return;
         const auto held = shared_from_this();
         abandon();
-        const auto call_back = std::move(target.ended);
-        finished(std::move(keep));
-        // The kept connection may have carried it before the new one failed.
-        call_back(how == stream_end::not_sent && sent_before
-                      ? stream_end::closed
-                      : how,
-                  why);
+        const auto on_ended = std::move(target.ended);
+        finished(std::move(reusable_socket));
+        // The call may have reached the peer on the stale connection even if
+        // the new connection failed, so `not_sent` would be wrong.
+        on_ended(how == stream_end::not_sent && sent_on_stale_connection
+                     ? stream_end::closed
+                     : how,
+                 why);
     }
 
     asio::io_context& context;
     tcp::socket socket;
-    asio::steady_timer clock;
-    asio::steady_timer limit;
-    asio::steady_timer stall;
-    time_point moved{}; /*!< When the request went out or a part came. */
+    asio::steady_timer connect_timer;
+    asio::steady_timer call_timer;
+    asio::steady_timer stall_timer;
+    time_point last_progress{}; /*!< Time of sending or of the last received
+                                          bytes. */
     stream_call call;
     stream_client::callbacks target;
     finished_callback finished;
     boost::beast::flat_buffer input;
     std::optional<http::response_parser<http::buffer_body>> parser;
-    std::optional<tcp::socket> keep;
-    std::array<char, read_bytes> part{};
+    std::optional<tcp::socket> reusable_socket;
+    std::array<char, read_bytes> body_buffer{};
     std::string output;
     bool sent{false};
-    bool over{false};
-    bool whole{false}; /*!< The whole answer came. */
+    bool completed{false};
+    bool complete{false}; /*!< The whole response was received. */
     bool reused{false};
-    bool sent_before{false}; /*!< On a kept connection that was dead. */
+    bool sent_on_stale_connection{
+        false}; /*!< Already sent on an idle
+                                             connection that was dead. */
     bool written{false};
 };
 
@@ -375,9 +390,9 @@
 {
     explicit implementation(asio::io_context& owner) : context(owner) {}
 
-    /*! @brief Takes a kept connection to an address that is still open and on
-     * which nothing came unasked. */
-    std::optional<tcp::socket> take(const std::string& address)
+    /*! @brief Removes an idle connection to an address from the pool; skips
+     * those that were closed by the peer or have unexpected bytes to read. */
+    std::optional<tcp::socket> take_idle(const std::string& address)
     {
         auto& list = idle[address];
         while (!list.empty())
@@ -394,10 +409,10 @@
         return std::nullopt;
     }
 
-    void put(const std::string& address, tcp::socket socket)
+    void put_idle(const std::string& address, tcp::socket socket)
     {
         auto& list = idle[address];
-        if (list.size() < internal::most_kept)
+        if (list.size() < internal::max_idle_per_address)
             list.push_back(std::move(socket));
     }
 
@@ -423,7 +438,7 @@
 stream_client::call_id stream_client::start(stream_call call, callbacks to)
 {
     const auto id = ++self->last;
-    auto kept = call.repeatable ? self->take(call.address) : std::nullopt;
+    auto kept = call.repeatable ? self->take_idle(call.address) : std::nullopt;
     auto one = std::make_shared<internal::stream_exchange>(
         self->context, call, std::move(to),
         [shared = std::weak_ptr(self), id,
@@ -434,11 +449,11 @@
                 return;
             held->open.erase(id);
             if (socket)
-                held->put(address, std::move(*socket));
+                held->put_idle(address, std::move(*socket));
         });
     self->open.emplace(id, one);
     if (kept)
-        one->start_on(std::move(*kept));
+        one->start_on_idle(std::move(*kept));
     else
         one->start();
     return id;
@@ -464,19 +479,20 @@
 {
     struct attempt
     {
-        explicit attempt(asio::io_context& owner) : socket(owner), clock(owner)
+        explicit attempt(asio::io_context& owner)
+            : socket(owner), connect_timer(owner)
         {
         }
 
         tcp::socket socket;
-        asio::steady_timer clock;
+        asio::steady_timer connect_timer;
     };
     const auto to = internal::endpoint_of(address);
     if (!to)
         return done(false);
     const auto one = std::make_shared<attempt>(self->context);
-    one->clock.expires_after(internal::probe_time);
-    one->clock.async_wait(
+    one->connect_timer.expires_after(internal::probe_timeout);
+    one->connect_timer.async_wait(
         [one](const boost::system::error_code& cancelled)
         {
             boost::system::error_code ignored;
@@ -488,7 +504,7 @@
         [one, alive = std::weak_ptr(self),
          done = std::move(done)](const boost::system::error_code& failed)
         {
-            one->clock.cancel();
+            one->connect_timer.cancel();
             if (!alive.expired())
                 done(failed == asio::error::connection_refused);
         });
--- a/src/coursejunction/net/stream_client.hpp
+++ b/src/coursejunction/net/stream_client.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief HTTP/1.1 client on Boost.Beast that runs on the loop's thread and
- * tells exactly how far each call got.
+ * @brief HTTP/1.1 client on Boost.Beast that runs on the event loop's thread
+ * and reports how far each failed call got.
  */
 #ifndef COURSEJUNCTION_NET_STREAM_CLIENT_HPP
 #define COURSEJUNCTION_NET_STREAM_CLIENT_HPP
@@ -18,8 +18,9 @@
 namespace coursejunction
 {
 
-/*! @brief One call. Unless `repeatable` is set it has a connection of its own:
- * no earlier call can have left bytes on it, and it cannot be half closed. */
+/*! @brief One HTTP call. Unless `repeatable` is set it uses a new connection,
+ * so it cannot meet leftover bytes of an earlier call or a half-closed
+ * connection. */
 struct stream_call
 {
     std::string address; /*!< `IP:port`. */
@@ -28,40 +29,41 @@
     header_list headers;
     std::string body;
     milliseconds connect_time{250};
-    milliseconds timeout{0};    /*!< Of the whole call; zero for none. */
-    milliseconds stall_time{0}; /*!< Before the answer and between two parts of
-                                   it, however long the whole takes; zero for
-                                   none. */
-    /*! @brief The call may go out on a kept connection, and once more on a new
-     * one when the kept one turns out to be dead. */
+    milliseconds timeout{0};    /*!< For the whole call; 0 disables it. */
+    milliseconds stall_time{0}; /*!< Longest time without received bytes, before
+                                   or during the response; 0 disables it. */
+    /*! @brief The call may use an idle connection of the pool. If that
+     * connection turns out to be dead the call is resent once on a new one. */
     bool repeatable{false};
 };
 
 /*! @brief How a call ended. */
 enum class stream_end : std::uint8_t
 {
-    whole,    /*!< The answer is whole. */
+    whole,    /*!< The complete response was received. */
     not_sent, /*!< No byte of the request was written. */
-    closed,   /*!< The peer ended the connection before the answer. */
-    broken,   /*!< The time ran out, or the connection was lost otherwise. */
-    malformed /*!< The answer was not HTTP. */
+    closed,   /*!< The peer closed the connection before the response was
+                 complete. */
+    broken,   /*!< A time limit expired, or the connection failed otherwise. */
+    malformed /*!< The response was not valid HTTP. */
 };
 
-/*! @brief Head of an answer. */
+/*! @brief Status and headers of a response. */
 struct stream_head
 {
     int status{0};
     header_list headers;
 };
 
-/*! @brief Runs calls; callbacks are on the loop's thread. */
+/*! @brief Runs concurrent calls. All members and callbacks run on the loop's
+ * thread. */
 class stream_client
 {
 public:
     using call_id = std::uint64_t;
 
-    /*! @brief What is called back; `ended` comes last and once, unless the
-     * call was cancelled. */
+    /*! @brief Callbacks of a call. `ended` is called exactly once and last,
+     * unless the call was cancelled. */
     struct callbacks
     {
         std::function<void(const stream_head&)> head;
@@ -75,21 +77,21 @@
     /*! @brief Starts a call. */
     call_id start(stream_call call, callbacks to);
 
-    /*! @brief Closes a call's connection; none of its callbacks is called any
-     * more. */
+    /*! @brief Closes a call's connection; none of its callbacks is called
+     * afterwards. */
     void cancel(call_id which);
 
-    /*! @brief Closes the idle connections that are kept to an address: whoever
-     * they led to is gone. */
+    /*! @brief Closes the idle connections to an address whose process no longer
+     * exists. */
     void forget(const std::string& address);
 
     /*! @brief Opens a connection and closes it again.
-     * @param done Told whether it was refused: nobody listens there. Silence is
-     * no refusal. */
+     * @param done Receives whether the connection was refused, which means that
+     * no process listens there. A timeout does not count as refused. */
     void probe(const std::string& address,
                std::function<void(bool refused)> done);
 
-    /*! @brief Whole answer of a short call. */
+    /*! @brief Buffered response of a call. */
     struct answer
     {
         stream_end end{stream_end::not_sent};
@@ -98,14 +100,16 @@
         std::string body;
         std::string why;
 
-        /*! @brief Tells whether a whole answer with this status came. */
+        /*! @brief Returns whether a complete response with this status was
+         * received. */
         [[nodiscard]] bool is(int expected) const
         {
             return end == stream_end::whole && status == expected;
         }
     };
 
-    /*! @brief Starts a call whose answer is gathered before it is told. */
+    /*! @brief Starts a call and buffers its response; `done` receives it at the
+     * end. */
     call_id gather(stream_call call, std::function<void(answer)> done);
 
     /*! @brief Returns how many calls are open. */
--- a/src/coursejunction/net/stream_limits.hpp
+++ b/src/coursejunction/net/stream_limits.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief What a caller may send and how long it may take.
+ * @brief Size and time limits for client connections.
  */
 #ifndef COURSEJUNCTION_NET_STREAM_LIMITS_HPP
 #define COURSEJUNCTION_NET_STREAM_LIMITS_HPP
@@ -11,14 +11,15 @@
 namespace coursejunction
 {
 
-/*! @brief Limits of a caller's connection. The defaults hold until a
- * configuration tells others. */
+/*! @brief Limits of a client's connection. The defaults apply until the
+ * configuration replaces them. */
 struct stream_limits
 {
     std::size_t head_bytes{16384};
     std::size_t body_bytes{std::size_t{4} << 20U};
-    milliseconds head_time{3000};   /*!< For a whole head. */
-    milliseconds idle_time{15'000}; /*!< Between two requests. */
+    milliseconds head_time{3000};   /*!< To receive a whole request head. */
+    milliseconds idle_time{15'000}; /*!< Between two requests, and for a
+                                       request body. */
 };
 
 } // namespace coursejunction
--- a/src/coursejunction/net/stream_server.cpp
+++ b/src/coursejunction/net/stream_server.cpp
@@ -20,17 +20,17 @@
     : std::enable_shared_from_this<implementation>
 {
     implementation(asio::io_context& owner, stream_limits set, handler call)
-        : acceptor(owner), retry(owner),
+        : acceptor(owner), accept_retry(owner),
           state(std::make_shared<internal::stream_server_state>())
     {
-        state->bounds = set;
+        state->limits = set;
         state->handle = std::move(call);
     }
 
     void accept();
 
     tcp::acceptor acceptor;
-    asio::steady_timer retry;
+    asio::steady_timer accept_retry;
     std::shared_ptr<internal::stream_server_state> state;
 };
 
@@ -49,10 +49,10 @@
                     ->start();
                 return self->accept();
             }
-            // Descriptors ran out: look again when some may be free.
+            // Usually out of file descriptors: try again when some may be free.
             constexpr milliseconds pause{50};
-            self->retry.expires_after(pause);
-            self->retry.async_wait(
+            self->accept_retry.expires_after(pause);
+            self->accept_retry.async_wait(
                 [self](const boost::system::error_code& stopped)
                 {
                     if (!stopped)
@@ -61,8 +61,9 @@
         });
 }
 
-stream_reply::stream_reply(std::weak_ptr<target> to, std::uint64_t of)
-    : connection(std::move(to)), number(of)
+stream_reply::stream_reply(std::weak_ptr<target> to,
+                           std::uint64_t request_number)
+    : connection(std::move(to)), number(request_number)
 {
 }
 
@@ -118,7 +119,7 @@
 {
     boost::system::error_code ignored;
     self->acceptor.close(ignored);
-    self->retry.cancel();
+    self->accept_retry.cancel();
 }
 
 result<std::unique_ptr<stream_server>>
@@ -149,7 +150,7 @@
 
 void stream_server::limits(const stream_limits& set)
 {
-    self->state->bounds = set;
+    self->state->limits = set;
 }
 
 void stream_server::retire()
--- a/src/coursejunction/net/stream_server.hpp
+++ b/src/coursejunction/net/stream_server.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief HTTP/1.1 server on Boost.Beast that runs on the loop's thread, keeps
- * requests exactly as they came, and streams answers.
+ * @brief HTTP/1.1 server on Boost.Beast that runs on the event loop's thread,
+ * preserves requests exactly as received, and streams responses.
  */
 #ifndef COURSEJUNCTION_NET_STREAM_SERVER_HPP
 #define COURSEJUNCTION_NET_STREAM_SERVER_HPP
@@ -21,18 +21,19 @@
 namespace coursejunction
 {
 
-/*! @brief One request, byte for byte as the caller wrote it. */
+/*! @brief One request; target, header order and body are as the client sent
+ * them. */
 struct stream_request
 {
     std::string method;
     std::string target;
     header_list headers;
     std::string body;
-    std::string from; /*!< The caller's `IP:port`. */
+    std::string from; /*!< `IP:port` of the client. */
 };
 
-/*! @brief Answers one request. All members do nothing once the caller has
- * left or the answer has ended. */
+/*! @brief Response to one request. All members do nothing once the client has
+ * disconnected or the response has ended. */
 class stream_reply
 {
 public:
@@ -41,25 +42,28 @@
     stream_reply() = default;
     stream_reply(std::weak_ptr<target> connection, std::uint64_t number);
 
-    /*! @brief Sends a whole answer. */
+    /*! @brief Sends a complete response. */
     void send(int status, const header_list& headers, std::string_view body);
 
-    /*! @brief Sends the head of an answer whose length is not known. */
+    /*! @brief Sends the head of a response of unknown length. */
     void begin(int status, const header_list& headers);
 
     /*! @brief Sends a part of the body. */
     void write(std::string_view bytes);
 
-    /*! @brief Ends the answer as whole. */
+    /*! @brief Ends the response as complete. */
     void finish();
 
-    /*! @brief Ends the answer visibly broken: closes before the last chunk. */
+    /*! @brief Aborts the response: closes the connection before the last chunk,
+     * so that the client sees that it is incomplete. */
     void cut();
 
-    /*! @brief Sets what is called when the caller leaves before the end. */
+    /*! @brief Sets a callback for a client that disconnects before the response
+     * has ended. */
     void on_left(std::function<void()> call);
 
-    /*! @brief Returns how many bytes wait for the caller to read. */
+    /*! @brief Returns how many bytes are queued and not yet accepted by the
+     * kernel. */
     [[nodiscard]] std::size_t unsent() const;
 
 private:
@@ -67,39 +71,40 @@
     std::uint64_t number{0};
 };
 
-/*! @brief Serves HTTP/1.1. Wrong input is answered with 400, 408, 413 or 431
- * and the connection is closed; the handler never sees it. */
+/*! @brief Serves HTTP/1.1. Invalid input gets a 400, 408, 413 or 431 and the
+ * connection is closed; the handler is not called. */
 class stream_server
 {
 public:
     using handler = std::function<void(stream_request, stream_reply)>;
 
-    /*! @brief Listens; port 0 takes any free one.
-     * @return The server, or `unavailable`. */
+    /*! @brief Starts to listen; port 0 selects any free port.
+     * @return The server, or an `unavailable` error if it cannot listen. */
     [[nodiscard]] static result<std::unique_ptr<stream_server>>
     create(event_loop& loop, const std::string& address, std::uint16_t port,
            stream_limits limits, handler handle);
 
     ~stream_server();
 
-    /*! @brief Changes the limits of what comes from now on. */
+    /*! @brief Changes the limits; a timer that is already running keeps its old
+     * one. */
     void limits(const stream_limits& set);
 
-    /*! @brief Begins a planned stop: every answer from now on announces that
-     * its connection closes. */
+    /*! @brief Begins a planned shutdown: every response that starts from now on
+     * carries `Connection: close`, and its connection closes after it. */
     void retire();
 
-    /*! @brief Closes connections on which no request is being read or
-     * answered. */
+    /*! @brief Closes connections on which no request is being read or handled.
+     */
     void close_idle();
 
-    /*! @brief Returns the port that is listened on. */
+    /*! @brief Returns the listening port. */
     [[nodiscard]] std::uint16_t port() const;
 
-    /*! @brief Returns how many connections are open. */
+    /*! @brief Returns the number of open connections. */
     [[nodiscard]] std::size_t size() const;
 
-    /*! @brief Returns how many requests are being answered. */
+    /*! @brief Returns the number of requests whose response has not ended. */
     [[nodiscard]] std::size_t answering() const;
 
 private:
