--- a/tests/net/crashing_peer.hpp
+++ b/tests/net/crashing_peer.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief An upstream that ends when a request begins to run on it.
+ * @brief Test server that crashes on its first request.
  */
 #ifndef COURSEJUNCTION_TESTS_NET_CRASHING_PEER_HPP
 #define COURSEJUNCTION_TESTS_NET_CRASHING_PEER_HPP
@@ -18,16 +18,16 @@
 namespace loopback
 {
 
-/*! @brief Reads the first request that comes, then ends as a process does: its
- * connections close and its address refuses further ones. */
+/*! @brief Reads the first request, then behaves like a crashed process: its
+ * connections close and its port refuses new ones. */
 class crashing_peer
 {
 public:
-    /*! @brief How it ends. */
+    /*! @brief How it crashes. */
     struct manner
     {
-        std::string answer;                 /*!< What it sends before. */
-        std::chrono::milliseconds after{0}; /*!< Since the request came. */
+        std::string answer;                 /*!< Bytes that it sends first. */
+        std::chrono::milliseconds after{0}; /*!< Delay after the request. */
     };
 
     crashing_peer() : crashing_peer(manner{}) {}
@@ -46,17 +46,17 @@
     crashing_peer(const crashing_peer&) = delete;
     crashing_peer& operator=(const crashing_peer&) = delete;
 
-    /*! @brief Tells whether a request reached it. */
-    [[nodiscard]] bool reached() const { return got; }
+    /*! @brief Returns whether a request was received. */
+    [[nodiscard]] bool reached() const { return request_received; }
 
-    /*! @brief Tells whether it has ended. */
-    [[nodiscard]] bool ended() const { return over; }
+    /*! @brief Returns whether it has crashed. */
+    [[nodiscard]] bool ended() const { return crashed; }
 
     std::string address;
 
 private:
     crashing_peer(manner how, const listening_port& port)
-        : address(port.address), ends(std::move(how)), file(port.file)
+        : address(port.address), crash(std::move(how)), file(port.file)
     {
         thread = std::thread([this] { run(); });
     }
@@ -67,22 +67,22 @@
         if (caller >= 0)
         {
             char part[8192];
-            got = ::recv(caller, part, sizeof part, 0) > 0;
-            const auto done = ::send(caller, ends.answer.data(),
-                                     ends.answer.size(), MSG_NOSIGNAL);
+            request_received = ::recv(caller, part, sizeof part, 0) > 0;
+            const auto done = ::send(caller, crash.answer.data(),
+                                     crash.answer.size(), MSG_NOSIGNAL);
             static_cast<void>(done);
-            std::this_thread::sleep_for(ends.after);
+            std::this_thread::sleep_for(crash.after);
         }
         ::close(file);
         if (caller >= 0)
             ::close(caller);
-        over = true;
+        crashed = true;
     }
 
-    manner ends;
+    manner crash;
     int file;
-    std::atomic<bool> got{false};
-    std::atomic<bool> over{false};
+    std::atomic<bool> request_received{false};
+    std::atomic<bool> crashed{false};
     std::thread thread;
 };
 
--- a/tests/net/dripping_server.hpp
+++ b/tests/net/dripping_server.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief A server whose answers come in parts, for tests of time limits.
+ * @brief Test server with slow responses, for tests of time limits.
  */
 #ifndef COURSEJUNCTION_TESTS_NET_DRIPPING_SERVER_HPP
 #define COURSEJUNCTION_TESTS_NET_DRIPPING_SERVER_HPP
@@ -16,15 +16,16 @@
 namespace loopback
 {
 
-/*! @brief Answers each call with a number of bytes, one at a time. */
+/*! @brief Sends each response one byte at a time. */
 class dripping_server
 {
 public:
-    /*! @param bytes Of a whole answer.
-     * @param pause Between two of them.
-     * @param stop_after Bytes after which nothing more comes. */
+    /*! @param bytes Length of a complete response.
+     * @param pause Time between two bytes.
+     * @param stop_after Number of bytes after which it stalls; 0 sends not even
+     * a head. */
     dripping_server(int bytes, std::chrono::milliseconds pause, int stop_after)
-        : length(bytes), last(stop_after), wait(pause)
+        : length(bytes), last(stop_after), byte_interval(pause)
     {
         running.on_loop(
             [this]
@@ -52,26 +53,26 @@
     void begin(coursejunction::stream_reply reply)
     {
         if (last == 0)
-            return silent.push_back(std::move(reply));
+            return unanswered.push_back(std::move(reply));
         reply.begin(200, {});
         const auto sent = std::make_shared<int>(0);
-        drips.push_back(running.loop.every(wait,
-                                           [this, reply, sent]() mutable
-                                           {
-                                               if (*sent >= last)
-                                                   return;
-                                               reply.write("x");
-                                               if (++*sent == length)
-                                                   reply.finish();
-                                           }));
+        timers.push_back(running.loop.every(byte_interval,
+                                            [this, reply, sent]() mutable
+                                            {
+                                                if (*sent >= last)
+                                                    return;
+                                                reply.write("x");
+                                                if (++*sent == length)
+                                                    reply.finish();
+                                            }));
     }
 
     int length;
     int last;
-    std::chrono::milliseconds wait;
+    std::chrono::milliseconds byte_interval;
     running_loop running;
-    std::vector<coursejunction::timer> drips;
-    std::vector<coursejunction::stream_reply> silent;
+    std::vector<coursejunction::timer> timers;
+    std::vector<coursejunction::stream_reply> unanswered;
     std::unique_ptr<coursejunction::stream_server> server;
 };
 
--- a/tests/net/header_list.cpp
+++ b/tests/net/header_list.cpp
@@ -4,14 +4,14 @@
 
 namespace cj = coursejunction;
 
-SCENARIO("header fields keep their order and number", "[net]")
+SCENARIO("header fields keep their order and duplicates", "[net]")
 {
     cj::header_list list;
     list.push_back("X-A", "1");
     list.push_back("x-b", "2");
     list.push_back("X-A", "3");
 
-    THEN("names are found without case, the first one first")
+    THEN("names are found regardless of case, and the first value is returned")
     {
         CHECK(list.find("x-a") == "1");
         CHECK(list.contains("X-B"));
@@ -21,12 +21,12 @@
     WHEN("a name is assigned")
     {
         list.assign("x-A", "4");
-        THEN("it stands once")
+        THEN("it occurs once")
         {
             CHECK(list.size() == 2);
         }
     }
-    GIVEN("fields of a single connection")
+    GIVEN("hop-by-hop fields")
     {
         list.push_back("Connection", "close, X-B");
         list.push_back("Transfer-Encoding", "chunked");
@@ -35,7 +35,7 @@
         WHEN("they are erased")
         {
             list.erase_connection_fields();
-            THEN("those that Connection lists go with them")
+            THEN("fields listed by Connection are erased too")
             {
                 CHECK(list.size() == 2);
                 CHECK_FALSE(list.contains("X-B"));
--- a/tests/net/http_client.cpp
+++ b/tests/net/http_client.cpp
@@ -14,60 +14,60 @@
 namespace
 {
 
-cj::http_result call(const std::string& address, cj::http_call one)
+cj::http_result call(const std::string& address, cj::http_call request)
 {
     loopback::running_loop running;
     std::unique_ptr<cj::http_client> client;
-    cj::http_result told;
+    cj::http_result outcome;
     std::atomic<bool> done{false};
-    one.url = "http://" + address + "/";
+    request.url = "http://" + address + "/";
     running.on_loop(
         [&]
         {
             client = std::make_unique<cj::http_client>(running.loop);
-            client->start(std::move(one),
-                          [&](cj::http_result answer)
+            client->start(std::move(request),
+                          [&](cj::http_result result)
                           {
-                              told = std::move(answer);
+                              outcome = std::move(result);
                               done = true;
                               done.notify_all();
                           });
         });
     done.wait(false);
     running.stop();
-    return told;
+    return outcome;
 }
 
 } // namespace
 
-SCENARIO("a limit on progress lets a long answer end", "[net]")
+SCENARIO("an HTTP client ends stalled calls but not slow ones", "[net]")
 {
-    cj::http_call one;
-    one.answer_time = 1500ms;
-    one.stall_time = 1500ms;
+    cj::http_call request;
+    request.answer_time = 1500ms;
+    request.stall_time = 1500ms;
 
-    GIVEN("an answer that takes twice the limit, and moves all the while")
+    GIVEN("a response that takes twice the limit but never stalls")
     {
         const loopback::dripping_server server(15, 200ms, 15);
-        const auto told = call(server.address(), one);
-        CHECK(told.ok());
-        CHECK(told.body.size() == 15);
-        CHECK(told.received == 15);
-        CHECK(told.connect_time > 0us);
+        const auto outcome = call(server.address(), request);
+        CHECK(outcome.ok());
+        CHECK(outcome.body.size() == 15);
+        CHECK(outcome.received == 15);
+        CHECK(outcome.connect_time > 0us);
     }
-    GIVEN("an answer that stops on its way")
+    GIVEN("a response that stalls after three bytes")
     {
         const loopback::dripping_server server(15, 20ms, 3);
-        const auto told = call(server.address(), one);
-        CHECK(told.reach == cj::http_reach::interrupted);
-        CHECK(told.received == 3);
+        const auto outcome = call(server.address(), request);
+        CHECK(outcome.reach == cj::http_reach::interrupted);
+        CHECK(outcome.received == 3);
     }
-    GIVEN("a server that says nothing")
+    GIVEN("a server that sends nothing")
     {
         const loopback::dripping_server server(15, 20ms, 0);
-        one.answer_time = 300ms;
-        const auto told = call(server.address(), one);
-        CHECK(told.reach == cj::http_reach::interrupted);
-        CHECK(told.received == 0);
+        request.answer_time = 300ms;
+        const auto outcome = call(server.address(), request);
+        CHECK(outcome.reach == cj::http_reach::interrupted);
+        CHECK(outcome.received == 0);
     }
 }
--- a/tests/net/http_server.cpp
+++ b/tests/net/http_server.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-/*! @brief A plain connection to a port on loopback. */
+/*! @brief A blocking TCP connection to a port of 127.0.0.1. */
 class raw_connection
 {
 public:
@@ -47,7 +47,7 @@
         static_cast<void>(done);
     }
 
-    /*! @brief Reads until the other end closes. */
+    /*! @brief Reads until the peer closes. */
     std::string drain() const
     {
         std::string all;
@@ -80,12 +80,12 @@
 
 } // namespace
 
-SCENARIO("an HTTP server answers from any thread", "[net]")
+SCENARIO("an HTTP server accepts responses from any thread", "[net]")
 {
-    GIVEN("a server with a short limit for request heads")
+    GIVEN("a server with a short time limit for requests")
     {
-        // Half of what an answer takes; a busy machine holds a thread up for
-        // some hundred ms between connecting and sending.
+        // Less than half the duration of a response (2500 ms). On a busy
+        // machine a few hundred ms can pass between connecting and sending.
         cj::http_options options;
         options.head_limit = 1000ms;
         std::vector<std::thread> threads;
@@ -114,41 +114,41 @@
                                     });
                             });
 
-        WHEN("an answer takes longer than that limit")
+        WHEN("a response takes longer than that limit")
         {
             const auto end = cj::perform({"GET", url(*server) + "/whole"});
-            THEN("it still comes whole")
+            THEN("it is still received completely")
             {
                 CAPTURE(end.fault);
                 CHECK(end.status == 200);
                 CHECK(end.body == "late");
             }
         }
-        WHEN("a streamed answer takes longer than that limit")
+        WHEN("a streamed response takes longer than that limit")
         {
             const auto end = cj::perform({"GET", url(*server) + "/stream"});
-            THEN("it still comes whole")
+            THEN("it is still received completely")
             {
                 CHECK(end.reach == cj::http_reach::answered);
                 CHECK(end.body == std::string(25, 'x'));
             }
         }
-        WHEN("a streamed answer is cut")
+        WHEN("a streamed response is aborted")
         {
             const auto end = cj::perform({"GET", url(*server) + "/cut"});
-            THEN("the caller sees that it is broken")
+            THEN("the client sees that it is incomplete")
             {
                 CHECK(end.reach == cj::http_reach::interrupted);
             }
         }
-        WHEN("a caller sends half a head and then nothing")
+        WHEN("a client sends half a head and then nothing")
         {
             const raw_connection slow(server->port());
             REQUIRE(slow.connected);
             slow.send("GET /whole HTTP/1.1\r\nHost: x\r\nX-Half");
             THEN("the server closes the connection")
             {
-                // Returns only when the server has closed.
+                // Returns only after the server has closed the connection.
                 const auto answer = slow.drain();
                 CHECK(answer.find("200 OK") == std::string::npos);
             }
@@ -157,7 +157,7 @@
             one.join();
     }
 
-    GIVEN("a server with a small limit for whole requests")
+    GIVEN("a server with a small limit on request size")
     {
         cj::http_options options;
         options.max_request_bytes = 4096;
@@ -174,35 +174,35 @@
             cj::http_call call{"POST", url(*server) + "/"};
             call.body = std::string(100'000, 'a');
             const auto end = cj::perform(call);
-            THEN("it is refused and the server goes on")
+            THEN("it is rejected and the server still works")
             {
                 CHECK_FALSE(end.ok());
                 CHECK(handled == 0);
                 CHECK(cj::perform({"GET", url(*server) + "/"}).ok());
             }
         }
-        WHEN("a head is nonsense")
+        WHEN("a head is not HTTP")
         {
-            const raw_connection hostile(server->port());
-            hostile.send(std::string(3000, '\x01') + "\r\n\r\n");
-            THEN("the server goes on")
+            const raw_connection invalid(server->port());
+            invalid.send(std::string(3000, '\x01') + "\r\n\r\n");
+            THEN("the server still works")
             {
                 CHECK(cj::perform({"GET", url(*server) + "/"}).ok());
             }
         }
     }
 
-    GIVEN("callers that leave just before their answers")
+    GIVEN("clients that disconnect just before their responses")
     {
         std::mutex mutex;
         std::vector<std::pair<std::string, std::shared_ptr<cj::http_reply>>>
-            open;
+            open_replies;
         auto server = serve({},
                             [&](const cj::http_request& request,
                                 const std::shared_ptr<cj::http_reply>& reply)
                             {
                                 const std::lock_guard guard(mutex);
-                                open.emplace_back(request.path, reply);
+                                open_replies.emplace_back(request.path, reply);
                             });
         const auto wait_for_open = [&](std::size_t count)
         {
@@ -210,29 +210,29 @@
             {
                 {
                     const std::lock_guard guard(mutex);
-                    if (open.size() >= count)
+                    if (open_replies.size() >= count)
                         return;
                 }
                 std::this_thread::sleep_for(1ms);
             }
         };
-        constexpr int leavers = 100;
-        for (int at = 0; at < leavers; ++at)
+        constexpr int disconnecting_clients = 100;
+        for (int at = 0; at < disconnecting_clients; ++at)
         {
-            const raw_connection gone(server->port());
-            gone.send("GET /gone HTTP/1.1\r\nHost: x\r\n\r\n");
+            const raw_connection disconnecting(server->port());
+            disconnecting.send("GET /gone HTTP/1.1\r\nHost: x\r\n\r\n");
             wait_for_open(static_cast<std::size_t>(at) + 1);
         }
-        std::thread stayer(
+        std::thread responder(
             [&]
             {
-                wait_for_open(leavers + 1);
-                for (auto& [path, reply] : open)
+                wait_for_open(disconnecting_clients + 1);
+                for (auto& [path, reply] : open_replies)
                     reply->send(200, "text/plain", {}, path);
             });
         const auto end = cj::perform({"GET", url(*server) + "/mine"});
-        stayer.join();
-        THEN("a caller that stays gets its own answer")
+        responder.join();
+        THEN("a client that stays gets its own response")
         {
             CHECK(end.body == "/mine");
         }
--- a/tests/net/internal/answer_text.cpp
+++ b/tests/net/internal/answer_text.cpp
@@ -6,7 +6,7 @@
 namespace ci = coursejunction::internal;
 namespace http = boost::beast::http;
 
-SCENARIO("an answer's head says how its body ends", "[net]")
+SCENARIO("a response head declares how its body ends", "[net]")
 {
     coursejunction::header_list headers;
     headers.push_back("X-Name", "a b");
@@ -20,20 +20,20 @@
     {
         CHECK(ci::answer_head(200, {}, 11, std::nullopt, false) ==
               "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        THEN("a caller of the old version sees its end by the close")
+        THEN("an HTTP/1.0 response ends when the connection closes")
         {
             CHECK(ci::answer_head(200, {}, 10, std::nullopt, true) ==
                   "HTTP/1.0 200 OK\r\nConnection: close\r\n\r\n");
         }
     }
-    GIVEN("a part of a body")
+    GIVEN("a chunk of a body")
     {
         CHECK(ci::chunk_text("0123456789abcdef") ==
               "10\r\n0123456789abcdef\r\n");
     }
 }
 
-SCENARIO("what cannot be read is refused by its fault", "[net]")
+SCENARIO("a parse error selects the response status", "[net]")
 {
     CHECK(ci::refusal_status(http::error::header_limit) == 431);
     CHECK(ci::refusal_status(http::error::body_limit) == 413);
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief A raw connection and a running loop, for socket tests.
+ * @brief Helpers for socket tests: raw connections, scripted peers and a
+ * running event loop.
  */
 #ifndef COURSEJUNCTION_TESTS_NET_LOOPBACK_HPP
 #define COURSEJUNCTION_TESTS_NET_LOOPBACK_HPP
@@ -25,8 +26,9 @@
 namespace loopback
 {
 
-/*! @brief Returns an address of this process's own: any of 127.0.0.0/8 can be
- * bound, and several checkouts may run their tests at once. */
+/*! @brief Returns a loopback address that is unique to this process, because
+ * several checkouts may run their tests on one machine at once. Any address of
+ * 127.0.0.0/8 can be bound. */
 inline std::string own_address(int number)
 {
     const auto run = ::getpid();
@@ -34,7 +36,8 @@
            std::to_string(run % 250) + "." + std::to_string(number);
 }
 
-/*! @brief A plain connection to a port on loopback. */
+/*! @brief A blocking TCP connection to a port of 127.0.0.1, with a read timeout
+ * of 10 s. */
 class raw_connection
 {
 public:
@@ -45,8 +48,8 @@
         to.sin_family = AF_INET;
         to.sin_port = htons(port);
         to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        const timeval patience{10, 0};
-        ::setsockopt(file, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+        const timeval timeout{10, 0};
+        ::setsockopt(file, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
         open = ::connect(file, reinterpret_cast<const sockaddr*>(&to),
                          sizeof(to)) == 0;
     }
@@ -62,42 +65,44 @@
         static_cast<void>(done);
     }
 
-    /*! @brief Reads until a text came or the other end closes. */
+    /*! @brief Reads until a text was received or the peer closes.
+     * @return All bytes received so far. */
     [[nodiscard]] std::string until(const std::string& text)
     {
-        while (taken.find(text) == std::string::npos && more())
+        while (received.find(text) == std::string::npos && read_more())
         {
         }
-        return taken;
+        return received;
     }
 
-    /*! @brief Reads until the other end closes. */
+    /*! @brief Reads until the peer closes.
+     * @return All bytes received so far. */
     [[nodiscard]] std::string drain()
     {
-        while (more())
+        while (read_more())
         {
         }
-        return taken;
+        return received;
     }
 
     bool open{false};
 
 private:
-    bool more()
+    bool read_more()
     {
         char part[4096];
         const auto count = ::recv(file, part, sizeof(part), 0);
         if (count <= 0)
             return false;
-        taken.append(part, static_cast<std::size_t>(count));
+        received.append(part, static_cast<std::size_t>(count));
         return true;
     }
 
     int file;
-    std::string taken;
+    std::string received;
 };
 
-/*! @brief A port of 127.0.0.1 that listens. */
+/*! @brief A listening socket on a free port of 127.0.0.1. */
 struct listening_port
 {
     listening_port() : file(::socket(AF_INET, SOCK_STREAM, 0))
@@ -113,21 +118,21 @@
         address = "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
     }
 
-    int file; /*!< Closed by whoever accepts on it. */
+    int file; /*!< Closed by the object that accepts on it. */
     std::string address;
 };
 
-/*! @brief Accepts connections and answers each with the next given bytes, the
- * last ones for all further. */
+/*! @brief Accepts connections and sends each the next of the given responses;
+ * the last one is repeated. */
 class scripted_peer
 {
 public:
-    /*! @brief Given in place of bytes: holds the connection until the other
-     * end closes it. */
+    /*! @brief In place of a response: sends nothing and keeps the connection
+     * open until the client closes it. */
     static constexpr const char* hang = "hang";
 
-    explicit scripted_peer(std::vector<std::string> given)
-        : scripted_peer(std::move(given), listening_port())
+    explicit scripted_peer(std::vector<std::string> responses_in_order)
+        : scripted_peer(std::move(responses_in_order), listening_port())
     {
     }
 
@@ -141,7 +146,7 @@
     scripted_peer(const scripted_peer&) = delete;
     scripted_peer& operator=(const scripted_peer&) = delete;
 
-    /*! @brief Returns what each connection sent first. */
+    /*! @brief Returns the first bytes received on each connection. */
     std::vector<std::string> arrivals()
     {
         const std::lock_guard guard(mutex);
@@ -150,35 +155,37 @@
 
     std::string address;
     std::atomic<bool> closed_by_caller{false};
-    std::atomic<bool> reset_by_caller{false}; /*!< Set before the other. */
+    std::atomic<bool> reset_by_caller{
+        false}; /*!< Set before `closed_by_caller`. */
 
 private:
-    scripted_peer(std::vector<std::string> given, const listening_port& port)
-        : address(port.address), answers(std::move(given)), file(port.file)
+    scripted_peer(std::vector<std::string> responses_in_order,
+                  const listening_port& port)
+        : address(port.address), answers(std::move(responses_in_order)),
+          file(port.file)
     {
         thread = std::thread([this] { run(); });
     }
 
     void run()
     {
-        for (std::size_t turn = 0; !answers.empty();)
+        for (std::size_t next = 0; !answers.empty();)
         {
             const int caller = ::accept(file, nullptr, nullptr);
             if (caller < 0)
                 return;
-            if (note(caller))
+            if (record_request(caller))
             {
-                answer(caller, answers[std::min(turn, answers.size() - 1)]);
-                ++turn;
+                answer(caller, answers[std::min(next, answers.size() - 1)]);
+                ++next;
             }
             ::close(caller);
         }
     }
 
-    /*! @brief Notes what a connection sent first.
-     * @return Whether anything came: one that only looks whether somebody
-     * listens carries no request. */
-    bool note(int caller)
+    /*! @brief Records the first bytes of a connection.
+     * @return Whether any were received: a probe closes without sending. */
+    bool record_request(int caller)
     {
         char part[8192];
         const auto count = ::recv(caller, part, sizeof part, 0);
@@ -211,7 +218,7 @@
     std::thread thread;
 };
 
-/*! @brief Runs a loop on a thread of its own while it lives. */
+/*! @brief Runs an event loop on its own thread until `stop` or destruction. */
 class running_loop
 {
 public:
@@ -221,7 +228,8 @@
 
     ~running_loop() { stop(); }
 
-    /*! @brief Ends the loop's thread; what was made on it may then go. */
+    /*! @brief Ends the loop's thread; objects that use the loop can then be
+     * destroyed. */
     void stop()
     {
         loop.stop();
@@ -229,7 +237,7 @@
             thread.join();
     }
 
-    /*! @brief Runs work on the loop's thread and waits for it. */
+    /*! @brief Runs work on the loop's thread and waits until it is done. */
     template <typename Work>
     void on_loop(Work work)
     {
--- a/tests/net/pacing_peer.hpp
+++ b/tests/net/pacing_peer.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief An upstream that streams events at a steady pace.
+ * @brief Test server that streams events at a fixed interval.
  */
 #ifndef COURSEJUNCTION_TESTS_NET_PACING_PEER_HPP
 #define COURSEJUNCTION_TESTS_NET_PACING_PEER_HPP
@@ -17,12 +17,12 @@
 namespace loopback
 {
 
-/*! @brief Answers one request by numbered events. */
+/*! @brief Answers one request with a stream of numbered events. */
 class pacing_peer
 {
 public:
-    pacing_peer(int events, std::chrono::milliseconds between)
-        : pacing_peer(events, between, listening_port())
+    pacing_peer(int events, std::chrono::milliseconds interval)
+        : pacing_peer(events, interval, listening_port())
     {
     }
 
@@ -39,9 +39,10 @@
     std::string address;
 
 private:
-    pacing_peer(int events, std::chrono::milliseconds between,
+    pacing_peer(int events, std::chrono::milliseconds interval,
                 const listening_port& port)
-        : address(port.address), count(events), pause(between), file(port.file)
+        : address(port.address), count(events), event_interval(interval),
+          file(port.file)
     {
         thread = std::thread([this] { run(); });
     }
@@ -53,32 +54,32 @@
             return;
         char part[8192];
         static_cast<void>(::recv(caller, part, sizeof part, 0));
-        give(caller, "HTTP/1.1 200 OK\r\nId: 7\r\n"
-                     "Transfer-Encoding: chunked\r\n\r\n");
+        send_bytes(caller, "HTTP/1.1 200 OK\r\nId: 7\r\n"
+                           "Transfer-Encoding: chunked\r\n\r\n");
         for (int at = 1; at <= count; ++at)
         {
-            std::this_thread::sleep_for(pause);
-            give_chunk(caller, "id: " + std::to_string(at) + "\ndata: x\n\n");
+            std::this_thread::sleep_for(event_interval);
+            send_chunk(caller, "id: " + std::to_string(at) + "\ndata: x\n\n");
         }
-        give(caller, "0\r\n\r\n");
+        send_bytes(caller, "0\r\n\r\n");
         ::close(caller);
     }
 
-    static void give_chunk(int caller, const std::string& event)
+    static void send_chunk(int caller, const std::string& event)
     {
         char size[32];
         std::snprintf(size, sizeof size, "%zx\r\n", event.size());
-        give(caller, size + event + "\r\n");
+        send_bytes(caller, size + event + "\r\n");
     }
 
-    static void give(int caller, const std::string& bytes)
+    static void send_bytes(int caller, const std::string& bytes)
     {
         static_cast<void>(
             ::send(caller, bytes.data(), bytes.size(), MSG_NOSIGNAL));
     }
 
     int count;
-    std::chrono::milliseconds pause;
+    std::chrono::milliseconds event_interval;
     int file;
     std::thread thread;
 };
--- a/tests/net/stream_client.cpp
+++ b/tests/net/stream_client.cpp
@@ -22,38 +22,38 @@
 {
     loopback::running_loop running;
     std::unique_ptr<cj::stream_client> client;
-    std::optional<cj::stream_client::answer> told;
+    std::optional<cj::stream_client::answer> outcome;
     std::atomic<bool> done{false};
     running.on_loop(
         [&]
         {
             client = std::make_unique<cj::stream_client>(running.loop);
-            cj::stream_call one;
-            one.address = address;
-            one.target = "/";
-            one.timeout = 5000ms;
-            one.connect_time = 3000ms;
-            one.repeatable = repeatable;
-            one.stall_time = stall_time;
-            client->gather(std::move(one),
+            cj::stream_call request;
+            request.address = address;
+            request.target = "/";
+            request.timeout = 5000ms;
+            request.connect_time = 3000ms;
+            request.repeatable = repeatable;
+            request.stall_time = stall_time;
+            client->gather(std::move(request),
                            [&](cj::stream_client::answer answer)
                            {
-                               told = std::move(answer);
+                               outcome = std::move(answer);
                                done = true;
                                done.notify_all();
                            });
         });
     done.wait(false);
     running.on_loop([&] { client.reset(); });
-    return *told;
+    return *outcome;
 }
 
 } // namespace
 
-SCENARIO("a call tells how far it got", "[net]")
+SCENARIO("a call reports how far it got", "[net]")
 {
     using cj::stream_end;
-    SECTION("a whole answer with a length")
+    SECTION("a complete response with a length")
     {
         scripted_peer peer(
             {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokmore"});
@@ -61,35 +61,35 @@
         CHECK(answer.end == stream_end::whole);
         CHECK(answer.body == "ok");
     }
-    SECTION("an answer without a length ends with its connection")
+    SECTION("a response without a length ends when its connection closes")
     {
         scripted_peer peer({"HTTP/1.1 200 OK\r\n\r\nall of it"});
         const auto answer = call(peer.address);
         CHECK(answer.end == stream_end::whole);
         CHECK(answer.body == "all of it");
     }
-    SECTION("an answer that ends early is told as closed by the peer")
+    SECTION("a response shorter than its length is reported as closed")
     {
         scripted_peer peer({"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"});
         CHECK(call(peer.address).end == stream_end::closed);
     }
-    SECTION("chunks without their end are told as closed by the peer")
+    SECTION("a chunked response without its last chunk is reported as closed")
     {
         scripted_peer peer({"HTTP/1.1 200 OK\r\n"
                             "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"});
         CHECK(call(peer.address).end == stream_end::closed);
     }
-    SECTION("bytes that are no answer")
+    SECTION("bytes that are not HTTP are reported as malformed")
     {
         scripted_peer peer({"nonsense\r\n\r\n"});
         CHECK(call(peer.address).end == stream_end::malformed);
     }
-    SECTION("silence and an end")
+    SECTION("a connection closed without a response is reported as closed")
     {
         scripted_peer peer({""});
         CHECK(call(peer.address).end == stream_end::closed);
     }
-    SECTION("nobody listens: nothing was sent")
+    SECTION("a refused connection is reported as not sent")
     {
         std::string address;
         {
@@ -100,13 +100,14 @@
     }
 }
 
-SCENARIO("a kept connection that is dead costs no failure", "[net]")
+SCENARIO("a call on a dead idle connection is resent on a new one", "[net]")
 {
-    const std::string kept = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    scripted_peer peer({kept, kept});
+    const std::string response =
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    scripted_peer peer({response, response});
     loopback::running_loop running;
     std::unique_ptr<cj::stream_client> client;
-    std::atomic<int> good{0};
+    std::atomic<int> successes{0};
     const auto ask = [&](int number)
     {
         running.on_loop(
@@ -114,27 +115,27 @@
             {
                 if (!client)
                     client = std::make_unique<cj::stream_client>(running.loop);
-                cj::stream_call one;
-                one.address = peer.address;
-                one.target = "/";
-                one.repeatable = true;
-                one.connect_time = 3000ms;
-                client->gather(std::move(one),
+                cj::stream_call request;
+                request.address = peer.address;
+                request.target = "/";
+                request.repeatable = true;
+                request.connect_time = 3000ms;
+                client->gather(std::move(request),
                                [&](const cj::stream_client::answer& answer)
                                {
-                                   good += answer.is(200) ? 1 : 100;
-                                   good.notify_all();
+                                   successes += answer.is(200) ? 1 : 100;
+                                   successes.notify_all();
                                });
             });
-        good.wait(number - 1);
+        successes.wait(number - 1);
     };
     ask(1);
     ask(2);
-    CHECK(good == 2);
+    CHECK(successes == 2);
     running.on_loop([&] { client.reset(); });
 }
 
-SCENARIO("a call that is given up resets its connection", "[net]")
+SCENARIO("an abandoned call resets its connection", "[net]")
 {
     scripted_peer peer({scripted_peer::hang});
     loopback::running_loop running;
@@ -146,23 +147,23 @@
             [&]
             {
                 client = std::make_unique<cj::stream_client>(running.loop);
-                cj::stream_call one;
-                one.address = peer.address;
-                one.target = "/";
-                one.timeout = limit;
-                one.connect_time = 3000ms;
-                id = client->gather(std::move(one),
+                cj::stream_call request;
+                request.address = peer.address;
+                request.target = "/";
+                request.timeout = limit;
+                request.connect_time = 3000ms;
+                id = client->gather(std::move(request),
                                     [](const cj::stream_client::answer&) {});
             });
         while (peer.arrivals().empty())
             std::this_thread::sleep_for(1ms);
     };
-    SECTION("when its owner cancels it")
+    SECTION("when it is cancelled")
     {
         ask(10'000ms);
         running.on_loop([&] { client->cancel(id); });
     }
-    SECTION("when its time is over")
+    SECTION("when it times out")
     {
         ask(500ms);
     }
@@ -171,38 +172,38 @@
     running.on_loop([&] { client.reset(); });
 }
 
-SCENARIO("a call goes on for as long as its answer moves", "[net]")
+SCENARIO("a stream client ends stalled calls but not slow ones", "[net]")
 {
     constexpr auto stall_time = 1500ms;
-    GIVEN("an answer that takes twice the limit, and moves all the while")
+    GIVEN("a response that takes twice the limit but never stalls")
     {
         const loopback::dripping_server server(15, 200ms, 15);
-        const auto told = call(server.address(), false, stall_time);
-        CHECK(told.is(200));
-        CHECK(told.body.size() == 15);
+        const auto outcome = call(server.address(), false, stall_time);
+        CHECK(outcome.is(200));
+        CHECK(outcome.body.size() == 15);
     }
-    GIVEN("an answer that stops on its way")
+    GIVEN("a response that stalls after three bytes")
     {
         const loopback::dripping_server server(15, 20ms, 3);
-        const auto told = call(server.address(), false, stall_time);
-        CHECK(told.end == cj::stream_end::broken);
-        CHECK(told.why == "call made no progress");
+        const auto outcome = call(server.address(), false, stall_time);
+        CHECK(outcome.end == cj::stream_end::broken);
+        CHECK(outcome.why == "call made no progress");
     }
-    GIVEN("a server that says nothing")
+    GIVEN("a server that sends nothing")
     {
         const loopback::dripping_server server(15, 20ms, 0);
-        const auto told = call(server.address(), false, 300ms);
-        CHECK(told.end == cj::stream_end::broken);
+        const auto outcome = call(server.address(), false, 300ms);
+        CHECK(outcome.end == cj::stream_end::broken);
     }
 }
 
-SCENARIO("a probe tells whether anybody listens", "[net]")
+SCENARIO("a probe reports whether a connection is refused", "[net]")
 {
     const auto refused = [](const std::string& address)
     {
         loopback::running_loop running;
         std::unique_ptr<cj::stream_client> client;
-        std::atomic<int> told{-1};
+        std::atomic<int> outcome{-1};
         running.on_loop(
             [&]
             {
@@ -210,22 +211,22 @@
                 client->probe(address,
                               [&](bool is)
                               {
-                                  told = is ? 1 : 0;
-                                  told.notify_all();
+                                  outcome = is ? 1 : 0;
+                                  outcome.notify_all();
                               });
             });
-        told.wait(-1);
+        outcome.wait(-1);
         running.on_loop([&] { client.reset(); });
-        return told == 1;
+        return outcome == 1;
     };
 
-    SECTION("somebody does")
+    SECTION("a process listens on the port")
     {
         scripted_peer peer({"x"});
         CHECK_FALSE(refused(peer.address));
         CHECK(peer.arrivals().empty());
     }
-    SECTION("nobody does any more")
+    SECTION("no process listens any more")
     {
         std::string address;
         {
--- a/tests/net/stream_server.cpp
+++ b/tests/net/stream_server.cpp
@@ -15,11 +15,12 @@
 namespace
 {
 
-/*! @brief A server that notes requests and answers as told. */
-struct served
+/*! @brief A running server that records its requests and echoes their bodies,
+ * unless a handler is given. */
+struct recording_server
 {
-    explicit served(cj::stream_limits limits = {},
-                    cj::stream_server::handler with = {})
+    explicit recording_server(cj::stream_limits limits = {},
+                              cj::stream_server::handler with = {})
     {
         if (!with)
             with = [this](cj::stream_request request, cj::stream_reply reply)
@@ -41,7 +42,7 @@
             });
     }
 
-    ~served()
+    ~recording_server()
     {
         running.on_loop([&] { server.reset(); });
         running.stop();
@@ -67,23 +68,23 @@
 
 } // namespace
 
-SCENARIO("a request is handed on as it came", "[net]")
+SCENARIO("a request reaches the handler as it was sent", "[net]")
 {
-    served here;
-    raw_connection caller(here.port);
+    recording_server fixture;
+    raw_connection caller(fixture.port);
 
-    GIVEN("an odd query and repeated headers")
+    GIVEN("repeated query parameters and repeated headers")
     {
         caller.send(request("GET /a?b=2&a=1&b=3&c HTTP/1.1\r\nHost: h\r\n"
                             "X-B: 1\r\nX-A: 2\r\nX-B: 3\r\n"
                             "Content-Type: foo"));
         REQUIRE(caller.until("\r\n\r\n").starts_with("HTTP/1.1 200"));
-        const auto all = here.requests();
+        const auto all = fixture.requests();
         REQUIRE(all.size() == 1);
         CHECK(all[0].target == "/a?b=2&a=1&b=3&c");
         CHECK(all[0].headers.size() == 5);
     }
-    GIVEN("two requests in one segment")
+    GIVEN("two pipelined requests")
     {
         caller.send(request("POST /1 HTTP/1.1\r\nHost: h\r\n"
                             "Content-Length: 3",
@@ -98,7 +99,7 @@
             CHECK(text.find("two") != std::string::npos);
         }
     }
-    GIVEN("a body in chunks with an extension and a trailer")
+    GIVEN("a chunked body with a chunk extension and a trailer")
     {
         caller.send(request("POST /1 HTTP/1.1\r\nHost: h\r\n"
                             "Connection: close\r\n"
@@ -108,49 +109,51 @@
     }
 }
 
-SCENARIO("input that could smuggle a request is refused", "[net]")
+SCENARIO("input that allows request smuggling is rejected", "[net]")
 {
-    served here;
-    raw_connection caller(here.port);
-    const auto refused = [&](const std::string& lines, const std::string& body)
+    recording_server fixture;
+    raw_connection caller(fixture.port);
+    const auto check_rejected =
+        [&](const std::string& lines, const std::string& body)
     {
         caller.send(request(lines, body));
         const auto text = caller.drain();
         CHECK(text.starts_with("HTTP/1.1 400"));
         CHECK(text.find("close") != std::string::npos);
-        CHECK(here.requests().empty());
+        CHECK(fixture.requests().empty());
     };
 
-    SECTION("two lengths that differ")
+    SECTION("two different Content-Length values")
     {
-        refused("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
-                "Content-Length: 5",
-                "abcde");
+        check_rejected("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
+                       "Content-Length: 5",
+                       "abcde");
     }
-    SECTION("a length beside chunks")
+    SECTION("Content-Length together with Transfer-Encoding")
     {
-        refused("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
-                "Transfer-Encoding: chunked",
-                "0\r\n\r\n");
+        check_rejected("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
+                       "Transfer-Encoding: chunked",
+                       "0\r\n\r\n");
     }
-    SECTION("a blank before the colon")
+    SECTION("a space before the colon of a header")
     {
-        refused("POST / HTTP/1.1\r\nHost: h\r\nContent-Length : 4", "abcd");
+        check_rejected("POST / HTTP/1.1\r\nHost: h\r\nContent-Length : 4",
+                       "abcd");
     }
-    SECTION("a length below zero")
+    SECTION("a negative Content-Length")
     {
-        refused("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: -1", "");
+        check_rejected("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: -1", "");
     }
 }
 
-SCENARIO("a caller's limits end what is too large or too slow", "[net]")
+SCENARIO("requests above the size and time limits are rejected", "[net]")
 {
     cj::stream_limits limits;
     limits.head_bytes = 512;
     limits.body_bytes = 64;
     limits.head_time = 50ms;
-    served here(limits);
-    raw_connection caller(here.port);
+    recording_server fixture(limits);
+    raw_connection caller(fixture.port);
 
     SECTION("a large head gets 431")
     {
@@ -165,100 +168,105 @@
                             std::string(100, 'a')));
         CHECK(caller.drain().starts_with("HTTP/1.1 413"));
     }
-    SECTION("a head that does not come gets 408")
+    SECTION("an incomplete head gets 408 after the time limit")
     {
         caller.send("GET / HTTP/1.1\r\n");
         CHECK(caller.drain().starts_with("HTTP/1.1 408"));
     }
 }
 
-SCENARIO("answers are streamed, cut visibly, and dropped when the caller left",
-         "[net]")
+SCENARIO(
+    "a streamed response can be finished, aborted, or abandoned by the client",
+    "[net]")
 {
-    std::atomic<bool> left{false};
+    std::atomic<bool> disconnected{false};
     std::mutex mutex;
-    std::vector<cj::stream_reply> held;
-    served here({},
-                [&](const cj::stream_request& from, cj::stream_reply reply)
+    std::vector<cj::stream_reply> open_replies;
+    recording_server fixture(
+        {},
+        [&](const cj::stream_request& from, cj::stream_reply reply)
+        {
+            reply.on_left(
+                [&]
                 {
-                    reply.on_left(
-                        [&]
-                        {
-                            left = true;
-                            left.notify_all();
-                        });
-                    reply.begin(200, {});
-                    reply.write("part");
-                    if (from.target == "/whole")
-                        reply.finish();
-                    if (from.target == "/cut")
-                        reply.cut();
-                    const std::lock_guard guard(mutex);
-                    held.push_back(std::move(reply));
+                    disconnected = true;
+                    disconnected.notify_all();
                 });
+            reply.begin(200, {});
+            reply.write("part");
+            if (from.target == "/whole")
+                reply.finish();
+            if (from.target == "/cut")
+                reply.cut();
+            const std::lock_guard guard(mutex);
+            open_replies.push_back(std::move(reply));
+        });
 
-    SECTION("a whole answer ends with the last chunk")
+    SECTION("a finished response ends with the last chunk")
     {
-        raw_connection caller(here.port);
+        raw_connection caller(fixture.port);
         caller.send(request("GET /whole HTTP/1.1\r\nHost: h"));
         CHECK(caller.until("0\r\n\r\n").ends_with("0\r\n\r\n"));
     }
-    SECTION("a cut answer does not")
+    SECTION("an aborted response lacks the last chunk")
     {
-        raw_connection caller(here.port);
+        raw_connection caller(fixture.port);
         caller.send(request("GET /cut HTTP/1.1\r\nHost: h"));
         CHECK(caller.drain().ends_with("part\r\n"));
     }
-    SECTION("a caller that leaves is noticed")
+    SECTION("a client that disconnects is reported")
     {
         {
-            raw_connection caller(here.port);
+            raw_connection caller(fixture.port);
             caller.send(request("GET /wait HTTP/1.1\r\nHost: h"));
             static_cast<void>(caller.until("part"));
         }
-        left.wait(false);
-        CHECK(left);
+        disconnected.wait(false);
+        CHECK(disconnected);
     }
 }
 
-SCENARIO("a server that retires asks callers to close", "[net]")
+SCENARIO("a retiring server announces the close and closes idle connections",
+         "[net]")
 {
-    served here;
-    raw_connection idle(here.port);
-    raw_connection busy(here.port);
+    recording_server fixture;
+    raw_connection idle(fixture.port);
+    raw_connection busy(fixture.port);
     busy.send(request("GET /1 HTTP/1.1\r\nHost: h"));
     static_cast<void>(busy.until("\r\n\r\n"));
-    here.running.on_loop([&] { here.server->retire(); });
+    fixture.running.on_loop([&] { fixture.server->retire(); });
     busy.send(request("GET /2 HTTP/1.1\r\nHost: h"));
     CHECK(busy.drain().find("Connection: close") != std::string::npos);
-    here.running.on_loop([&] { here.server->close_idle(); });
+    fixture.running.on_loop([&] { fixture.server->close_idle(); });
     CHECK(idle.drain().empty());
 }
 
-SCENARIO("an answer that began before a server retires keeps its word", "[net]")
+SCENARIO("a response that began before retire keeps its connection open",
+         "[net]")
 {
     std::mutex mutex;
-    std::vector<cj::stream_reply> held;
-    served here({},
-                [&](const cj::stream_request& from, cj::stream_reply reply)
-                {
-                    reply.begin(200, {});
-                    if (from.target == "/2")
-                        reply.finish();
-                    const std::lock_guard guard(mutex);
-                    held.push_back(std::move(reply));
-                });
-    raw_connection caller(here.port);
+    std::vector<cj::stream_reply> open_replies;
+    recording_server fixture(
+        {},
+        [&](const cj::stream_request& from, cj::stream_reply reply)
+        {
+            reply.begin(200, {});
+            if (from.target == "/2")
+                reply.finish();
+            const std::lock_guard guard(mutex);
+            open_replies.push_back(std::move(reply));
+        });
+    raw_connection caller(fixture.port);
     caller.send(request("GET /1 HTTP/1.1\r\nHost: h"));
     static_cast<void>(caller.until("\r\n\r\n"));
-    here.running.on_loop(
+    fixture.running.on_loop(
         [&]
         {
-            here.server->retire();
+            fixture.server->retire();
             const std::lock_guard guard(mutex);
-            held.front().finish();
+            open_replies.front().finish();
         });
-    // It did not say that its connection closes, so the next request is taken.
+    // Its head did not announce a close, so the next request must be served.
     caller.send(request("GET /2 HTTP/1.1\r\nHost: h"));
     CHECK(caller.drain().find("Connection: close") != std::string::npos);
 }
