--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -89,7 +89,7 @@
         host.counters().count("requests_total");
         retries.record_request();
         live_requests.emplace(request->stream, request);
-        reply->on_abandoned(
+        reply->on_disconnect(
             [this, stream = request->stream] {
                 host.loop().post([this, stream] { handle_disconnect(stream); });
             });
--- a/src/coursejunction/fleet/fleet_node.hpp
+++ b/src/coursejunction/fleet/fleet_node.hpp
@@ -260,7 +260,7 @@
     void note_suspension()
     {
         const auto lasted = suspension.note(
-            event_loop::now().time_since_epoch(), event_loop::awake());
+            event_loop::now().time_since_epoch(), event_loop::awake_time());
         if (lasted == milliseconds(0))
             return;
         counters.count("suspended_seconds_total", to_seconds(lasted));
--- a/src/coursejunction/net/event_loop.cpp
+++ b/src/coursejunction/net/event_loop.cpp
@@ -176,7 +176,7 @@
         std::chrono::microseconds(read.tv_nsec / nanoseconds_per_microsecond));
 }
 
-std::chrono::microseconds event_loop::awake()
+std::chrono::microseconds event_loop::awake_time()
 {
     return std::chrono::duration_cast<std::chrono::microseconds>(
         std::chrono::steady_clock::now().time_since_epoch());
--- a/src/coursejunction/net/event_loop.hpp
+++ b/src/coursejunction/net/event_loop.hpp
@@ -69,7 +69,7 @@
 
     /*! @brief Returns the monotonic time without the time during which the
      * instance was suspended. */
-    [[nodiscard]] static std::chrono::microseconds awake();
+    [[nodiscard]] static std::chrono::microseconds awake_time();
 
     /*! @brief Returns the `boost::asio::io_context`; only for the net module.
      */
--- a/src/coursejunction/net/http_server.cpp
+++ b/src/coursejunction/net/http_server.cpp
@@ -136,7 +136,7 @@
         peer.reset();
     }
 
-    void on_abandoned(std::function<void()> call) override
+    void on_disconnect(std::function<void()> call) override
     {
         {
             const std::lock_guard guard(mutex);
@@ -144,7 +144,7 @@
                 return;
             if (peer)
             {
-                abandon_callback = std::move(call);
+                disconnect_callback = std::move(call);
                 return;
             }
         }
@@ -159,7 +159,7 @@
             const std::lock_guard guard(mutex);
             peer.reset();
             if (!ended)
-                call = std::move(abandon_callback);
+                call = std::move(disconnect_callback);
         }
         if (call)
             call();
@@ -183,13 +183,13 @@
         {
             ended = true;
             peer.reset();
-            abandon_callback = nullptr;
+            disconnect_callback = nullptr;
         }
     }
 
     mutable std::mutex mutex;
     std::shared_ptr<pistache::Tcp::Peer> peer;
-    std::function<void()> abandon_callback;
+    std::function<void()> disconnect_callback;
     bool ended{false};
 };
 
--- a/src/coursejunction/net/http_server.hpp
+++ b/src/coursejunction/net/http_server.hpp
@@ -42,7 +42,7 @@
 };
 
 /*! @brief The response to one request; all members are thread-safe. Once the
- * client has disconnected, every member except `on_abandoned` does nothing. */
+ * client has disconnected, every member except `on_disconnect` does nothing. */
 class http_reply
 {
 public:
@@ -69,7 +69,7 @@
     /*! @brief Sets a callback for a client that disconnects before the response
      * has ended. It runs on a server thread, or at once on the calling thread
      * if the client has already disconnected. */
-    virtual void on_abandoned(std::function<void()> call) = 0;
+    virtual void on_disconnect(std::function<void()> call) = 0;
 };
 
 /*! @brief Options of a server. */
--- a/src/coursejunction/net/internal/stream_connection.cpp
+++ b/src/coursejunction/net/internal/stream_connection.cpp
@@ -116,17 +116,17 @@
     if (!current(request_number))
         return;
     count_answer_ended();
-    left_callback = nullptr;
+    disconnect_callback = nullptr;
     state = phase::closing;
     if (output.empty())
         close();
 }
 
-void stream_reply::target::on_left(std::uint64_t request_number,
-                                   std::function<void()> call)
+void stream_reply::target::on_disconnect(std::uint64_t request_number,
+                                         std::function<void()> call)
 {
     if (current(request_number))
-        left_callback = std::move(call);
+        disconnect_callback = std::move(call);
 }
 
 std::size_t stream_reply::target::unsent(std::uint64_t request_number) const
@@ -272,7 +272,7 @@
 void stream_reply::target::end_answer(bool last)
 {
     count_answer_ended();
-    left_callback = nullptr;
+    disconnect_callback = nullptr;
     if (last)
     {
         state = phase::closing;
@@ -346,7 +346,7 @@
     deadline.cancel();
     boost::system::error_code ignored;
     socket.close(ignored);
-    const auto call = std::exchange(left_callback, nullptr);
+    const auto call = std::exchange(disconnect_callback, nullptr);
     if (call)
         call();
 }
--- a/src/coursejunction/net/internal/stream_connection.hpp
+++ b/src/coursejunction/net/internal/stream_connection.hpp
@@ -79,7 +79,8 @@
 
     /*! @brief Sets a callback for a client that disconnects before the response
      * has ended. */
-    void on_left(std::uint64_t request_number, std::function<void()> call);
+    void on_disconnect(std::uint64_t request_number,
+                       std::function<void()> call);
 
     /*! @brief Returns how many bytes are queued and not yet accepted by the
      * kernel. */
@@ -133,7 +134,7 @@
     std::deque<std::string> output;
     std::size_t unsent_bytes{0};
     std::string peer_address;
-    std::function<void()> left_callback;
+    std::function<void()> disconnect_callback;
     std::uint64_t current_number{0};
     unsigned version{11};
     phase state{phase::idle};
--- a/src/coursejunction/net/stream_client.cpp
+++ b/src/coursejunction/net/stream_client.cpp
@@ -469,7 +469,7 @@
     one->abandon();
 }
 
-void stream_client::forget(const std::string& address)
+void stream_client::close_idle(const std::string& address)
 {
     self->idle.erase(address);
 }
--- a/src/coursejunction/net/stream_client.hpp
+++ b/src/coursejunction/net/stream_client.hpp
@@ -83,7 +83,7 @@
 
     /*! @brief Closes the idle connections to an address whose process no longer
      * exists. */
-    void forget(const std::string& address);
+    void close_idle(const std::string& address);
 
     /*! @brief Opens a connection and closes it again.
      * @param done Receives whether the connection was refused, which means that
--- a/src/coursejunction/net/stream_server.cpp
+++ b/src/coursejunction/net/stream_server.cpp
@@ -98,10 +98,10 @@
         to->cut(number);
 }
 
-void stream_reply::on_left(std::function<void()> call)
+void stream_reply::on_disconnect(std::function<void()> call)
 {
     if (const auto to = connection.lock())
-        to->on_left(number, std::move(call));
+        to->on_disconnect(number, std::move(call));
 }
 
 std::size_t stream_reply::unsent() const
--- a/src/coursejunction/net/stream_server.hpp
+++ b/src/coursejunction/net/stream_server.hpp
@@ -60,7 +60,7 @@
 
     /*! @brief Sets a callback for a client that disconnects before the response
      * has ended. */
-    void on_left(std::function<void()> call);
+    void on_disconnect(std::function<void()> call);
 
     /*! @brief Returns how many bytes are queued and not yet accepted by the
      * kernel. */
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -162,7 +162,8 @@
                                         ? 503
                                         : status);
         open_requests.add(request);
-        request->reply.on_left([this, number] { on_caller_left(number); });
+        request->reply.on_disconnect([this, number]
+                                     { on_caller_left(number); });
         arm_deadline_timer(*request);
         place(*request);
     }
@@ -172,7 +173,7 @@
      * are dead. */
     void upstream_restarted(const ended_incarnation& restarted)
     {
-        client.forget(restarted.address);
+        client.close_idle(restarted.address);
         const auto& attempts = restarted.attempts;
         const auto was_lost = [&](const exchange& request)
         {
--- a/standin/model_engine.cpp
+++ b/standin/model_engine.cpp
@@ -241,7 +241,7 @@
         one->done = resume.empty() ? 0 : std::stoul(resume);
         one->first = one->done;
         one->reply = reply;
-        reply->on_abandoned([one] { one->gone = true; });
+        reply->on_disconnect([one] { one->gone = true; });
         const auto place =
             std::upper_bound(waiting.begin(), waiting.end(), one->priority,
                              [](int priority, const generation_pointer& other)
--- a/tests/control/key_value_client.cpp
+++ b/tests/control/key_value_client.cpp
@@ -63,7 +63,7 @@
         const auto id =
             link.carry([this, request = std::move(request), shared_reply]
                        { respond(request, *shared_reply); });
-        shared_reply->on_left([this, id] { link.give_up(id); });
+        shared_reply->on_disconnect([this, id] { link.give_up(id); });
     }
 
     void respond(const cj::stream_request& request, cj::stream_reply& reply)
--- a/tests/daemon/quarantine_api.cpp
+++ b/tests/daemon/quarantine_api.cpp
@@ -24,7 +24,7 @@
     void write(std::string_view) override {}
     void finish() override {}
     void cut() override {}
-    void on_abandoned(std::function<void()>) override {}
+    void on_disconnect(std::function<void()>) override {}
 
     int status{0};
     std::string text;
--- a/tests/net/stream_server.cpp
+++ b/tests/net/stream_server.cpp
@@ -186,7 +186,7 @@
         {},
         [&](const cj::stream_request& from, cj::stream_reply reply)
         {
-            reply.on_left(
+            reply.on_disconnect(
                 [&]
                 {
                     disconnected = true;
--- a/tests/platform/engine_client.cpp
+++ b/tests/platform/engine_client.cpp
@@ -62,7 +62,7 @@
     {
         const auto to = std::make_shared<response>();
         to->reply = std::move(reply);
-        to->reply.on_left([to] { to->caller_left = true; });
+        to->reply.on_disconnect([to] { to->caller_left = true; });
         to->reply.begin(200, {});
         send_next_part(to);
     }
--- a/tests/platform/hall_behind_link.cpp
+++ b/tests/platform/hall_behind_link.cpp
@@ -73,7 +73,7 @@
     {
         const auto number = ++last_number;
         reply.begin(200, {});
-        reply.on_left([this, number] { flows.erase(number); });
+        reply.on_disconnect([this, number] { flows.erase(number); });
         flows.emplace(number, flow{reply, std::move(body), 0});
     }
 
