--- a/src/coursejunction/net/internal/stream_connection.cpp
+++ b/src/coursejunction/net/internal/stream_connection.cpp
@@ -69,10 +69,10 @@
                                 const header_list& headers,
                                 std::string_view body)
 {
-    if (!current(request_number) || head_sent)
+    if (!is_current(request_number) || head_sent)
         return;
     head_sent = true;
-    const bool last = closing();
+    const bool last = closes_after_response();
     auto text =
         internal::answer_head(status, headers, version, body.size(), last);
     if (!head_only)
@@ -84,10 +84,10 @@
 void stream_reply::target::begin(std::uint64_t request_number, int status,
                                  const header_list& headers)
 {
-    if (!current(request_number) || head_sent)
+    if (!is_current(request_number) || head_sent)
         return;
     head_sent = true;
-    close_after = closing() || version < 11;
+    close_after = closes_after_response() || version < 11;
     queue(internal::answer_head(status, headers, version, std::nullopt,
                                 close_after));
 }
@@ -95,7 +95,7 @@
 void stream_reply::target::write(std::uint64_t request_number,
                                  std::string_view bytes)
 {
-    if (!current(request_number) || !head_sent || bytes.empty())
+    if (!is_current(request_number) || !head_sent || bytes.empty())
         return;
     if (unsent_bytes > internal::max_unsent_bytes)
         return close();
@@ -104,7 +104,7 @@
 
 void stream_reply::target::finish(std::uint64_t request_number)
 {
-    if (!current(request_number) || !head_sent)
+    if (!is_current(request_number) || !head_sent)
         return;
     if (version >= 11)
         queue(internal::last_chunk);
@@ -113,7 +113,7 @@
 
 void stream_reply::target::cut(std::uint64_t request_number)
 {
-    if (!current(request_number))
+    if (!is_current(request_number))
         return;
     count_answer_ended();
     disconnect_callback = nullptr;
@@ -125,21 +125,21 @@
 void stream_reply::target::on_disconnect(std::uint64_t request_number,
                                          std::function<void()> call)
 {
-    if (current(request_number))
+    if (is_current(request_number))
         disconnect_callback = std::move(call);
 }
 
 std::size_t stream_reply::target::unsent(std::uint64_t request_number) const
 {
-    return current(request_number) ? unsent_bytes : 0;
+    return is_current(request_number) ? unsent_bytes : 0;
 }
 
-bool stream_reply::target::current(std::uint64_t request_number) const
+bool stream_reply::target::is_current(std::uint64_t request_number) const
 {
     return state == phase::answering && request_number == current_number;
 }
 
-bool stream_reply::target::closing() const
+bool stream_reply::target::closes_after_response() const
 {
     return server->retiring || !keep_alive;
 }
@@ -251,7 +251,7 @@
         [self = shared_from_this(), request_number = current_number](
             const boost::system::error_code& fault)
         {
-            if (fault || !self->current(request_number))
+            if (fault || !self->is_current(request_number))
                 return;
             self->check_peer(request_number);
         });
--- a/src/coursejunction/net/internal/stream_connection.hpp
+++ b/src/coursejunction/net/internal/stream_connection.hpp
@@ -96,8 +96,8 @@
         closed
     };
 
-    [[nodiscard]] bool current(std::uint64_t request_number) const;
-    [[nodiscard]] bool closing() const;
+    [[nodiscard]] bool is_current(std::uint64_t request_number) const;
+    [[nodiscard]] bool closes_after_response() const;
     void next_request();
     void read_head();
     void head_read(const boost::system::error_code& fault);
--- a/src/coursejunction/net/stream_client.cpp
+++ b/src/coursejunction/net/stream_client.cpp
@@ -279,7 +279,7 @@
         for (const auto& field : parser->get())
             head.headers.push_back(std::string(field.name_string()),
                                    std::string(field.value()));
-        const auto held = shared_from_this();
+        const auto self = shared_from_this();
         target.head(head);
         if (completed)
             return;
@@ -308,7 +308,7 @@
         if (count > 0)
         {
             last_progress = event_loop::now();
-            const auto held = shared_from_this();
+            const auto self = shared_from_this();
             target.data({body_buffer.data(), count});
             if (completed)
                 return;
@@ -346,7 +346,7 @@
     {
         if (completed)
             return;
-        const auto held = shared_from_this();
+        const auto self = shared_from_this();
         abandon();
         const auto on_ended = std::move(target.ended);
         finished(std::move(reusable_socket));
