--- a/src/coursejunction/cli/commands.cpp
+++ b/src/coursejunction/cli/commands.cpp
@@ -298,7 +298,7 @@
         return fail(cli_exit::timed_out, "not converged within the timeout");
     }
 
-    /*! @brief Prints one progress line and tells whether all deployments have
+    /*! @brief Prints one progress line and returns whether all deployments have
      * converged. */
     bool show_progress(const json& body, rollout_progress& progress)
     {
--- a/src/coursejunction/control/configuration_view.hpp
+++ b/src/coursejunction/control/configuration_view.hpp
@@ -49,7 +49,7 @@
         return true;
     }
 
-    /*! @brief Tells whether the current configuration and another one each
+    /*! @brief Returns whether the current configuration and another one each
      * contain a change that the other lacks. */
     [[nodiscard]] bool diverges_from(const configuration& other) const
     {
@@ -69,7 +69,7 @@
         return active_json;
     }
 
-    /*! @brief Tells whether any configuration has been offered, even an empty
+    /*! @brief Returns whether any configuration has been offered, even an empty
      * one. */
     [[nodiscard]] bool has_configuration() const noexcept { return offered; }
 
--- a/src/coursejunction/control/configuration_writer.hpp
+++ b/src/coursejunction/control/configuration_writer.hpp
@@ -26,7 +26,7 @@
     std::uint64_t index{0}; /*!< Index of its last change; 0 when absent. */
     std::string text;
     /*! @brief Index to pass to the next watch. For an absent key it is the
-     * service's own index, since a watch of index 0 returns at once. */
+     * service's own index, since a watch of index 0 returns immediately. */
     std::uint64_t watch_index{0};
 };
 
--- a/src/coursejunction/core/log.cpp
+++ b/src/coursejunction/core/log.cpp
@@ -43,8 +43,8 @@
 }
 
 /*! @brief Makes standard output non-blocking if it is a pipe or a socket, so
- * that writes fail rather than block when nobody reads it. A terminal is not
- * changed, because other processes share it. */
+ * that writes fail rather than block when no process reads it. A terminal is
+ * not changed, because other processes share it. */
 void make_stdout_nonblocking()
 {
     struct stat status
--- a/src/coursejunction/daemon/chunk_uploader.hpp
+++ b/src/coursejunction/daemon/chunk_uploader.hpp
@@ -55,7 +55,7 @@
     /*! @brief Forgets the peers that wait for chunks of a version. */
     void drop_waiters(const digest& manifest) { queue.drop_waiters(manifest); }
 
-    /*! @brief Drops the queued uploads to a peer that is gone. */
+    /*! @brief Drops the queued uploads to a peer that was lost. */
     void remove_peer(const instance_id& peer) { queue.remove_peer(peer); }
 
     /*! @brief Sets the fraction of the uplink's rate that uploads may use. */
--- a/src/coursejunction/daemon/internal/crash_gossip.hpp
+++ b/src/coursejunction/daemon/internal/crash_gossip.hpp
@@ -42,7 +42,7 @@
         return ledger.status(content, now);
     }
 
-    /*! @brief Returns how many copies of a request may run at once.
+    /*! @brief Returns how many copies of a request may run at the same time.
      * @param owns_trials Whether this process runs the trials of the request.
      */
     [[nodiscard]] std::size_t max_running(const request_content& content,
--- a/src/coursejunction/daemon/internal/engine_stager.hpp
+++ b/src/coursejunction/daemon/internal/engine_stager.hpp
@@ -17,11 +17,11 @@
 namespace coursejunction::internal
 {
 
-/*! @brief Maximum number of staging calls in progress at once. */
+/*! @brief Maximum number of staging calls in progress at the same time. */
 inline constexpr std::size_t max_staging_calls = 4;
 
 /*! @brief Stages a version in the engine: first the manifest, then the chunks,
- * a few at once. A call that fails is repeated by a later `advance`.
+ * a few at the same time. A call that fails is repeated by a later `advance`.
  * @tparam Engine Has `stage_manifest` and `stage_chunk`, which call back with
  * whether they succeeded. */
 template <typename Engine>
--- a/src/coursejunction/daemon/internal/replicated_claims.hpp
+++ b/src/coursejunction/daemon/internal/replicated_claims.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Replicas of claims at entries, beside the key-value service.
+ * @brief Replicas of claims at entries, in addition to the key-value service.
  */
 #ifndef COURSEJUNCTION_DAEMON_INTERNAL_REPLICATED_CLAIMS_HPP
 #define COURSEJUNCTION_DAEMON_INTERNAL_REPLICATED_CLAIMS_HPP
@@ -28,7 +28,7 @@
 /*! @brief Stores each claim at three entries, its voters, which are chosen by
  * the request's id, and queries them. The key-value service may be rolled back
  * to a state that lacks a claim; the voters still have it, even after the
- * sidecar that ran the request is gone. */
+ * sidecar that ran the request has stopped. */
 class replicated_claims
 {
 public:
--- a/src/coursejunction/daemon/internal/report_publisher.hpp
+++ b/src/coursejunction/daemon/internal/report_publisher.hpp
@@ -40,8 +40,8 @@
     void send_report(const message::report& state);
 
     /*! @brief Called regularly. Sends the full state if the cached prefixes or
-     * the reason have changed; otherwise the load, at once to those that route
-     * here if it has changed, and to all others at longer intervals. */
+     * the reason have changed; otherwise the load, immediately to those that
+     * route here if it has changed, and to all others at longer intervals. */
     void send_load(const message::report& state);
 
     /*! @brief Returns the number of subscribers. */
--- a/src/coursejunction/daemon/internal/response_writer.cpp
+++ b/src/coursejunction/daemon/internal/response_writer.cpp
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-/*! @brief Events that arrive closer together are written to the caller at once;
- * a reader does not notice a delay this short. */
+/*! @brief Events that arrive closer together are written to the caller in one
+ * write; a reader does not notice a delay this short. */
 constexpr milliseconds flush_interval{10};
 
 /*! @brief Writes the events of a request that wait for a flush. */
--- a/src/coursejunction/daemon/internal/response_writer.hpp
+++ b/src/coursejunction/daemon/internal/response_writer.hpp
@@ -34,8 +34,8 @@
     /*! @brief Starts a stream of events. */
     void begin_stream(live_request& request);
 
-    /*! @brief Writes events to the caller: at once, or with the next flush if
-     * the last write was less than a flush interval ago. */
+    /*! @brief Writes events to the caller: immediately, or with the next flush
+     * if the last write was less than a flush interval ago. */
     void write_events(const live_request_pointer& request,
                       const std::string& events);
 
--- a/src/coursejunction/daemon/node.hpp
+++ b/src/coursejunction/daemon/node.hpp
@@ -41,7 +41,7 @@
     /*! @brief Returns the state of the role as JSON. */
     std::function<std::string()> dump;
     std::function<void()> leave_started;
-    /*! @brief Tells whether a node that is leaving may stop. */
+    /*! @brief Returns whether a node that is leaving may stop. */
     std::function<bool()> is_idle;
 };
 
--- a/src/coursejunction/daemon/request_service.cpp
+++ b/src/coursejunction/daemon/request_service.cpp
@@ -113,8 +113,8 @@
             .first->second;
     }
 
-    /*! @brief Dispatches a request at once, queues it, or refuses it when no
-     * upstream serves it or no slot is expected before its deadline. */
+    /*! @brief Dispatches a request immediately, queues it, or refuses it when
+     * no upstream serves it or no slot is expected before its deadline. */
     void dispatch_or_queue(const request_pointer& request)
     {
         if (withhold_suspect(request))
@@ -148,8 +148,8 @@
         host.counters().count("requests_queued_total");
     }
 
-    /*! @brief Limits how many copies of a request run at once when upstreams
-     * have crashed under it.
+    /*! @brief Limits how many copies of a request run at the same time when
+     * upstreams have crashed under it.
      * @return Whether the request was refused or held; false when it may be
      * dispatched now. */
     bool withhold_suspect(const request_pointer& request)
@@ -176,8 +176,9 @@
         return true;
     }
 
-    /*! @brief Tells whether this entry runs the trials of a request. Rendezvous
-     * hashing over the usable entries lets all of them agree on one. */
+    /*! @brief Returns whether this entry runs the trials of a request.
+     * Rendezvous hashing over the usable entries lets all of them agree on one.
+     */
     [[nodiscard]] bool is_trial_owner(const request_content& content) const
     {
         const auto& members = host.members();
--- a/src/coursejunction/daemon/run_service.cpp
+++ b/src/coursejunction/daemon/run_service.cpp
@@ -35,8 +35,8 @@
 /*! @brief Bytes of a response's end that are searched for the end event. */
 constexpr std::size_t max_tail = 128;
 
-/*! @brief Tells whether a part of a response carries a weights hash other than
- * the expected one. */
+/*! @brief Returns whether a part of a response carries a weights hash other
+ * than the expected one. */
 bool has_foreign_weights(std::string_view part, const std::string& expected)
 {
     auto at = part.find(weights_field);
@@ -326,7 +326,7 @@
      * any more.
      * @param was_serving Whether it served a version until then. If so, an
      * engine that is loading has crashed too, since the load command is sent
-     * again at once. If not, the load may have begun during the run and cut
+     * again immediately. If not, the load may have begun during the run and cut
      * it. */
     void check_for_crash(const active_run& run, bool was_serving)
     {
--- a/src/coursejunction/daemon/run_service.hpp
+++ b/src/coursejunction/daemon/run_service.hpp
@@ -23,7 +23,7 @@
 /*! @brief Access of the run service to the state of the replica. */
 struct replica_callbacks
 {
-    /*! @brief Tells whether the upstream accepts new requests. */
+    /*! @brief Returns whether the upstream accepts new requests. */
     std::function<bool()> accepts_requests;
 
     /*! @brief Returns the maximum number of concurrent runs. */
--- a/src/coursejunction/daemon/transfer_service.hpp
+++ b/src/coursejunction/daemon/transfer_service.hpp
@@ -89,7 +89,7 @@
      * transfer reduce the fraction of the uplink that uploads may use. */
     void record_first_token(std::chrono::microseconds took);
 
-    /*! @brief Tells whether no upload is queued. */
+    /*! @brief Returns whether no upload is queued. */
     [[nodiscard]] bool idle() const;
 
     [[nodiscard]] transfer_progress progress() const;
--- a/src/coursejunction/fleet/fetch_schedule.hpp
+++ b/src/coursejunction/fleet/fetch_schedule.hpp
@@ -27,8 +27,9 @@
 /*! @brief Lets the processes of a hall take turns at the link that they share.
  * One process fetches what the hall lacks, and the others get it from that one.
  * If it does not begin in time, the next in rank takes over, and after a
- * failure nobody retries at once. Without turns, 24 processes that each fetched
- * 1.7 MB over a 24 Mbit/s link kept it saturated, and none of them finished. */
+ * failure no process retries immediately. Without turns, 24 processes that each
+ * fetched 1.7 MB over a 24 Mbit/s link kept it saturated, and none of them
+ * finished. */
 class fetch_schedule
 {
 public:
@@ -40,8 +41,8 @@
     /*! @brief How long to wait for a fetch by another process before a second
      * one begins. A second fetch halves the rate of the first, and 2.3 MB take
      * 0.8 s over 24 Mbit/s. It is not worth waiting longer, since the first
-     * process may have a slow link of its own and a leaving upstream is gone
-     * after 2 s. */
+     * process may have a slow link of its own and a leaving upstream is
+     * unavailable after 2 s. */
     static constexpr milliseconds second_fetch_delay{1200};
 
     /*! @brief Processes of a hall that fetch at the same time: one, and a
@@ -57,13 +58,13 @@
 
     /*! @brief Delay per rank between the starts of processes that all waited
      * for a fetch that has just ended. A datagram within a hall takes about 2
-     * ms, so the later ones hear of the first before they begin. */
+     * ms, so the later ones learn of the first before they begin. */
     static constexpr milliseconds restart_stagger{25};
 
     /*! @brief Back-off after the first failure, doubled after each further one
      * up to the maximum; a random part of up to half is added. The return of
      * the store after an outage of some seconds must be noticed within about 1
-     * s, since a leaving upstream is gone after 2 s. */
+     * s, since a leaving upstream is unavailable after 2 s. */
     static constexpr milliseconds initial_backoff{150};
     static constexpr milliseconds max_backoff{1000};
 
@@ -80,7 +81,7 @@
             needed_since = now;
     }
 
-    /*! @brief Tells whether this process should begin to fetch now. Must be
+    /*! @brief Returns whether this process should begin to fetch now. Must be
      * called regularly, even when nothing is needed: it notes when the number
      * of fetching processes changes. */
     [[nodiscard]] bool due(const hall_fetch_state& hall, time_point now)
--- a/src/coursejunction/fleet/fleet_hooks.hpp
+++ b/src/coursejunction/fleet/fleet_hooks.hpp
@@ -64,7 +64,7 @@
     /*! @brief Returns the terms (limits, back-off) that upstreams recently
      * reported to this entry. */
     std::function<std::vector<message::upstream_terms>()> recent_terms;
-    /*! @brief Tells whether some sidecar is downloading weights. */
+    /*! @brief Returns whether some sidecar is downloading weights. */
     std::function<bool()> transfers_active;
 };
 
--- a/src/coursejunction/fleet/fleet_node.hpp
+++ b/src/coursejunction/fleet/fleet_node.hpp
@@ -46,8 +46,8 @@
 class fleet_node
 {
 public:
-    /*! @brief Interval of regular heartbeats. A leaving upstream is gone after
-     * 2 s, so several may be lost before that matters. */
+    /*! @brief Interval of regular heartbeats. A leaving upstream is unavailable
+     * after 2 s, so several may be lost before that matters. */
     static constexpr milliseconds heartbeat_interval{200};
 
     /*! @brief Entries that watch the store; all others learn of changes from
@@ -105,7 +105,7 @@
         poll_store();
     }
 
-    /*! @brief Sends a heartbeat at once because the state of this process
+    /*! @brief Sends a heartbeat immediately because the state of this process
      * changed. */
     void announce() { send_heartbeat(context_for(heartbeat_reason::state)); }
 
@@ -402,7 +402,7 @@
                        store_position::parse(text), event_loop::now())));
     }
 
-    /*! @brief Tells whether this entry is among the `max_watchers` that watch
+    /*! @brief Returns whether this entry is among the `max_watchers` that watch
      * the store. */
     [[nodiscard]] bool should_watch_store() const
     {
@@ -475,7 +475,7 @@
         return keys;
     }
 
-    /*! @brief Tells whether the mirror has a value of the key at least as
+    /*! @brief Returns whether the mirror has a value of the key at least as
      * recent. */
     [[nodiscard]] bool is_known(const message::mirror_item& item) const
     {
@@ -515,8 +515,9 @@
             from, era);
     }
 
-    /*! @brief Tells whether a peer of the same era holds more values of earlier
-     * eras, which this process may lack if it started after the rollback. */
+    /*! @brief Returns whether a peer of the same era holds more values of
+     * earlier eras, which this process may lack if it started after the
+     * rollback. */
     [[nodiscard]] bool
     has_more_carried_values(const message::fleet_heartbeat& heartbeat) const
     {
@@ -525,8 +526,8 @@
                    std::max(local_mirror.carried(), carried_seen);
     }
 
-    /*! @brief Tells whether the store itself, and not only the connection to it
-     * from here, had an outage that ended a moment ago. */
+    /*! @brief Returns whether the store itself, and not only the connection to
+     * it from here, had an outage that ended a moment ago. */
     [[nodiscard]] bool store_returned(time_point now) const
     {
         return reader.outage_recently_ended(now) &&
--- a/src/coursejunction/fleet/fleet_view.hpp
+++ b/src/coursejunction/fleet/fleet_view.hpp
@@ -361,7 +361,7 @@
 
     /*! @brief Uses the copy if it is newer than the configuration in force. It
      * is ignored while the operator's key was never read: without that number
-     * to compare with, a corrupted number would stay in force for good. */
+     * to compare with, a corrupted number would stay in force permanently. */
     void read_configuration_copy(const store_mirror& mirror)
     {
         const auto* value = mirror.find(configuration_copy_key());
--- a/src/coursejunction/fleet/hall_digest.hpp
+++ b/src/coursejunction/fleet/hall_digest.hpp
@@ -60,7 +60,7 @@
     return result;
 }
 
-/*! @brief Tells whether an entry relays its hall's statuses to an entry of
+/*! @brief Returns whether an entry relays its hall's statuses to an entry of
  * another hall along with a regular heartbeat. For each receiver, two entries
  * of the hall take turns; an entry that is alone takes both.
  * @param receiver IP address of the receiving entry.
--- a/src/coursejunction/fleet/heartbeat_plan.hpp
+++ b/src/coursejunction/fleet/heartbeat_plan.hpp
@@ -134,7 +134,7 @@
                : chunk_detail::in_transfer;
 }
 
-/*! @brief Tells whether a heartbeat carries records of requests that crash
+/*! @brief Returns whether a heartbeat carries records of requests that crash
  * upstreams: the kinds that every entry receives sooner or later. */
 [[nodiscard]] constexpr bool carries_crash_records(heartbeat_reason reason)
 {
@@ -142,7 +142,7 @@
            reason == heartbeat_reason::regular;
 }
 
-/*! @brief Tells whether a peer receives a heartbeat. */
+/*! @brief Returns whether a peer receives a heartbeat. */
 [[nodiscard]] inline bool receives(const heartbeat_context& context,
                                    const heartbeat_receiver& to)
 {
@@ -183,7 +183,7 @@
            context.regular_number % remote_side_period == 0;
 }
 
-/*! @brief Tells whether two members of a ring are neighbours: those at
+/*! @brief Returns whether two members of a ring are neighbours: those at
  * distances 1, 2, 4 ... and 3, 6, 12 ... All members have the same number of
  * neighbours, and an update reaches all of them in few steps.
  * @param from Index of the sender, less than `size`. */
--- a/src/coursejunction/fleet/heartbeat_sender.hpp
+++ b/src/coursejunction/fleet/heartbeat_sender.hpp
@@ -71,9 +71,9 @@
                 options.entry && peer.entry && !to.same_hall &&
                 context.reason == heartbeat_reason::regular &&
                 relays_digest_to(relay_rank, address, context.regular_number);
-            // An entry that was never heard is tried at each regular heartbeat.
-            // A sidecar does so only while its own hall has no live entry,
-            // since entries of other halls send it nothing.
+            // An entry from which nothing was ever received is tried at each
+            // regular heartbeat. A sidecar does so only while its own hall has
+            // no live entry, since entries of other halls send it nothing.
             const bool tries_unheard_entry =
                 peer.entry && peer.heard_at == time_point{} &&
                 context.reason == heartbeat_reason::regular &&
--- a/src/coursejunction/fleet/installation.hpp
+++ b/src/coursejunction/fleet/installation.hpp
@@ -59,7 +59,7 @@
     std::int32_t priority{0}; /*!< Currently unused. */
     std::vector<service_share> services;
 
-    /*! @brief Tells whether a request of this route may be executed more than
+    /*! @brief Returns whether a request of this route may be executed more than
      * once. */
     [[nodiscard]] bool repeatable() const
     {
--- a/src/coursejunction/fleet/item_rules.hpp
+++ b/src/coursejunction/fleet/item_rules.hpp
@@ -21,7 +21,7 @@
                              const std::string& payload)>
         order;
 
-    /*! @brief Tells whether a known value stays valid after a rollback of the
+    /*! @brief Returns whether a known value stays valid after a rollback of the
      * store that lost it, until its writer writes the key again. */
     std::function<bool(const std::string& key)> survives_rollback;
 };
--- a/src/coursejunction/fleet/lag_tracker.hpp
+++ b/src/coursejunction/fleet/lag_tracker.hpp
@@ -40,7 +40,7 @@
     }
 
     /*! @brief Returns how long the mirror has been without a position that
-     * peers reported; zero if none is missing. The time starts anew when the
+     * peers reported; zero if none is missing. The time starts again when the
      * mirror reaches the first missing position but not the newest.
      * @param position Position of the own mirror. */
     [[nodiscard]] milliseconds lag(store_position position,
--- a/src/coursejunction/fleet/mirror_puller.hpp
+++ b/src/coursejunction/fleet/mirror_puller.hpp
@@ -35,8 +35,9 @@
                                       behalf of the own hall. */
 };
 
-/*! @brief Pulls pages of the mirror. A peer of the own hall is asked at once.
- * Over the links between halls, the processes of a hall take turns. */
+/*! @brief Pulls pages of the mirror. A peer of the own hall is asked
+ * immediately. Over the links between halls, the processes of a hall take
+ * turns. */
 class mirror_puller
 {
 public:
@@ -63,8 +64,8 @@
 
     /*! @brief A pull that takes this long may run over a throttled link, where
      * it progresses without finishing: a second one from another peer of the
-     * own hall is started beside it. A compressed page takes 0.2 s over 7.6
-     * Mbit/s. */
+     * own hall is started in addition to it. A compressed page takes 0.2 s
+     * over 7.6 Mbit/s. */
     static constexpr milliseconds hedge_delay{800};
 
     /*! @brief Concurrent pulls of each group (own hall, other halls). The first
@@ -101,7 +102,7 @@
             schedule_check(local_grace);
     }
 
-    /*! @brief Tells whether a pull from another hall is pending that this
+    /*! @brief Returns whether a pull from another hall is pending that this
      * process still needs. */
     [[nodiscard]] bool fetching() const
     {
@@ -121,8 +122,8 @@
         time_point began{};
     };
 
-    /*! @brief Pulls from one group of peers. A second one begins only beside
-     * one that takes long (hedging). */
+    /*! @brief Pulls from one group of peers. A second one begins only in
+     * addition to one that takes long (hedging). */
     struct pull_group
     {
         explicit pull_group(std::uint64_t seed) : schedule(seed) {}
@@ -155,9 +156,9 @@
             pull(local, from, "near");
     }
 
-    /*! @brief Tells whether to start a second pull from another hall beside a
-     * slow one. Only a process that is alone in its hall does so; otherwise the
-     * next in rank begins one. */
+    /*! @brief Returns whether to start a second pull from another hall in
+     * addition to a slow one. Only a process that is alone in its hall does so;
+     * otherwise the next in rank begins one. */
     [[nodiscard]] bool may_hedge_remote(time_point now) const
     {
         return remote.may_hedge(fetch_schedule::second_fetch_delay, now) &&
--- a/src/coursejunction/fleet/peer_directory.hpp
+++ b/src/coursejunction/fleet/peer_directory.hpp
@@ -104,7 +104,7 @@
                       });
     }
 
-    /*! @brief Tells whether a heartbeat arrived within `liveness_timeout`. */
+    /*! @brief Returns whether a heartbeat arrived within `liveness_timeout`. */
     [[nodiscard]] bool alive(const std::string& address, time_point now) const
     {
         const auto found = peers.find(address);
@@ -227,7 +227,7 @@
         return state;
     }
 
-    /*! @brief Tells whether no other live process of a hall is known. */
+    /*! @brief Returns whether no other live process of a hall is known. */
     [[nodiscard]] bool has_no_live_peer(const hall_id& hall,
                                         time_point now) const
     {
@@ -268,7 +268,7 @@
                              : found[tie_breaker % found.size()];
     }
 
-    /*! @brief Tells whether some live entry watches the store and saw no
+    /*! @brief Returns whether some live entry watches the store and saw no
      * outage. Then a process that lost the store was cut off itself. */
     [[nodiscard]] bool has_undisturbed_watcher(time_point now) const
     {
--- a/src/coursejunction/fleet/poll_schedule.hpp
+++ b/src/coursejunction/fleet/poll_schedule.hpp
@@ -61,7 +61,8 @@
     static constexpr milliseconds settling_time{500};
 
     /*! @brief An entry that was suspended for this long has missed heartbeats
-     * and takes live entries for gone: a lower rank has to hold anew. */
+     * and assumes that live entries have stopped: a lower rank has to hold
+     * again. */
     static constexpr milliseconds suspension_threshold{1000};
 
     /*! @brief An entry discovers all others within this time of its start;
--- a/src/coursejunction/fleet/quarantine_writer.hpp
+++ b/src/coursejunction/fleet/quarantine_writer.hpp
@@ -50,7 +50,7 @@
 {
 public:
     /*! @brief A key expires after this time, the longest that the platform's
-     * leases allow. A quarantine whose trial request fails is written anew. */
+     * leases allow. A quarantine whose trial request fails is written again. */
     static constexpr milliseconds key_ttl{600'000};
 
     /*! @brief Delays after failed writes: the store was unavailable, or another
--- a/src/coursejunction/fleet/restore_schedule.hpp
+++ b/src/coursejunction/fleet/restore_schedule.hpp
@@ -24,8 +24,8 @@
     /*! @brief An entry waits this long for each entry before it in rank. */
     static constexpr milliseconds rank_delay{500};
 
-    /*! @brief Tells whether this entry should rewrite lost keys now; true once
-     * after each change of the store's era.
+    /*! @brief Returns whether this entry should rewrite lost keys now; true
+     * once after each change of the store's era.
      * @param position Position of the mirror.
      * @param rank Number of entries before this one. */
     [[nodiscard]] bool due(store_position position, std::size_t rank,
--- a/src/coursejunction/fleet/store_mirror.hpp
+++ b/src/coursejunction/fleet/store_mirror.hpp
@@ -167,7 +167,7 @@
                                                               : &found->second;
     }
 
-    /*! @brief Tells whether a key is absent although no removal is known: the
+    /*! @brief Returns whether a key is absent although no removal is known: the
      * store never had it, or lost it in a rollback. */
     [[nodiscard]] bool absent_without_removal(const std::string& key) const
     {
@@ -223,7 +223,7 @@
         return rules.order(key, value.payload);
     }
 
-    /*! @brief Tells whether an item replaces a known value of another era. */
+    /*! @brief Returns whether an item replaces a known value of another era. */
     [[nodiscard]] bool replaces(const message::mirror_item& item,
                                 const mirrored_value& known) const
     {
--- a/src/coursejunction/fleet/store_outage.hpp
+++ b/src/coursejunction/fleet/store_outage.hpp
@@ -20,7 +20,7 @@
 public:
     /*! @brief Calls must fail for at least this long to count as an outage. A
      * record expires after three missed renewals by its upstream, of which the
-     * first may be due at once. */
+     * first may be due immediately. */
     static constexpr milliseconds min_duration{1000};
 
     /*! @brief For this long after an outage missing records may still come
@@ -43,7 +43,7 @@
         failing_since.reset();
     }
 
-    /*! @brief Tells whether an outage ended less than `settle_time` ago. */
+    /*! @brief Returns whether an outage ended less than `settle_time` ago. */
     [[nodiscard]] bool recently_ended(time_point now) const
     {
         return ended_at && now - *ended_at < settle_time;
--- a/src/coursejunction/fleet/store_reader.hpp
+++ b/src/coursejunction/fleet/store_reader.hpp
@@ -48,7 +48,7 @@
 /*! @brief Callbacks of a `store_reader`. */
 struct store_reader_hooks
 {
-    /*! @brief Tells whether this process should watch the store. */
+    /*! @brief Returns whether this process should watch the store. */
     std::function<bool()> should_watch;
     /*! @brief Receives changes, or all keys if `whole`. */
     std::function<void(const store_page&, bool whole)> page_received;
@@ -70,11 +70,12 @@
     static constexpr milliseconds watch_wait{1500};
 
     /*! @brief How long the first watch waits, so that a reachable store is
-     * noticed at once. */
+     * noticed immediately. */
     static constexpr milliseconds probe_wait{100};
 
     /*! @brief Pause between two watches, so that changes in quick succession
-     * cost one call. It is short since a leaving upstream is gone after 2 s. */
+     * cost one call. It is short: a leaving upstream is unavailable after 2 s.
+     */
     static constexpr milliseconds watch_pause{100};
 
     /*! @brief A watch that takes this much longer than its wait is cancelled.
@@ -110,14 +111,14 @@
             begin(hall);
     }
 
-    /*! @brief Tells whether the store answered the last call and is being
+    /*! @brief Returns whether the store answered the last call and is being
      * watched. */
     [[nodiscard]] bool watching() const noexcept { return reachable && busy; }
 
-    /*! @brief Tells whether a listing of all keys is pending. */
+    /*! @brief Returns whether a listing of all keys is pending. */
     [[nodiscard]] bool fetching() const noexcept { return listing; }
 
-    /*! @brief Tells whether a first watch is pending and the store has not
+    /*! @brief Returns whether a first watch is pending and the store has not
      * answered yet. */
     [[nodiscard]] bool probing() const noexcept
     {
@@ -128,7 +129,7 @@
      * the last write of each key is seen. */
     [[nodiscard]] std::uint64_t gaps() const noexcept { return gap_count; }
 
-    /*! @brief Tells whether an outage of the store ended a moment ago. */
+    /*! @brief Returns whether an outage of the store ended a moment ago. */
     [[nodiscard]] bool outage_recently_ended(time_point now) const
     {
         return outage.recently_ended(now);
@@ -193,7 +194,7 @@
     /*! @brief Begins the next watch, or stops if others watch the store
      * instead.
      * @param changed Whether the last watch brought changes, so that more may
-     * follow at once. */
+     * follow immediately. */
     void continue_watching(bool changed)
     {
         if (!hooks.should_watch())
@@ -211,7 +212,7 @@
     }
 
     /*! @brief Handles a rollback of the store. Changes after a revision of the
-     * earlier era do not show what was lost, so the store is listed anew. */
+     * earlier era do not show what was lost, so the store is listed again. */
     void on_era_changed(store_position new_position)
     {
         if (new_position.era < call_position.era)
@@ -339,7 +340,7 @@
     /*! @brief A call or the pause between two watches is pending. */
     bool busy{false};
     bool listing{false}; /*!< The pending call lists all keys. */
-    /*! @brief Consecutive watches whose history was gone. */
+    /*! @brief Consecutive watches whose history was no longer available. */
     std::size_t consecutive_history_losses{0};
     std::uint64_t gap_count{0}; /*!< How often changes may have been missed. */
 };
--- a/src/coursejunction/fleet/version_record.hpp
+++ b/src/coursejunction/fleet/version_record.hpp
@@ -20,7 +20,7 @@
 
 /*! @brief How far a version from any source but the operator's key may be above
  * the newest known one: versions are never lowered, and a corrupted number
- * would stay in force for good. */
+ * would stay in force permanently. */
 inline constexpr std::uint64_t max_version_step = 1000;
 
 /*! @brief Returns whether a version is plausible, given the newest known one.
--- a/src/coursejunction/fleet/version_source.hpp
+++ b/src/coursejunction/fleet/version_source.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief A source of the newest published version of a model beside the
+ * @brief A source of the newest published version of a model in addition to the
  * platform's store: the origin of the model weights.
  */
 #ifndef COURSEJUNCTION_FLEET_VERSION_SOURCE_HPP
--- a/src/coursejunction/member/member_table.hpp
+++ b/src/coursejunction/member/member_table.hpp
@@ -78,7 +78,7 @@
     /*! @brief Returns a listed member, or null. */
     [[nodiscard]] const member* find(const instance_id& id) const;
 
-    /*! @brief Tells whether requests may be sent to a member. */
+    /*! @brief Returns whether requests may be sent to a member. */
     [[nodiscard]] bool usable(const instance_id& id, time_point now) const;
 
     /*! @brief Returns the usable members of a role, in one hall or in all. */
--- a/src/coursejunction/net/http_server.hpp
+++ b/src/coursejunction/net/http_server.hpp
@@ -67,8 +67,8 @@
     virtual void cut() = 0;
 
     /*! @brief Sets a callback for a client that disconnects before the response
-     * has ended. It runs on a server thread, or at once on the calling thread
-     * if the client has already disconnected. */
+     * has ended. It runs on a server thread, or immediately on the calling
+     * thread if the client has already disconnected. */
     virtual void on_disconnect(std::function<void()> call) = 0;
 };
 
--- a/src/coursejunction/net/peer_hub.hpp
+++ b/src/coursejunction/net/peer_hub.hpp
@@ -61,8 +61,8 @@
     /*! @brief Returns the listening port. */
     [[nodiscard]] std::uint16_t port() const;
 
-    /*! @brief Opens a connection to `IP:port`. Frames may be sent at once and
-     * are queued until the handshake is done; a failure is reported by
+    /*! @brief Opens a connection to `IP:port`. Frames may be sent immediately
+     * and are queued until the handshake is done; a failure is reported by
      * `closed`. */
     connection_id open(const std::string& address);
 
--- a/src/coursejunction/net/stream_client.cpp
+++ b/src/coursejunction/net/stream_client.cpp
@@ -34,7 +34,7 @@
 namespace internal
 {
 
-/*! @brief Bytes read from the socket at once. */
+/*! @brief Bytes read from the socket at a time. */
 constexpr std::size_t read_bytes = 16384;
 
 /*! @brief Idle connections kept per address. */
--- a/src/coursejunction/proxy/crash_guard.hpp
+++ b/src/coursejunction/proxy/crash_guard.hpp
@@ -31,7 +31,7 @@
     using quarantine_callback = std::function<void(const request_content&)>;
 
     /*! @brief Called when a crash record changed that the other entries should
-     * receive at once. */
+     * receive immediately. */
     using change_callback = std::function<void()>;
 
     /*! @brief Returns whether this entry runs the trials of a request; all
@@ -61,8 +61,8 @@
     [[nodiscard]] crash_status status(const request_content& content,
                                       time_point now) const;
 
-    /*! @brief Returns how many copies of a request may run at once at this
-     * entry. */
+    /*! @brief Returns how many copies of a request may run at the same time at
+     * this entry. */
     [[nodiscard]] std::size_t max_running(const request_content& content,
                                           time_point now) const;
 
--- a/src/coursejunction/proxy/exchange_service.hpp
+++ b/src/coursejunction/proxy/exchange_service.hpp
@@ -100,8 +100,8 @@
     }
 
     /*! @brief Sets a callback that is called every `queue_poll_interval` while
-     * there are unsent refusals. That is soon enough for clients that retry at
-     * once. */
+     * there are unsent refusals. That is soon enough for clients that retry
+     * immediately. */
     void on_unsent_refusals(std::function<void()> callback)
     {
         refusals_callback = std::move(callback);
--- a/src/coursejunction/resource/configuration.cpp
+++ b/src/coursejunction/resource/configuration.cpp
@@ -131,9 +131,9 @@
     return std::find(writes.begin(), writes.end(), write) != writes.end();
 }
 
-/*! @brief Tells whether this configuration includes the write that last changed
- * a deployment of another one. Of several writes that the other one has under
- * the same revision, its own comes first, before those it merged. */
+/*! @brief Returns whether this configuration includes the write that last
+ * changed a deployment of another one. Of several writes that the other one has
+ * under the same revision, its own comes first, before those it merged. */
 bool configuration::includes_change(const configuration& other,
                                     const deployment& spec) const
 {
--- a/src/coursejunction/resource/configuration.hpp
+++ b/src/coursejunction/resource/configuration.hpp
@@ -72,7 +72,7 @@
     [[nodiscard]] result<configuration>
     apply(const configuration_change& change, const write_id& id) const;
 
-    /*! @brief Tells whether this configuration contains all writes of another
+    /*! @brief Returns whether this configuration contains all writes of another
      * one, or is the same. One whose last write is older than the recorded
      * writes counts as an ancestor. */
     [[nodiscard]] bool descends_from(const configuration& other) const;
--- a/src/coursejunction/rollout/close_policy.hpp
+++ b/src/coursejunction/rollout/close_policy.hpp
@@ -19,8 +19,8 @@
 /*! @brief Limits of a rolling update within one hall. */
 struct close_limits
 {
-    /*! @brief Fraction of a hall's upstreams that may be closed at once; their
-     * number is rounded and at least 1. */
+    /*! @brief Fraction of a hall's upstreams that may be closed at the same
+     * time; their number is rounded and at least 1. */
     double max_closed_fraction{0.34};
     /*! @brief Time since a version was published after which an upstream
      * closes whatever the others do: `version_deadlines::close_deadline`. */
@@ -35,11 +35,11 @@
     bool ready{false};  /*!< Has the new version complete, but not loaded. */
 };
 
-/*! @brief Tells whether a sidecar may close its upstream now. There is no
- * coordinator: each sidecar counts the closed ones among those it hears from,
- * and the rendezvous rank for the version decides who goes first. Sidecars that
- * don't hear from each other may close together, which costs capacity for a
- * moment but breaks no guarantee.
+/*! @brief Returns whether a sidecar may close its upstream now. There is no
+ * coordinator: each sidecar counts the closed ones among those it receives
+ * messages from, and the rendezvous rank for the version decides who goes
+ * first. Sidecars that don't receive each other's messages may close together,
+ * which costs capacity for a moment but breaks no guarantee.
  * @param rank_key Key by which sidecars are ranked, `model_version::rank_key`;
  * the greatest rendezvous weight goes first.
  * @param since_published Time since the version was published. */
@@ -67,7 +67,7 @@
             ++ahead;
     }
     // Those ranked ahead close first; this one closes if there is room for it
-    // beside them.
+    // in addition to them.
     return closed < max_closed && ahead < max_closed - closed;
 }
 
--- a/src/coursejunction/rollout/fence.hpp
+++ b/src/coursejunction/rollout/fence.hpp
@@ -27,7 +27,7 @@
  * command, and always after this process was suspended: a gap between two ticks
  * means that another process may have taken over meanwhile. A process that
  * acquired its token before an outage of the service and was not suspended may
- * go on during the outage, because nobody can acquire a later token from a
+ * go on during the outage, because no process can acquire a later token from a
  * service that is down. */
 class fence
 {
--- a/src/coursejunction/rollout/permit_table.hpp
+++ b/src/coursejunction/rollout/permit_table.hpp
@@ -1,6 +1,6 @@
 /*! @file
- * @brief Limits how many replicas of a deployment are closed at once in a
- * hall.
+ * @brief Limits how many replicas of a deployment are closed at the same time
+ * in a hall.
  */
 #ifndef COURSEJUNCTION_ROLLOUT_PERMIT_TABLE_HPP
 #define COURSEJUNCTION_ROLLOUT_PERMIT_TABLE_HPP
--- a/src/coursejunction/rollout/replica.hpp
+++ b/src/coursejunction/rollout/replica.hpp
@@ -204,7 +204,7 @@
         next_action_at = now + read_interval;
     }
 
-    /*! @brief Makes the served version be read again at once, unless a load
+    /*! @brief Makes the served version be read again immediately, unless a load
      * command was sent. Until then no requests are accepted. */
     void invalidate()
     {
@@ -246,7 +246,7 @@
         return replica_action::none;
     }
 
-    /*! @brief Tells whether the upstream may be sent new requests. */
+    /*! @brief Returns whether the upstream may be sent new requests. */
     [[nodiscard]] bool accepts_requests() const
     {
         return !served_version.empty() &&
@@ -257,7 +257,8 @@
                 current_phase == replica_phase::failed);
     }
 
-    /*! @brief Tells whether the replica takes no requests because of a load. */
+    /*! @brief Returns whether the replica takes no requests because of a load.
+     */
     [[nodiscard]] bool closed_for_load() const
     {
         return current_phase == replica_phase::draining ||
--- a/src/coursejunction/rollout/upstream_agent.hpp
+++ b/src/coursejunction/rollout/upstream_agent.hpp
@@ -224,7 +224,7 @@
                       });
     }
 
-    /*! @brief Tells whether entries would send all requests to the newest
+    /*! @brief Returns whether entries would send all requests to the newest
      * version before this one could be loaded. */
     [[nodiscard]] bool loads_too_late(const transfer_type& transfer,
                                       std::uint64_t newest) const
@@ -247,7 +247,7 @@
 
     /*! @brief Fetches versions one after another, the oldest first: what has
      * begun to spread is complete soonest, and each version is enforced at
-     * its own time. A stalled transfer lets the next one start beside it. */
+     * its own time. A stalled transfer lets the next one start in parallel. */
     void fetch_in_order(std::uint64_t served)
     {
         const auto now = event_loop::now();
@@ -342,7 +342,7 @@
         return all;
     }
 
-    /*! @brief Tells whether a version newer than the served one lacks chunks.
+    /*! @brief Returns whether a version newer than the served one lacks chunks.
      */
     [[nodiscard]] bool has_incomplete() const
     {
@@ -354,8 +354,8 @@
                            });
     }
 
-    /*! @brief Tells whether sidecars of other halls may fetch from this one and
-     * therefore need its heartbeats. */
+    /*! @brief Returns whether sidecars of other halls may fetch from this one
+     * and therefore need its heartbeats. */
     [[nodiscard]] bool may_serve_chunks() const
     {
         return has_incomplete() ||
@@ -363,7 +363,7 @@
                 recently_published(fleet.newest(last_report->model)));
     }
 
-    /*! @brief Tells whether a version was published within the fetch window.
+    /*! @brief Returns whether a version was published within the fetch window.
      */
 
     [[nodiscard]] bool recently_published(std::uint64_t version) const
@@ -541,7 +541,7 @@
 
     /*! @brief Sends the load command once no request runs or the drain timed
      * out. Where requests can't be aborted the upstream drains by itself, so
-     * that the command is sent at once. */
+     * that the command is sent immediately. */
     void drain()
     {
         if (!closing)
@@ -555,7 +555,7 @@
         load_timer = loop.after(options.poll_interval, [this] { drain(); });
     }
 
-    /*! @brief Tells whether all routes to engines allow their requests to be
+    /*! @brief Returns whether all routes to engines allow their requests to be
      * repeated, so that entries can resume aborted ones elsewhere. */
     [[nodiscard]] bool may_abort() const
     {
@@ -723,7 +723,7 @@
     paced_uploads uploads;
     chunk_transfer_options transfer_options;
     /*! @brief Limits the chunks that all transfers together request from peers
-     * at once. */
+     * at the same time. */
     std::shared_ptr<call_window> peer_call_window{std::make_shared<call_window>(
         transfer_options.max_holder_calls, transfer_options.slow_chunk_time)};
     std::map<std::uint64_t, std::shared_ptr<transfer_type>> transfers;
--- a/src/coursejunction/rollout/version_order.hpp
+++ b/src/coursejunction/rollout/version_order.hpp
@@ -18,14 +18,14 @@
  * begun to spread: the first chunk arrives after 0.4 s. */
 inline constexpr milliseconds supersede_window{500};
 
-/*! @brief Tells whether a version is skipped in favour of the newest one,
+/*! @brief Returns whether a version is skipped in favour of the newest one,
  * because both were published at nearly the same time. A version
  * is enforced a fixed time after its publication: from then on no request may
  * begin on older weights. Fetching the older one would therefore only take
  * bandwidth from the one that is needed: a store that was unreachable
- * reports several versions at once, and all but the last would cost a copy from
- * the origin each. All sidecars know the same publish times and therefore skip
- * the same versions.
+ * reports several versions together, and all but the last would cost a copy
+ * from the origin each. All sidecars know the same publish times and therefore
+ * skip the same versions.
  * @param published When the version was published.
  * @param newer_published When the newest one was published. */
 [[nodiscard]] inline bool superseded(time_point published,
@@ -48,7 +48,7 @@
  * the load command is sent and the weights are loaded. */
 inline constexpr milliseconds spread_and_load_time{900};
 
-/*! @brief Tells whether a version can't be loaded before the newer one takes
+/*! @brief Returns whether a version can't be loaded before the newer one takes
  * all requests. Its chunks would then only take the origin's bandwidth from the
  * newer one.
  * @param retired_at When requests begin to go to the newer version only. */
--- a/src/coursejunction/route/admission.hpp
+++ b/src/coursejunction/route/admission.hpp
@@ -47,14 +47,14 @@
     double full_refusal_ratio{0.05};
     /*! @brief Fraction of `full_refusal_ratio` from which on an entry fills
      * only its own share of each engine (see `engine_shares.hpp`). Otherwise
-     * many entries fill one engine at once, since none sees the requests of
-     * the others in time. */
+     * many entries fill one engine at the same time, since none sees the
+     * requests of the others in time. */
     double own_share_threshold{0.5};
     /*! @brief Fraction of its slots up to which an engine accepts requests of
-     * entries that hold no share of it, or have used theirs: nobody needs the
-     * slots of an engine that empty. Without it, clients are refused beside
-     * free slots during a rollout; with a much larger value, entries that
-     * refuse nobody take the slots of the others. */
+     * entries that hold no share of it, or have used theirs: no entry
+     * needs the slots of an engine that is this empty. Without it, clients are
+     * refused during a rollout although slots are free; with a much larger
+     * value, entries that refuse no client take the slots of the others. */
     double unowned_fraction{0.4};
     /*! @brief Retry-After without overload, where upstreams are busy only for a
      * moment. */
@@ -161,7 +161,7 @@
 
     /*! @brief Returns the ratio of refused to new requests at all entries
      * recently. One refusal is subtracted, so that a single one counts as none.
-     * If each entry used its own ratio, an entry that refuses nobody would
+     * If each entry used its own ratio, an entry that refuses no client would
      * fill the engines, and one that refuses many would refuse ever more. */
     [[nodiscard]] double refusal_ratio(time_point now) const
     {
--- a/src/coursejunction/route/deadline_floor.hpp
+++ b/src/coursejunction/route/deadline_floor.hpp
@@ -41,8 +41,8 @@
     static constexpr milliseconds max_time_without_new{30'000};
 
     /*! @brief Records the deadline of a request that matches no refusal.
-     * @param no_recent_refusals Whether nobody was refused recently: a shorter
-     * deadline then belongs to a new client.
+     * @param no_recent_refusals Whether no client was refused recently: a
+     * shorter deadline then belongs to a new client.
      * @return How long its client has waited at least; zero if it is new or too
      * little is known. */
     milliseconds observe(milliseconds deadline, bool no_recent_refusals,
--- a/src/coursejunction/route/engine_shares.hpp
+++ b/src/coursejunction/route/engine_shares.hpp
@@ -2,9 +2,10 @@
  * @brief Divides the engines between the entries that use them; pure.
  * Load pattern: overload at many entries, none of which sees what the others
  * have sent since an engine's last report. If all choose among all engines,
- * several of them send to the same free slot, and an entry that refuses nobody
- * takes the slots of those that do. Every entry computes the same division from
- * the demand that all of them report; no central process grants shares.
+ * several of them send to the same free slot, and an entry that refuses no
+ * client takes the slots of those that do. Every entry computes the same
+ * division from the demand that all of them report; no central process grants
+ * shares.
  */
 #ifndef COURSEJUNCTION_ROUTE_ENGINE_SHARES_HPP
 #define COURSEJUNCTION_ROUTE_ENGINE_SHARES_HPP
--- a/src/coursejunction/route/fair_queue.hpp
+++ b/src/coursejunction/route/fair_queue.hpp
@@ -160,8 +160,8 @@
 
     /*! @brief Removes and returns the requests that can't meet their deadline
      * any more, or that clearly won't because of the requests before them, so
-     * that their clients can be refused at once. As the wait is an estimate,
-     * it must exceed the time left by `late_factor`.
+     * that their clients can be refused immediately. As the wait is an
+     * estimate, it must exceed the time left by `late_factor`.
      * @param expected_duration Expected duration of a request itself. */
     [[nodiscard]] std::vector<queued_request>
     remove_late(std::chrono::microseconds expected_duration, time_point now)
--- a/src/coursejunction/route/recent_refusals.hpp
+++ b/src/coursejunction/route/recent_refusals.hpp
@@ -69,8 +69,8 @@
     void record_remote(const refusal_record& refusal);
 
     /*! @brief Finds the refusal that a request is the retry of, and drops it,
-     * as a client retries once. Clients with equal requests are told apart by
-     * when they arrive and by their deadlines.
+     * as a client retries once. Clients with equal requests are distinguished
+     * by when they arrive and by their deadlines.
      * @return When the client sent its first request. */
     [[nodiscard]] std::optional<time_point>
     match_retry(request_fingerprint fingerprint,
--- a/src/coursejunction/route/request_limit.hpp
+++ b/src/coursejunction/route/request_limit.hpp
@@ -5,7 +5,7 @@
  * hundreds of entries may have requests for it. A few holders have a share of
  * the limit each and send at that rate; all other entries send nothing. When no
  * holder has received a response for long, these standby entries send a
- * request, one after the other; otherwise nobody would notice the end of the
+ * request, one after the other; otherwise no entry would notice the end of the
  * limit.
  */
 #ifndef COURSEJUNCTION_ROUTE_REQUEST_LIMIT_HPP
--- a/src/coursejunction/route/retained_terms.hpp
+++ b/src/coursejunction/route/retained_terms.hpp
@@ -1,5 +1,5 @@
 /*! @file
- * @brief Terms of upstreams whose records are gone; pure.
+ * @brief Terms of upstreams whose records expired or were removed; pure.
  */
 #ifndef COURSEJUNCTION_ROUTE_RETAINED_TERMS_HPP
 #define COURSEJUNCTION_ROUTE_RETAINED_TERMS_HPP
--- a/src/coursejunction/route/upstream_registry.hpp
+++ b/src/coursejunction/route/upstream_registry.hpp
@@ -333,7 +333,7 @@
     }
 
     /*! @brief Estimates the current load of an engine from its last status and
-     * the requests sent since. Requests of this entry stand for those of all
+     * the requests sent since. Requests of this entry represent those of all
      * entries, as they see the same loads and choose alike; less so where the
      * engine belongs to this entry's share. What `others` predicts beyond
      * these is added, which matters most where this entry has sent none yet,
--- a/src/coursejunction/route/upstream_terms.hpp
+++ b/src/coursejunction/route/upstream_terms.hpp
@@ -136,9 +136,9 @@
 private:
     static constexpr const char* response_source = "answer";
 
-    /*! @brief Marks it as leaving for good: an incarnation that leaves does not
-     * come back, so a later response without the announcement does not revoke
-     * it. */
+    /*! @brief Marks it as leaving permanently: an incarnation that leaves does
+     * not come back, so a later response without the announcement does not
+     * revoke it. */
     bool set_leaving(const std::string& from, time_point now)
     {
         if (is_leaving)
--- a/src/coursejunction/route/version_floor.hpp
+++ b/src/coursejunction/route/version_floor.hpp
@@ -38,8 +38,8 @@
 
     /*! @brief Adds the newest version that this process finds when it starts.
      * The version before it may be enforced by others already. As this process
-     * can't know, it enforces the version before at once, and the newest after
-     * its grace. Without this, an entry that starts between two versions
+     * can't know, it immediately enforces the version before, and the newest
+     * after its grace. Without this, an entry that starts between two versions
      * published 2 s apart uses the oldest weights 2 s longer than the others.
      */
     void add_found_at_startup(const std::string& model, std::uint64_t version,
--- a/src/coursejunction/run/claim_registry.hpp
+++ b/src/coursejunction/run/claim_registry.hpp
@@ -18,8 +18,8 @@
 {
 
 /*! @brief Remembers who claimed a request first, by the digest of the request
- * id. It is a second record beside the claim in the key-value service, which
- * may lose claims. */
+ * id. It is a second record in addition to the claim in the key-value service,
+ * which may lose claims. */
 class claim_registry
 {
 public:
@@ -48,7 +48,7 @@
         return true;
     }
 
-    /*! @brief Tells whether a request is claimed. */
+    /*! @brief Returns whether a request is claimed. */
     [[nodiscard]] bool contains(const digest& request, time_point now)
     {
         drop_expired(now);
--- a/src/coursejunction/run/claim_session.hpp
+++ b/src/coursejunction/run/claim_session.hpp
@@ -45,7 +45,7 @@
             session_id.clear();
     }
 
-    /*! @brief Tells whether another claim may be made with the session. */
+    /*! @brief Returns whether another claim may be made with the session. */
     [[nodiscard]] bool usable(time_point now) const
     {
         return !session_id.empty() && claims < claim_limit &&
--- a/src/coursejunction/run/crash_evidence.hpp
+++ b/src/coursejunction/run/crash_evidence.hpp
@@ -90,7 +90,7 @@
         return sum;
     }
 
-    /*! @brief Tells whether a crash during a trial counts. */
+    /*! @brief Returns whether a crash during a trial counts. */
     [[nodiscard]] bool failed_trial() const
     {
         for (const auto& [crash, evidence] : crashes)
--- a/src/coursejunction/run/crash_ledger.hpp
+++ b/src/coursejunction/run/crash_ledger.hpp
@@ -28,7 +28,7 @@
 enum class crash_status : std::uint8_t
 {
     clear,       /*!< No crash counts against it. */
-    suspect,     /*!< Some crashes count; few copies run at once. */
+    suspect,     /*!< Some crashes count; few copies run at a time. */
     quarantined, /*!< It is not sent to upstreams. */
     on_trial     /*!< After a quarantine: one entry runs one copy. */
 };
@@ -39,8 +39,8 @@
     /*! @brief Total weight of crashes that quarantines a request, which is
      * three crashes before any response. Of the
      * requests on a crashed upstream all but one are bystanders, 15 of 16 where
-     * it runs 16 at once. A bystander can meet a second crash, because its
-     * caller retries once. A third one is no coincidence. */
+     * it runs 16 at the same time. A bystander can meet a second crash, because
+     * its caller retries once. A third one is no coincidence. */
     std::size_t quarantine_threshold{6};
     /*! @brief Duration of a quarantine, from the last crash, unless a trial has
      * failed; after it a trial tells bystanders from causes. It is short
@@ -99,9 +99,9 @@
     [[nodiscard]] crash_status status(const request_content& content,
                                       time_point now) const;
 
-    /*! @brief Returns how many copies of a request this entry may run at once.
-     * Each response allows one more, so that a bystander is soon served as
-     * before.
+    /*! @brief Returns how many copies of a request this entry may run at the
+     * same time. Each response allows one more, so that a bystander is soon
+     * served as before.
      * @param runs_trials Whether this entry runs the trials of the request. */
     [[nodiscard]] std::size_t max_running(const request_content& content,
                                           bool runs_trials,
@@ -127,7 +127,8 @@
     [[nodiscard]] message::crash_record record(const request_content& content,
                                                time_point now) const;
 
-    /*! @brief Tells whether a record changed since the last `collect_updates`.
+    /*! @brief Returns whether a record changed since the last
+     * `collect_updates`.
      */
     [[nodiscard]] bool has_pending_updates() const
     {
@@ -144,7 +145,7 @@
         return records;
     }
 
-    /*! @brief Tells whether a request is quarantined or on trial. */
+    /*! @brief Returns whether a request is quarantined or on trial. */
     [[nodiscard]] bool is_blocked(const request_content& content) const;
 
     /*! @brief Returns how many requests are quarantined or on trial. */
--- a/src/coursejunction/run/lost_attempt_tracker.hpp
+++ b/src/coursejunction/run/lost_attempt_tracker.hpp
@@ -4,7 +4,7 @@
  * An attempt to run a request that is lost before the response is complete is
  * no proof of a crash: the connection may have been reset, or the upstream may
  * be suspended. The upstream crashed under the request only if it is known to
- * be gone or to have restarted. A lost link and a planned shutdown are no
+ * have stopped or restarted. A lost link and a planned shutdown are no
  * evidence.
  */
 #ifndef COURSEJUNCTION_RUN_LOST_ATTEMPT_TRACKER_HPP
@@ -39,7 +39,7 @@
     cancelled  /*!< It was cancelled for another reason. */
 };
 
-/*! @brief How it is known that an upstream is gone. */
+/*! @brief How it is known that an upstream has stopped. */
 enum class crash_proof : std::uint8_t
 {
     record_expired, /*!< Its record expired; it may merely be suspended. */
@@ -89,7 +89,7 @@
         return first && pending.back().lost.cause != loss_cause::cancelled;
     }
 
-    /*! @brief Notes that an upstream is gone.
+    /*! @brief Notes that an upstream has stopped.
      * @return The reports of its lost attempts that the proof covers, see
      * `proves`. These attempts are removed, and the others stay. */
     [[nodiscard]] std::vector<crash_report>
@@ -137,7 +137,7 @@
         return std::nullopt;
     }
 
-    /*! @brief Tells whether a request has a recently lost attempt that is not
+    /*! @brief Returns whether a request has a recently lost attempt that is not
      * yet explained. */
     [[nodiscard]] bool has_unexplained_loss(const request_content& content,
                                             time_point now) const
@@ -156,7 +156,7 @@
         time_point expires_at{};
     };
 
-    /*! @brief Tells whether a proof covers a loss. A suspended upstream lets
+    /*! @brief Returns whether a proof covers a loss. A suspended upstream lets
      * its record expire, but doesn't close its connections. */
     [[nodiscard]] static bool proves(crash_proof proof, loss_cause cause)
     {
--- a/src/coursejunction/run/run_registry.hpp
+++ b/src/coursejunction/run/run_registry.hpp
@@ -29,7 +29,7 @@
 };
 
 /*! @brief Response of a request that ran, for a caller that repeats it. A
- * status of 0 stands for an incomplete response. */
+ * status of 0 means an incomplete response. */
 struct cached_response
 {
     std::uint16_t status{0};
--- a/src/coursejunction/transfer/call_window.hpp
+++ b/src/coursejunction/transfer/call_window.hpp
@@ -1,5 +1,6 @@
 /*! @file
- * @brief Limits the chunks that are being downloaded at once. Does no I/O.
+ * @brief Limits the chunks that are being downloaded at the same time. Does no
+ * I/O.
  */
 #ifndef COURSEJUNCTION_TRANSFER_CALL_WINDOW_HPP
 #define COURSEJUNCTION_TRANSFER_CALL_WINDOW_HPP
--- a/src/coursejunction/transfer/chunk_transfer_options.hpp
+++ b/src/coursejunction/transfer/chunk_transfer_options.hpp
@@ -24,7 +24,7 @@
      * idle link of 7.6 Mbit/s and ten times that on a shared one. */
     milliseconds peer_timeout{2500};
     /*! @brief Timeout of connecting to a peer: its link may be full of chunks,
-     * of which four at once take 140 ms. */
+     * of which four at the same time take 140 ms. */
     milliseconds connect_timeout{1500};
     /*! @brief How long this instance keeps a call of a peer open for a chunk
      * that it does not hold. */
@@ -47,7 +47,7 @@
      * cannot get the manifest from others; a manifest takes 4 ms on the link
      * of the origin, 9.9 Mbit/s, which chunks share. */
     milliseconds origin_call_interval{10};
-    /*! @brief Chunks staged at or read from the upstream at once. */
+    /*! @brief Chunks staged at or read from the upstream at the same time. */
     std::size_t max_engine_calls{4};
     /*! @brief After this many corrupt copies of a chunk, the manifest is
      * considered wrong. */
--- a/src/coursejunction/transfer/origin_fallback.hpp
+++ b/src/coursejunction/transfer/origin_fallback.hpp
@@ -19,8 +19,8 @@
 /*! @brief Selects the source of weights to ask next. Does no I/O.
  *
  * A failure of the current source switches to the other one. Several calls are
- * open at once and fail together: if each failure switched, they would lead
- * back to the source that has just failed. */
+ * open at the same time and fail together: if each failure switched, they would
+ * lead back to the source that has just failed. */
 class origin_fallback
 {
 public:
--- a/src/coursejunction/transfer/source_policy.hpp
+++ b/src/coursejunction/transfer/source_policy.hpp
@@ -49,7 +49,7 @@
     }
 };
 
-/*! @brief Returns whether a participant is believed to be alive. */
+/*! @brief Returns whether a participant is considered alive. */
 using liveness = std::function<bool(const instance_id&)>;
 
 /*! @brief Chooses the first source of each chunk, the same in every process
--- a/src/coursejunction/transfer/transfer_planner.hpp
+++ b/src/coursejunction/transfer/transfer_planner.hpp
@@ -40,7 +40,8 @@
      * to arrive, stand-ins may request it; zero disables this. */
     milliseconds first_copy_delay{0};
     /*! @brief A chunk that takes this long from a peer indicates a narrow link
-     * of this instance: fewer are requested at once; zero disables this. */
+     * of this instance: fewer are requested at the same time; zero disables
+     * this. */
     milliseconds slow_chunk_time{0};
     /*! @brief Calls to the origin fail on their own when no more data arrives.
      * A stall then does not repeat a call that is open, and a slow chunk is
--- a/src/coursejunction/transfer/upload_queue.hpp
+++ b/src/coursejunction/transfer/upload_queue.hpp
@@ -21,8 +21,8 @@
 {
 
 /*! @brief Queues chunks to send, those that other halls wait for first. Plain
- * requests beyond the limit are rejected at once, so that the requester asks
- * another peer. */
+ * requests beyond the limit are rejected immediately, so that the requester
+ * asks another peer. */
 class upload_queue
 {
 public:
--- a/standin/key_value.cpp
+++ b/standin/key_value.cpp
@@ -75,8 +75,8 @@
         send_json(reply, 200, {{"index", last}});
     }
 
-    /*! @brief Comes back from the copy: later writes and sessions are gone,
-     * and their indices are given out again. */
+    /*! @brief Restores the copy: later writes and sessions are lost, and their
+     * indices are given out again. */
     void restore(const reply_pointer& reply)
     {
         cut_watches();
@@ -110,8 +110,8 @@
         send_json(reply, 200, {{"done", true}});
     }
 
-    /*! @brief While they are silent, watches hear of no write; afterwards,
-     * each hears of the last one only. */
+    /*! @brief While they are silent, watches report no write; afterwards, each
+     * reports only the last one. */
     void silence_watches(bool silent)
     {
         silent_watches = silent;
--- a/standin/model_engine.cpp
+++ b/standin/model_engine.cpp
@@ -147,7 +147,7 @@
         send_json(reply, 200, {{"done", true}});
     }
 
-    /*! @brief Tells whether everything of a version is staged and right. */
+    /*! @brief Returns whether everything of a version is staged and right. */
     bool whole(const std::string& version) const
     {
         const auto text = manifests.find(version);
--- a/standin/standin.hpp
+++ b/standin/standin.hpp
@@ -80,7 +80,7 @@
     std::list<coursejunction::timer> timers;
 };
 
-/*! @brief Runs a stand-in until it is told to stop.
+/*! @brief Runs a stand-in until it is asked to stop.
  * @tparam Service Has `handle(http_request, reply_pointer)`, called on the
  * loop's thread. */
 template <typename Service>
--- a/tests/control/configuration_writer.cpp
+++ b/tests/control/configuration_writer.cpp
@@ -92,7 +92,7 @@
 
     void take_snapshot() { snapshot = value; }
 
-    /*! @brief Rolls the store back to the snapshot: later writes are gone, and
+    /*! @brief Rolls the store back to the snapshot: later writes are lost, and
      * their indices are assigned again. */
     void roll_back() { value = snapshot; }
 
@@ -279,9 +279,9 @@
 }
 
 // Another writer changes the configuration before each swap, so that each swap
-// fails. A writer that retried at once would transfer the whole configuration
-// over and over, fill the link that all writers share, and never end while the
-// others go on.
+// fails. A writer that retried immediately would transfer the whole
+// configuration over and over, fill the link that all writers share, and never
+// end while the others go on.
 SCENARIO("a writer that lost the race pauses before the next attempt",
          "[control]")
 {
--- a/tests/fleet/fleet_node.cpp
+++ b/tests/fleet/fleet_node.cpp
@@ -178,7 +178,7 @@
     std::this_thread::sleep_for(4s);
 
     // A process waits 80 ms in case a peer of its hall gets the change first,
-    // and the page arrives at once. A busy machine sometimes takes longer.
+    // and the page arrives immediately. A busy machine sometimes takes longer.
     constexpr auto max_delay = 400ms;
     constexpr int max_late = 2;
     int late_count = 0;
--- a/tests/fleet/fleet_view.cpp
+++ b/tests/fleet/fleet_view.cpp
@@ -9,7 +9,7 @@
 {
 
 /*! @brief Parses upstream records of the form `INCARNATION ADDRESS`;
- * incarnation 0 stands for none. */
+ * incarnation 0 means none. */
 struct text_catalogue
 {
     static cj::item_kind kind(const std::string& key)
--- a/tests/fleet/late_upstream_records.cpp
+++ b/tests/fleet/late_upstream_records.cpp
@@ -13,7 +13,7 @@
 {
 
 /*! @brief Parses upstream records of the form `INCARNATION SEQUENCE STATE`;
- * incarnation 0 stands for none. */
+ * incarnation 0 means none. */
 struct sequenced_catalogue
 {
     static cj::item_kind kind(const std::string&)
--- a/tests/fleet/poll_schedule.cpp
+++ b/tests/fleet/poll_schedule.cpp
@@ -16,7 +16,7 @@
 using schedule = cj::poll_schedule;
 
 constexpr cj::time_point start{100s};
-constexpr std::size_t others = 9; /*!< Live entries beside the one tested. */
+constexpr std::size_t others = 9; /*!< Live entries besides the one tested. */
 
 /*! @brief Returns the time from `from` until a poll is due, checked every 20
  * ms; `longest` if none is due by then. */
@@ -264,7 +264,7 @@
 } // namespace
 
 // Up to the size that users require, 340 entries; each entry knows only the
-// others that it hears.
+// others that it receives heartbeats from.
 SCENARIO("polls of all entries do not load the source's link", "[fleet][size]")
 {
     const auto entries =
--- a/tests/fleet/poll_simulation.hpp
+++ b/tests/fleet/poll_simulation.hpp
@@ -35,9 +35,9 @@
 struct entry_faults
 {
     ms starts{0};
-    std::optional<ms> stops; /*!< For good, announced to the others. */
+    std::optional<ms> stops; /*!< Permanently, announced to the others. */
     std::optional<interval> suspended; /*!< Does nothing, then resumes. */
-    std::optional<interval> cut; /*!< Neither hears others nor is heard. */
+    std::optional<interval> cut; /*!< Neither receives nor reaches others. */
     std::optional<interval> source_unreachable; /*!< Its polls get no answer. */
 };
 
@@ -50,7 +50,7 @@
     std::size_t answer_bytes{4'500};
     double link_rate{1'250'000}; /*!< Bytes per second. */
     /*! @brief The first this many entries are announced to all others by their
-     * peers. Two entries beyond them never hear of each other, unless one is a
+     * peers. Two entries beyond them never learn of each other, unless one is a
      * seed. */
     std::size_t max_announced{1'000};
     /*! @brief Entries that all others know from the start. */
@@ -105,13 +105,14 @@
     }
 
 private:
-    /*! @brief From a start until all others are heard, once peers have
-     * announced them. */
+    /*! @brief From a start until heartbeats of all others are received, once
+     * peers have announced them. */
     static constexpr ms discovery_delay{800};
-    /*! @brief From the end of a fault until others are heard, and from a start
-     * until the seeds are. */
+    /*! @brief From the end of a fault until heartbeats of others are received,
+     * and from a start until those of the seeds are. */
     static constexpr ms heartbeat_delay{200};
-    /*! @brief An entry that was not heard for this long counts as gone. */
+    /*! @brief An entry from which nothing was received for this long counts as
+     * stopped. */
     static constexpr ms peer_timeout{1'000};
     static constexpr ms heartbeat_interval{200};
     static constexpr ms poll_timeout{3'000};
--- a/tests/fleet/version_convergence.cpp
+++ b/tests/fleet/version_convergence.cpp
@@ -52,8 +52,8 @@
     }
 };
 
-/*! @brief A version that the operator publishes; the write is acknowledged at
- * once. */
+/*! @brief A version that the operator publishes; the write is acknowledged
+ * immediately. */
 struct published_version
 {
     ms after{0}; /*!< Time after the previous one. */
--- a/tests/fleet/version_poller.cpp
+++ b/tests/fleet/version_poller.cpp
@@ -70,7 +70,7 @@
         from.origin_rate = 1'250'000;
     }
 
-    /*! @brief Advances the time in ticks. Polls are answered at once while
+    /*! @brief Advances the time in ticks. Polls are answered immediately while
      * `answer` is set. */
     void advance(cj::milliseconds duration)
     {
--- a/tests/net/loopback.hpp
+++ b/tests/net/loopback.hpp
@@ -27,8 +27,8 @@
 {
 
 /*! @brief Returns a loopback address that is unique to this process, because
- * several checkouts may run their tests on one machine at once. Any address of
- * 127.0.0.0/8 can be bound. */
+ * several checkouts may run their tests on one machine at the same time. Any
+ * address of 127.0.0.0/8 can be bound. */
 inline std::string own_address(int number)
 {
     const auto run = ::getpid();
--- a/tests/platform/hall_behind_link.cpp
+++ b/tests/platform/hall_behind_link.cpp
@@ -1,13 +1,13 @@
 // Guards against congestion collapse of the link to a hall. In an installation
 // whose halls lie in regions with 24 Mbit/s between them, a configuration of
 // 1.7 MB was written to the store. All processes of each remote hall fetched it
-// over the one link at once, each with a timeout that did not depend on its
-// size. The full link lost heartbeats, so entries assumed that those that watch
-// the store were dead, and all of them listed it, again with a timeout for the
-// whole and from the start after each failure. No remote hall received any
-// further change: each link carried 2.6 to 4.2 MB/s to the end, and one entry
-// started 71 listings and watched once, while an entry of the store's hall
-// listed once and watched 192 times.
+// over the one link at the same time, each with a timeout that did not depend
+// on its size. The full link lost heartbeats, so entries assumed that those
+// that watch the store were dead, and all of them listed it, again with a
+// timeout for the whole and from the start after each failure. No remote hall
+// received any further change: each link carried 2.6 to 4.2 MB/s to the end,
+// and one entry started 71 listings and watched once, while an entry of the
+// store's hall listed once and watched 192 times.
 #include <atomic>
 #include <chrono>
 #include <deque>
--- a/tests/proxy/crashing_request.cpp
+++ b/tests/proxy/crashing_request.cpp
@@ -4,8 +4,8 @@
  * the client resent it under new ids, and tried each copy at two upstreams.
  * After three crashes it was sent 22 more times and crashed 42 engines in 16 s,
  * and 23 more times with 47 crashes in the next series. Up to eight of 20
- * engines were down at once, and of 533 requests in five seconds 297 met their
- * target. */
+ * engines were down at the same time, and of 533 requests in five seconds 297
+ * met their target. */
 #include <chrono>
 #include <cstddef>
 #include <functional>
@@ -108,10 +108,10 @@
 /* Guards against two errors in the attribution of crashes. First, a harmless
  * request that was resent after each of three unrelated crashes was quarantined
  * for ten minutes, and so was content that all callers ask for when it ran
- * beside a crashing request: of seven runs of 5 s, six refused it 629 to 898
- * times and answered it 18 to 67 times. Second, three attempts of a harmful
- * request that were cancelled for silence before the crash was seen were not
- * counted, so that it went on to four more engines. */
+ * at the same time as a crashing request: of seven runs of 5 s, six refused it
+ * 629 to 898 times and answered it 18 to 67 times. Second, three attempts of a
+ * harmful request that were cancelled for silence before the crash was seen
+ * were not counted, so that it went on to four more engines. */
 SCENARIO(
     "a crash counts against a request only if the request may have caused it",
     "[proxy]")
--- a/tests/rollout/close_policy.cpp
+++ b/tests/rollout/close_policy.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/*! @brief Runs a rolling update in a hall whose sidecars all hear from each
- * other.
+/*! @brief Runs a rolling update in a hall whose sidecars all receive each
+ * other's messages.
  * @return How many closed in each round. */
 std::vector<std::size_t> closed_per_round(std::size_t count)
 {
--- a/tests/route/dispatcher.cpp
+++ b/tests/route/dispatcher.cpp
@@ -24,7 +24,7 @@
 }
 
 /*! @brief Two thirds of the engines' capacity, and nearly twice of it from the
- * 6th to the 9th second. Some refused clients retry at once. */
+ * 6th to the 9th second. Some refused clients retry immediately. */
 load_pattern short_burst(std::uint64_t seed)
 {
     load_pattern pattern;
--- a/tests/route/limit_replay.hpp
+++ b/tests/route/limit_replay.hpp
@@ -39,8 +39,8 @@
     double duration{21};
     double heartbeat_loss{0.03}; /*!< Fraction of heartbeats lost. */
     std::size_t restarted{0};    /*!< Entries that restart, one a second. */
-    std::size_t stopped{0};   /*!< Entries that stop for good, one a second. */
-    std::size_t crashed{0};   /*!< Entries that crash, one a second. */
+    std::size_t stopped{0}; /*!< Entries that stop permanently, one a second. */
+    std::size_t crashed{0}; /*!< Entries that crash, one a second. */
     std::size_t suspended{0}; /*!< Entries that are suspended for 2 s. */
     std::size_t disconnected{
         0}; /*!< Entries that receive no heartbeats for 5 s. */
--- a/tests/route/load_replay.hpp
+++ b/tests/route/load_replay.hpp
@@ -46,7 +46,7 @@
     double seconds{20};
     /*! @brief New requests a second, as a function of the second. */
     std::function<double(double)> rate;
-    /*! @brief Fraction of the refused clients that retry at once. */
+    /*! @brief Fraction of the refused clients that retry immediately. */
     double impatient_fraction{0};
     /*! @brief Relative load of each entry; equal if empty. */
     std::vector<double> entry_weights;
--- a/tests/run/crash_simulation.hpp
+++ b/tests/run/crash_simulation.hpp
@@ -35,7 +35,7 @@
 {
     std::size_t entries{5};
     std::size_t engines{20};
-    std::size_t slots{16}; /*!< Requests that an engine runs at once. */
+    std::size_t slots{16}; /*!< Requests that an engine runs at a time. */
     double load{0.5}; /*!< Fraction of slots in use by innocent requests. */
     double datagram_loss{0.05}; /*!< Fraction of datagrams lost. */
     /*! @brief Time between harmful copies; 0: none are sent. */
--- a/tests/soak/suspended_clock.cpp
+++ b/tests/soak/suspended_clock.cpp
@@ -1,6 +1,6 @@
 /* Loaded into the processes of a soak: lets the clocks that go on while an
- * instance is suspended jump, as after a resume, beside the steady one. The
- * time that the instance was suspended stands in a file, in microseconds. */
+ * instance is suspended jump, as after a resume, relative to the steady one.
+ * The time that the instance was suspended is in a file, in microseconds. */
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/mman.h>
